--- a/packages/reedlug-gateway/src/__tests__/__fixtures__/box.ts
+++ b/packages/reedlug-gateway/src/__tests__/__fixtures__/box.ts
@@ -5,13 +5,13 @@
 import { LimitUnit, RouteKind } from '../../types/configuration.js';
 import type { Effect } from '../../types/effect.js';
 import type { EventBody } from '../../types/event.js';
-import { NewsScope, type PeerAddress, type PeerMessage } from '../../types/peer.js';
+import { GossipScope, type PeerAddress, type PeerMessage } from '../../types/peer.js';
 import type { RequestFacts } from '../../types/request.js';
 import { ServerState, type ServerEntry } from '../../types/server.js';
 import type {
   AnswerStatements,
   ServerStatement,
-  StatementOfLife,
+  IncarnationStatement,
 } from '../../types/serverStatement.js';
 import type { GatewaySettings } from '../../types/settings.js';
 
@@ -21,8 +21,8 @@
 /** The head of an answer that says nothing of its server. */
 export const NOTHING_SAID: AnswerStatements = {
   limit: { kind: 'none' },
-  isLeaving: false,
-  restMs: undefined,
+  isDraining: false,
+  pauseMs: undefined,
 };
 
 export function settings(changes: Partial<GatewaySettings['bounds']> = {}): GatewaySettings {
@@ -174,7 +174,7 @@
     boxId: 'box-2',
     incarnation: 1,
     sequence: 1,
-    scope: NewsScope.box,
+    scope: GossipScope.box,
     isProbe: false,
     boxes: 1,
     processorCores: 1,
@@ -198,7 +198,7 @@
 }
 
 /** News of another box of what servers said. */
-export function statementNews(...statements: StatementOfLife[]) {
+export function statementNews(...statements: IncarnationStatement[]) {
   const message = { kind: 'serverStatements' as const, boxId: 'box-2', statements };
   return { type: 'serverStatements' as const, message };
 }
@@ -233,7 +233,7 @@
     nowMs: 0,
     wallOffsetMs: 1_000_000,
     take: (event) =>
-      reduce(box.state, { ...event, nowMs: box.nowMs, wallMs: box.nowMs + box.wallOffsetMs }),
+      reduce(box.state, { ...event, nowMs: box.nowMs, wallClockMs: box.nowMs + box.wallOffsetMs }),
     pass(ms) {
       box.nowMs += ms;
       return box.take({ type: 'tick' });
--- a/packages/reedlug-gateway/src/adapter.ts
+++ b/packages/reedlug-gateway/src/adapter.ts
@@ -113,7 +113,7 @@
   decodeRequest: (head: RequestHead) => DecodedRequest;
   /** The fields that go to a server: the caller's end-to-end ones, and those that the order sets. */
   encodeSend: (rawHeaders: RawHeaders, order: SendOrder) => string[];
-  judgeAnswer: (head: AnswerHead) => AnswerVerdict;
+  evaluateAnswer: (head: AnswerHead) => AnswerVerdict;
   /** What an answer says of its server; undefined where it answers another request, or comes from another server. */
   statementsOf: (head: AnswerHead) => AnswerStatements | undefined;
   /** The answer's end-to-end fields. */
--- a/packages/reedlug-gateway/src/daemon/__tests__/backendAttempt.test.ts
+++ b/packages/reedlug-gateway/src/daemon/__tests__/backendAttempt.test.ts
@@ -7,7 +7,7 @@
 const codec: HeaderCodec = {
   decodeRequest: () => ({ kind: 'malformed', message: 'not used' }),
   encodeSend: () => [],
-  judgeAnswer: ({ status, rawHeaders }) => {
+  evaluateAnswer: ({ status, rawHeaders }) => {
     const index = rawHeaders.findIndex((name) => name.toLowerCase() === 'id');
     if (rawHeaders[index + 1] !== 'request-1') return 'invalid';
     return status === 200 ? 'success' : 'failure';
--- a/packages/reedlug-gateway/src/daemon/__tests__/operatorServer.test.ts
+++ b/packages/reedlug-gateway/src/daemon/__tests__/operatorServer.test.ts
@@ -14,8 +14,8 @@
     key: KEY,
     crashes: [],
     goodRunAtMs: Number.NEGATIVE_INFINITY,
-    keptOutSinceMs: 1000,
-    judgedAtMs: undefined,
+    blockedSinceMs: 1000,
+    evaluationDueAtMs: undefined,
     seenAtMs: 1000,
   });
   const asked: EventBody[] = [];
--- a/packages/reedlug-gateway/src/daemon/backendAttempt.ts
+++ b/packages/reedlug-gateway/src/daemon/backendAttempt.ts
@@ -102,7 +102,7 @@
       if (status < 200 || settled) return;
       const rawHeaders = textHeaders(controller.rawHeaders);
       const head = { requestId: request.requestId, status, rawHeaders };
-      verdict = codec.judgeAnswer(head);
+      verdict = codec.evaluateAnswer(head);
       connection.answerEndsWithIt = !isFramed(status, rawHeaders);
       answer = { status, statusText: statusText ?? '', rawHeaders, body: Buffer.alloc(0) };
       const statements = codec.statementsOf(head);
--- a/packages/reedlug-gateway/src/daemon/effects.ts
+++ b/packages/reedlug-gateway/src/daemon/effects.ts
@@ -59,7 +59,7 @@
   const ids = { exchangeId, attemptId };
   const end = (): void => void runtime.attempts.delete(attemptId);
   const attempt = sendAttempt({
-    connection: runtime.pool.take(order.serverId, order.address, order.careful),
+    connection: runtime.pool.take(order.serverId, order.address, order.needsFreshConnection),
     pool: runtime.pool,
     codec: runtime.adapter.headers,
     request: {
--- a/packages/reedlug-gateway/src/daemon/gatewayDaemon.ts
+++ b/packages/reedlug-gateway/src/daemon/gatewayDaemon.ts
@@ -71,7 +71,7 @@
   const nowMs = clock.nowMs();
   const state = createGatewayState({ settings, incarnation, nowMs, processAgeMs: nowMs });
   const emit = handleInTurn((body) => {
-    const event = { ...body, nowMs: clock.nowMs(), wallMs: Date.now() };
+    const event = { ...body, nowMs: clock.nowMs(), wallClockMs: Date.now() };
     for (const effect of reduce(state, event)) performEffect(runtime, effect);
   });
 
--- a/packages/reedlug-gateway/src/daemon/peerWire.ts
+++ b/packages/reedlug-gateway/src/daemon/peerWire.ts
@@ -13,7 +13,7 @@
   PeerDatagram,
   PeerMessage,
   ServerLoad,
-  UsageDecisionNews,
+  UsageDecisionGossip,
 } from '../types/peer.js';
 import type { ServerState } from '../types/server.js';
 import { statementRows, STATEMENTS_WIRE_KIND, statementsOfRows } from './statementWire.js';
@@ -109,7 +109,7 @@
   return Number.isInteger(value) && Number(value) >= 0 && Number(value) <= LAST_STORE_ERA;
 }
 
-function isDecision(value: unknown): value is UsageDecisionNews {
+function isDecision(value: unknown): value is UsageDecisionGossip {
   if (typeof value !== 'object' || value === null) return false;
   const { window, counts, isReported } = value as Partial<Record<string, unknown>>;
   if (!Number.isInteger(window) || typeof isReported !== 'boolean') return false;
--- a/packages/reedlug-gateway/src/daemon/statementWire.ts
+++ b/packages/reedlug-gateway/src/daemon/statementWire.ts
@@ -8,7 +8,7 @@
 import type {
   ServerStatement,
   ServerStatementsMessage,
-  StatementOfLife,
+  IncarnationStatement,
 } from '../types/serverStatement.js';
 
 /** The kind under which boxes of all versions know the datagram. */
@@ -95,7 +95,7 @@
 function read(
   row: unknown,
   statementOf: (values: readonly unknown[]) => ServerStatement | undefined,
-): StatementOfLife[] {
+): IncarnationStatement[] {
   if (!Array.isArray(row)) return [];
   const [serverId, bornAtMs, ...values] = row as unknown[];
   if (typeof serverId !== 'string' || !isNumberOrNull(bornAtMs)) return [];
--- a/packages/reedlug-gateway/src/observe/decisionMetrics.ts
+++ b/packages/reedlug-gateway/src/observe/decisionMetrics.ts
@@ -61,7 +61,7 @@
   for (const { name: service, scaling } of services) {
     setAll(metrics.model, { service }, modelOf(state, service, nowMs));
     if (scaling === undefined) continue;
-    const need = state.heldNeeds.get(service);
+    const need = state.stabilizedNeeds.get(service);
     const needed = { usual: need?.usual.value ?? 0, least: need?.least.value ?? 0 };
     setAll(metrics.capacity, { service }, { ...loadOf(state, service), ...needed });
   }
--- a/packages/reedlug-gateway/src/policy/__tests__/crashVerdict.test.ts
+++ b/packages/reedlug-gateway/src/policy/__tests__/crashVerdict.test.ts
@@ -12,8 +12,8 @@
     key,
     crashes,
     goodRunAtMs: Number.NEGATIVE_INFINITY,
-    keptOutSinceMs: undefined,
-    judgedAtMs: undefined,
+    blockedSinceMs: undefined,
+    evaluationDueAtMs: undefined,
     seenAtMs: 0,
     ...changes,
   };
@@ -62,7 +62,7 @@
 
 test('crashes of one that is kept out count for no other', () => {
   const crashes = [crash('a', 100), crash('b', 200), crash('c', 500)];
-  const known = suspect('x', crashes, { keptOutSinceMs: 600 });
+  const known = suspect('x', crashes, { blockedSinceMs: 600 });
   const beside = suspect('y', [...crashes, crash('d', 700)]);
   expect(judge([beside, known])).to.equal(false);
 });
--- a/packages/reedlug-gateway/src/policy/__tests__/rolloutVerdict.test.ts
+++ b/packages/reedlug-gateway/src/policy/__tests__/rolloutVerdict.test.ts
@@ -1,16 +1,16 @@
 import { expect } from 'chai';
-import type { TrialTally, UsualTally } from '../../types/rollout.js';
+import type { TrialTally, BaselineTally } from '../../types/rollout.js';
 import { judgeRollout, Verdict } from '../rolloutVerdict.js';
 
 function trial(changes: Partial<TrialTally> = {}): TrialTally {
   return { route: 'draft', serverId: '', answers: 0, failed: 0, slow: 0, ...changes };
 }
 
-function usual(changes: Partial<UsualTally> = {}): UsualTally {
+function usual(changes: Partial<BaselineTally> = {}): BaselineTally {
   return { route: 'draft', answers: 400, failed: 2, slow: 8, ...changes };
 }
 
-function verdictOf(trials: TrialTally[], usuals: UsualTally[] = [usual()]): Verdict {
+function verdictOf(trials: TrialTally[], usuals: BaselineTally[] = [usual()]): Verdict {
   return judgeRollout({ trial: trials, usual: usuals }).verdict;
 }
 
--- a/packages/reedlug-gateway/src/policy/__tests__/serverLimit.test.ts
+++ b/packages/reedlug-gateway/src/policy/__tests__/serverLimit.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
-import type { LimitedSends, LimitFact } from '../../types/serverStatement.js';
+import type { LimitedSends, LimitObservation } from '../../types/serverStatement.js';
 import {
   isNewerLimit,
   limitNow,
@@ -15,7 +15,7 @@
   forMs: number,
   followsOther: boolean,
 ): readonly number[] {
-  const sends: LimitedSends = { atMs: [], sinceMs: 0, followsOther };
+  const sends: LimitedSends = { atMs: [], sharingSinceMs: 0, replacedAnotherBox: followsOther };
   const sentAtMs: number[] = [];
   for (let nowMs = 0; nowMs < forMs; nowMs += 20) {
     if (nextSendAtMs(sends, part(nowMs), nowMs) > nowMs) continue;
@@ -53,7 +53,7 @@
 
 test('a box without a part never sends', () => {
   expect(sendAll(() => 0, 10_000, false)).to.deep.equal([]);
-  const sends: LimitedSends = { atMs: [], sinceMs: undefined, followsOther: false };
+  const sends: LimitedSends = { atMs: [], sharingSinceMs: undefined, replacedAnotherBox: false };
   expect(nextSendAtMs(sends, 5, 1000)).to.equal(Number.POSITIVE_INFINITY);
 });
 
@@ -82,7 +82,7 @@
     sentAtMs: fc.integer({ min: 0, max: 1000 }),
     tookMs: fc.integer({ min: 1, max: 300 }),
   })
-  .map(({ perSecond, sentAtMs, tookMs }): LimitFact => ({
+  .map(({ perSecond, sentAtMs, tookMs }): LimitObservation => ({
     perSecond,
     sentAtMs,
     receivedAtMs: sentAtMs + tookMs,
--- a/packages/reedlug-gateway/src/policy/chooseServer.ts
+++ b/packages/reedlug-gateway/src/policy/chooseServer.ts
@@ -171,7 +171,7 @@
   const waitMs = expectedMs * slownessNow(view, nowMs) + silenceChargeMs(view, expectedMs, nowMs);
   const zoneMs = view.entry.zone === state.settings.box.zone ? 0 : OTHER_ZONE_MS;
   const failureMs = failureScore(view, nowMs) * FAILURE_MS;
-  const lapsedMs = view.lapsesAtMs === undefined ? 0 : LAPSED_MS;
+  const lapsedMs = view.expiresAtMs === undefined ? 0 : LAPSED_MS;
   const answerMs = isAnswerWanted(view, nowMs) ? ANSWER_MS : 0;
   const costMs = waitMs + zoneMs + failureMs + lapsedMs - answerMs;
   return { view, prefillTokens, conditions, expectedMs, costMs };
--- a/packages/reedlug-gateway/src/policy/crashVerdict.ts
+++ b/packages/reedlug-gateway/src/policy/crashVerdict.ts
@@ -61,7 +61,7 @@
   );
   const weight = weightOf(suspect, known);
   const stronger = rivals.filter(
-    (rival) => rival.keptOutSinceMs !== undefined || weightOf(rival, known) > weight,
+    (rival) => rival.blockedSinceMs !== undefined || weightOf(rival, known) > weight,
   );
   const own = crashes.filter((crash) => !stronger.some((other) => wasAt(other, crash)));
   if (own.length < CRASHES_TO_KEEP_OUT) return false;
--- a/packages/reedlug-gateway/src/policy/rolloutVerdict.ts
+++ b/packages/reedlug-gateway/src/policy/rolloutVerdict.ts
@@ -9,7 +9,7 @@
  * A server that gave more than half of the bad answers is left out while others are
  * there: one failing server is no failing version.
  */
-import type { AnswerTally, RolloutEvidence, TrialTally, UsualTally } from '../types/rollout.js';
+import type { AnswerTally, RolloutEvidence, TrialTally, BaselineTally } from '../types/rollout.js';
 
 /** What the answers say. */
 export const Verdict = { unknown: 'unknown', good: 'good', bad: 'bad' } as const;
@@ -70,21 +70,24 @@
 }
 
 /** The worst comparison of the last moments, against the old version's answers of all the time and of the same moments. */
-function worstLately(recent: RolloutEvidence, usualEver: readonly UsualTally[]): RolloutVerdict {
+function worstLately(recent: RolloutEvidence, usualEver: readonly BaselineTally[]): RolloutVerdict {
   const trial = withoutWorst(recent.trial);
-  const against = (usual: readonly UsualTally[]): RolloutVerdict =>
+  const against = (usual: readonly BaselineTally[]): RolloutVerdict =>
     worstOf([...compareAll(trial, usual), ...compareRoutes(trial, usual)]);
   const [ever, now] = [against(usualEver), against(recent.usual)];
   return now.evidence < ever.evidence ? now : ever;
 }
 
-function compareAll(trial: readonly TrialTally[], usual: readonly UsualTally[]): RolloutVerdict[] {
+function compareAll(
+  trial: readonly TrialTally[],
+  usual: readonly BaselineTally[],
+): RolloutVerdict[] {
   return BAD_KINDS.map((kind) => compare('', kind, trial, usual));
 }
 
 function compareRoutes(
   trial: readonly TrialTally[],
-  usual: readonly UsualTally[],
+  usual: readonly BaselineTally[],
 ): RolloutVerdict[] {
   const routes = new Set(trial.map(({ route }) => route));
   return [...routes].flatMap((route) =>
@@ -157,7 +160,7 @@
 /** Adds up what several boxes saw. */
 export function addEvidence(parts: readonly RolloutEvidence[]): RolloutEvidence {
   const trial = new Map<string, TrialTally>();
-  const usual = new Map<string, UsualTally>();
+  const usual = new Map<string, BaselineTally>();
   for (const part of parts) {
     for (const tally of part.trial) addTally(trial, `${tally.route} ${tally.serverId}`, tally);
     for (const tally of part.usual) addTally(usual, tally.route, tally);
--- a/packages/reedlug-gateway/src/policy/serverLimit.ts
+++ b/packages/reedlug-gateway/src/policy/serverLimit.ts
@@ -7,7 +7,7 @@
  * one box alone may have too few callers for a high one. So as many boxes send as leave
  * each half a request a second.
  */
-import type { LimitedSends, LimitFact } from '../types/serverStatement.js';
+import type { LimitedSends, LimitObservation } from '../types/serverStatement.js';
 
 /** Requests a second that a box which sends to a limited server has at least, where the limit allows it. */
 const LEAST_PART_PER_SECOND = 0.5;
@@ -29,7 +29,10 @@
  * request was sent after the known answer had come; a lower one counts unless it is older
  * for sure. Whichever comes first, the same one stands.
  */
-export function isNewerLimit(given: LimitFact, known: LimitFact | undefined): boolean {
+export function isNewerLimit(
+  given: LimitObservation,
+  known: LimitObservation | undefined,
+): boolean {
   // The first answer without one dates the end: what the server gets rises from then on.
   if (known?.perSecond === undefined && given.perSecond === undefined) return false;
   if (known === undefined) return true;
@@ -37,13 +40,13 @@
   return isLower ? given.receivedAtMs > known.sentAtMs : given.sentAtMs >= known.receivedAtMs;
 }
 
-function limitOf({ perSecond }: LimitFact): number {
+function limitOf({ perSecond }: LimitObservation): number {
   return perSecond ?? Number.POSITIVE_INFINITY;
 }
 
 /** Requests a second that a server gets now, where it has named a limit; undefined for as many as come. */
 export function limitNow(
-  limit: LimitFact & { lastPerSecond: number },
+  limit: LimitObservation & { lastPerSecond: number },
   nowMs: number,
 ): number | undefined {
   if (limit.perSecond !== undefined) return Math.max(LEAST_PER_SECOND, limit.perSecond);
@@ -61,18 +64,19 @@
 
 /** When a box with a part of a limit may send next; in its first window its sends are spaced evenly. */
 export function nextSendAtMs(
-  { atMs, sinceMs, followsOther }: LimitedSends,
+  { atMs, sharingSinceMs, replacedAnotherBox }: LimitedSends,
   partPerSecond: number,
   nowMs: number,
 ): number {
-  if (sinceMs === undefined || partPerSecond <= 0) return Number.POSITIVE_INFINITY;
+  if (sharingSinceMs === undefined || partPerSecond <= 0) return Number.POSITIVE_INFINITY;
   const spacingMs = 1000 / partPerSecond;
   const sends = sendsOfWindow(partPerSecond);
   const leaving = atMs.at(-sends);
-  const byWindow = leaving === undefined ? sinceMs : leaving + sends * spacingMs;
-  if (nowMs - sinceMs >= WINDOW_MS && byWindow <= nowMs) return byWindow;
-  const sentSince = atMs.filter((sentMs) => sentMs >= sinceMs).length + (followsOther ? 1 : 0);
-  const byBeginning = sinceMs + Math.min(WINDOW_MS, sentSince * spacingMs);
+  const byWindow = leaving === undefined ? sharingSinceMs : leaving + sends * spacingMs;
+  if (nowMs - sharingSinceMs >= WINDOW_MS && byWindow <= nowMs) return byWindow;
+  const sentSince =
+    atMs.filter((sentMs) => sentMs >= sharingSinceMs).length + (replacedAnotherBox ? 1 : 0);
+  const byBeginning = sharingSinceMs + Math.min(WINDOW_MS, sentSince * spacingMs);
   return Math.max(byWindow, byBeginning);
 }
 
--- a/packages/reedlug-gateway/src/policy/serverSilence.ts
+++ b/packages/reedlug-gateway/src/policy/serverSilence.ts
@@ -14,17 +14,17 @@
 
 /** Notes a send: silence counts from it when nothing else is open there. */
 export function noteSend(view: ServerView, nowMs: number): void {
-  if (view.running === 0) view.heardAtMs = nowMs;
+  if (view.running === 0) view.lastActivityAtMs = nowMs;
 }
 
 /** Notes that anything came from the server. */
 export function noteHeard(view: ServerView, nowMs: number): void {
-  view.heardAtMs = nowMs;
+  view.lastActivityAtMs = nowMs;
 }
 
 /** How long a server with open work has said nothing to this box, in ms. */
 export function silenceMs(view: ServerView, nowMs: number): number {
-  return view.running > 0 ? Math.max(0, nowMs - view.heardAtMs) : 0;
+  return view.running > 0 ? Math.max(0, nowMs - view.lastActivityAtMs) : 0;
 }
 
 /** What silence adds to the expected wait, in ms: who has been silent for long is silent for as long again. */
--- a/packages/reedlug-gateway/src/reduce.ts
+++ b/packages/reedlug-gateway/src/reduce.ts
@@ -42,7 +42,7 @@
 
 /** Takes an event; returns what is asked of the outside. */
 export function reduce(state: GatewayState, event: GatewayEvent): Effect[] {
-  const step: Step = { nowMs: event.nowMs, wallMs: event.wallMs, effects: [] };
+  const step: Step = { nowMs: event.nowMs, wallClockMs: event.wallClockMs, effects: [] };
   noteWallClock(state, step);
   handle(state, step, event);
   return step.effects;
--- a/packages/reedlug-gateway/src/slices/__tests__/capacity.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/capacity.test.ts
@@ -122,7 +122,7 @@
     }
     read(['a', 'b', 'c', 'd'], { state: ServerState.leaving });
     box.pass(300);
-    return (box.state.reclaimsUntilMs.get('engines') ?? 0) > box.nowMs;
+    return (box.state.reclaimsExpectedUntilMs.get('engines') ?? 0) > box.nowMs;
   };
   expect(reserveAfter(ServerState.leaving)).to.equal(true);
   expect(reserveAfter(undefined)).to.equal(false);
@@ -253,7 +253,7 @@
   const box = createServingBox();
   for (let exchangeId = 1; exchangeId <= 200; exchangeId += 1) ask(box, exchangeId);
   for (let step = 0; step < 20; step += 1) box.pass(300);
-  expect(box.state.heldNeeds.get('engines')?.usual.value).to.be.greaterThan(3);
+  expect(box.state.stabilizedNeeds.get('engines')?.usual.value).to.be.greaterThan(3);
 });
 
 test('the engines of the start stay until the load has been seen for five seconds', () => {
--- a/packages/reedlug-gateway/src/slices/__tests__/capacityUnderTrouble.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/capacityUnderTrouble.test.ts
@@ -272,9 +272,9 @@
   // The load rises again while they are on their way out.
   scene.open = 400;
   pass(scene, 3000);
-  const { dryUntilMs, reclaimsUntilMs } = scene.box.state;
-  expect([...reclaimsUntilMs]).to.deep.equal([]);
-  expect([...dryUntilMs]).to.deep.equal([]);
+  const { outOfCapacityUntilMs, reclaimsExpectedUntilMs } = scene.box.state;
+  expect([...reclaimsExpectedUntilMs]).to.deep.equal([]);
+  expect([...outOfCapacityUntilMs]).to.deep.equal([]);
 });
 
 test('engines that enter themselves late are not given up', () => {
--- a/packages/reedlug-gateway/src/slices/__tests__/crashSuspects.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/crashSuspects.test.ts
@@ -268,7 +268,7 @@
     const message = { kind: 'crashSuspects' as const, boxId: 'box-2', suspects, recent };
     box.take({ type: 'crashSuspects', message });
     box.pass(JUDGED_MS);
-    return box.state.crashSuspects.get(SUSPECT)?.keptOutSinceMs !== undefined;
+    return box.state.crashSuspects.get(SUSPECT)?.blockedSinceMs !== undefined;
   };
   expect(isKeptOut([])).to.equal(true);
   expect(isKeptOut(rows(['d', 'e', 'f', 'g'], 800, 0))).to.equal(false);
--- a/packages/reedlug-gateway/src/slices/__tests__/fleet.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/fleet.test.ts
@@ -110,10 +110,10 @@
   openStream(fleet, 'box-0', 1000);
   fleet.pass(1000);
   const total = [...fleet.boxes.values()].map(({ state }) => {
-    const { heardFromBoxes, heardFromHubs } = state;
+    const { totalsFromBoxes, totalsFromHubs } = state;
     const own = state.quotas.get('tiger')?.admitted ?? 0;
-    const told = heardFromBoxes.admitted.get('tiger') ?? 0;
-    return own + told + (heardFromHubs.admitted.get('tiger') ?? 0);
+    const told = totalsFromBoxes.admitted.get('tiger') ?? 0;
+    return own + told + (totalsFromHubs.admitted.get('tiger') ?? 0);
   });
   // Streams that no server answers are sent once more, and each send counts.
   const sent = [...fleet.boxes.values()].map(({ state }) => state.quotas.get('tiger')?.admitted);
@@ -157,8 +157,8 @@
   const heardLongAgo = [...hub.state.peers.values()].filter(
     ({ boxId }) => boxId === silent || !own.some((member) => member.boxId === boxId),
   );
-  for (const peer of heardLongAgo) peer.heardAtMs = hub.nowMs - 600_000;
-  hub.state.part.lookedForGoneAtMs = hub.nowMs - 60_000;
+  for (const peer of heardLongAgo) peer.lastReceivedAtMs = hub.nowMs - 600_000;
+  hub.state.part.goneBoxesCheckedAtMs = hub.nowMs - 60_000;
   const effects = hub.pass(50);
   expect(ofType(effects, 'enterBox').map(({ boxId }) => boxId)).to.deep.equal([silent]);
 });
@@ -310,8 +310,8 @@
 function admittedAsSeen(fleet: TestFleet, boxId: string): number {
   const state = fleet.boxes.get(boxId)?.state;
   if (state === undefined) throw new Error(`no ${boxId}`);
-  const told = state.heardFromBoxes.admitted.get('tiger') ?? 0;
-  const toldByHubs = state.heardFromHubs.admitted.get('tiger') ?? 0;
+  const told = state.totalsFromBoxes.admitted.get('tiger') ?? 0;
+  const toldByHubs = state.totalsFromHubs.admitted.get('tiger') ?? 0;
   return (state.quotas.get('tiger')?.admitted ?? 0) + told + toldByHubs;
 }
 
--- a/packages/reedlug-gateway/src/slices/__tests__/fleetPart.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/fleetPart.test.ts
@@ -10,7 +10,7 @@
   settings,
   type TestBox,
 } from '../../__tests__/__fixtures__/box.js';
-import type { PartNews } from '../../types/fleetPart.js';
+import type { LimitShareGossip } from '../../types/limitShare.js';
 import type { PeerAddress, PeerMessage } from '../../types/peer.js';
 
 const OTHER: PeerAddress = {
@@ -46,15 +46,15 @@
 }
 
 /** Passes time while the other box tells of its part. */
-function passWith(box: TestBox, ms: number, part: Partial<PartNews> | undefined): void {
+function passWith(box: TestBox, ms: number, part: Partial<LimitShareGossip> | undefined): void {
   for (let passedMs = 0; passedMs < ms; passedMs += TICK_MS) {
     if (part !== undefined) tell(box, part);
     box.pass(TICK_MS);
   }
 }
 
-function tell(box: TestBox, part: Partial<PartNews>): void {
-  const news: PartNews = { boxes: 1, listRevision: 5, dividedForMs: undefined, ...part };
+function tell(box: TestBox, part: Partial<LimitShareGossip>): void {
+  const news: LimitShareGossip = { boxes: 1, listRevision: 5, dividedForMs: undefined, ...part };
   const changes: Partial<PeerMessage> = { sequence: Math.round(box.nowMs) + 1, part: news };
   box.take({ type: 'peerMessage', message: peerMessage(changes) });
 }
@@ -174,7 +174,7 @@
   expect({ divisor: box.state.part.divisor, opening: box.state.part.opening }).to.deep.equal(
     before,
   );
-  expect(box.state.part.isEntered).to.equal(false);
+  expect(box.state.part.isRegistered).to.equal(false);
   passWith(box, 6000, { listRevision: 5 });
   box.take(nobody);
   expect(box.state.part.opening).to.equal(undefined);
--- a/packages/reedlug-gateway/src/slices/__tests__/limitsOverBoxes.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/limitsOverBoxes.test.ts
@@ -89,7 +89,7 @@
   });
   box.nowMs = params.nowMs;
   box.state.startedAtMs = params.nowMs;
-  box.state.processBeganAtMs = params.nowMs;
+  box.state.processStartedAtMs = params.nowMs;
   box.state.incarnation = params.life;
   box.take({
     type: 'configurationRead',
--- a/packages/reedlug-gateway/src/slices/__tests__/rollouts.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/rollouts.test.ts
@@ -13,18 +13,18 @@
 import { setDecisionMetrics } from '../../observe/decisionMetrics.js';
 import { createGatewayMetrics } from '../../observe/gatewayMetrics.js';
 import type { Effect } from '../../types/effect.js';
-import { RolloutPhase, type RolloutNews, type RolloutRecord } from '../../types/rollout.js';
+import { RolloutPhase, type RolloutGossip, type RolloutRecord } from '../../types/rollout.js';
 
 const ORDER = { service: 'records', targetVersion: 'v2', durationMs: 12_000, revision: 40 };
 
-function news(changes: Partial<RolloutNews> = {}): RolloutNews {
+function news(changes: Partial<RolloutGossip> = {}): RolloutGossip {
   const evidence = { trial: [], usual: [] };
   return { order: ORDER, ageMs: 1000, phase: 'sampling', barred: [], evidence, ...changes };
 }
 
 let sequence = 0;
 
-function hear(box: TestBox, rollout: RolloutNews): Effect[] {
+function hear(box: TestBox, rollout: RolloutGossip): Effect[] {
   sequence += 1;
   return box.take({ type: 'peerMessage', message: peerMessage({ sequence, rollouts: [rollout] }) });
 }
--- a/packages/reedlug-gateway/src/slices/__tests__/usage.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/usage.test.ts
@@ -7,7 +7,7 @@
   peerMessage,
   type TestBox,
 } from '../../__tests__/__fixtures__/box.js';
-import type { UsageDecisionNews } from '../../types/peer.js';
+import type { UsageDecisionGossip } from '../../types/peer.js';
 import { callsOf, passAsHolder, takeLease } from '../../__tests__/__fixtures__/lease.js';
 
 /** Time in which all boxes hear of a decision, and a tick, in ms. */
@@ -149,7 +149,7 @@
 
 /** Decisions that peers are told while time passes, and when the first report is sent. */
 function watchDecisions(box: TestBox, ms: number) {
-  const told: UsageDecisionNews[] = [];
+  const told: UsageDecisionGossip[] = [];
   let toldFirst: boolean | undefined;
   for (const effect of passAsHolder(box, ms)) {
     if (effect.type === 'sendPeers' && effect.message.kind === 'news') {
--- a/packages/reedlug-gateway/src/slices/attempts.ts
+++ b/packages/reedlug-gateway/src/slices/attempts.ts
@@ -40,7 +40,7 @@
   if (found === undefined) return;
   const view = closeAttempt(state, found.attempt, Reach.none);
   if (view !== undefined) noteFailure(view, step.nowMs);
-  found.record.foundNoConnection = true;
+  found.record.failedToConnect = true;
   tryAgain(state, step, found, event.reason);
 }
 
@@ -91,7 +91,7 @@
 
 function onSuccess(state: GatewayState, step: Step, found: RequestAttempt): void {
   const { record, attempt } = found;
-  if (attempt.begunAtMs === undefined) {
+  if (attempt.firstOutputAtMs === undefined) {
     noteFirstEvent(state, step, record, attempt);
     noteAnswer(state, step, { record, attempt, end: AnswerEnd.good });
   }
@@ -123,7 +123,7 @@
     closeAttempt(state, attempt, Reach.answered);
     step.effects.push({ type: 'cancelAttempt', attemptId: attempt.attemptId });
     log(step, 'requestRepeated', { request: record.facts.requestId, reason: `status${status}` });
-    record.avoid.add(attempt.serverId);
+    record.excludedServers.add(attempt.serverId);
     return offer(state, step, record);
   }
   if (record.relayed) {
@@ -142,8 +142,8 @@
 /** The run has begun: its prompt is read, and it counts for its workspace. */
 function begin(state: GatewayState, step: Step, found: RequestAttempt): void {
   const { record, attempt } = found;
-  if (attempt.begunAtMs === undefined) {
-    attempt.begunAtMs = step.nowMs;
+  if (attempt.firstOutputAtMs === undefined) {
+    attempt.firstOutputAtMs = step.nowMs;
     const view = serverOf(state, attempt);
     if (view !== undefined) noteRead(view, attempt);
   }
@@ -218,7 +218,7 @@
     workspace: record.workspace ?? '',
     server: attempt.serverId,
     reason,
-    begun: attempt.begunAtMs !== undefined,
+    begun: attempt.firstOutputAtMs !== undefined,
     lastEvent: record.lastEventId ?? -1,
     sinceSentMs: Math.round(step.nowMs - attempt.sentAtMs),
   });
@@ -226,7 +226,7 @@
 
 /** Notes that something came of an attempt. */
 function hear(state: GatewayState, step: Step, attempt: Attempt): void {
-  attempt.heardAtMs = step.nowMs;
+  attempt.lastActivityAtMs = step.nowMs;
   const view = serverOf(state, attempt);
   if (view !== undefined) noteHeard(view, step.nowMs);
 }
--- a/packages/reedlug-gateway/src/slices/awaiting.ts
+++ b/packages/reedlug-gateway/src/slices/awaiting.ts
@@ -5,7 +5,7 @@
  * for the box all come at once: they wait for it a moment longer.
  */
 import type { EventOf } from '../types/event.js';
-import type { AwaitingRequest } from '../types/request.js';
+import type { PendingRequest } from '../types/request.js';
 import type { GatewayState, Step } from '../state.js';
 import { refuse } from './ending.js';
 
@@ -31,17 +31,17 @@
   event: EventOf<'requestArrived'>,
 ): void {
   const { exchangeId, facts } = event;
-  state.awaitingStart.push({ exchangeId, facts, arrivedAtMs: step.nowMs });
+  state.pendingRequests.push({ exchangeId, facts, arrivedAtMs: step.nowMs });
 }
 
 /** Takes out the requests that may go on now; refuses those that waited long enough. */
-export function takeAwaiting(state: GatewayState, step: Step): AwaitingRequest[] {
-  if (state.awaitingStart.length === 0) return [];
-  if (knowsEnough(state)) return state.awaitingStart.splice(0);
-  const isLate = ({ arrivedAtMs }: AwaitingRequest): boolean =>
+export function takeAwaiting(state: GatewayState, step: Step): PendingRequest[] {
+  if (state.pendingRequests.length === 0) return [];
+  if (knowsEnough(state)) return state.pendingRequests.splice(0);
+  const isLate = ({ arrivedAtMs }: PendingRequest): boolean =>
     step.nowMs - arrivedAtMs >= AWAIT_START_MS;
-  const late = state.awaitingStart.filter(isLate);
-  state.awaitingStart = state.awaitingStart.filter((request) => !isLate(request));
+  const late = state.pendingRequests.filter(isLate);
+  state.pendingRequests = state.pendingRequests.filter((request) => !isLate(request));
   if (canServe(state)) return late;
   for (const { exchangeId, facts } of late) {
     const reason = state.active === undefined ? 'noConfiguration' : 'noServers';
@@ -52,5 +52,7 @@
 
 /** The caller of a request that waited is gone. */
 export function forgetAwaiting(state: GatewayState, exchangeId: number): void {
-  state.awaitingStart = state.awaitingStart.filter((request) => request.exchangeId !== exchangeId);
+  state.pendingRequests = state.pendingRequests.filter(
+    (request) => request.exchangeId !== exchangeId,
+  );
 }
--- a/packages/reedlug-gateway/src/slices/capacity.ts
+++ b/packages/reedlug-gateway/src/slices/capacity.ts
@@ -39,9 +39,9 @@
 
 /** Plans and orders, while this box holds the lease. */
 export function capacityTick(state: GatewayState, step: Step): void {
-  if (step.nowMs - state.planAtMs < PLAN_EVERY_MS) return;
-  const elapsedMs = step.nowMs - state.planAtMs;
-  state.planAtMs = step.nowMs;
+  if (step.nowMs - state.plannedAtMs < PLAN_EVERY_MS) return;
+  const elapsedMs = step.nowMs - state.plannedAtMs;
+  state.plannedAtMs = step.nowMs;
   measureLoad(state, elapsedMs, step.nowMs);
   if (state.settings.cloud?.ordersEngines !== true) return;
   if (state.active === undefined || !state.serversKnown) return;
@@ -76,7 +76,7 @@
     noteLosses(state, step, { service: service.name, name: zone, ready, bootMs });
     const { nowMs } = step;
     const granted = grantedEngines(state, { service: service.name, zone, ready, bootMs, nowMs });
-    const dryUntilMs = state.dryUntilMs.get(zoneKey(service.name, zone)) ?? 0;
+    const dryUntilMs = state.outOfCapacityUntilMs.get(zoneKey(service.name, zone)) ?? 0;
     return {
       zone,
       price,
@@ -102,7 +102,7 @@
     zones: zoneOffers(state, step, service, scaling),
     maxPerZone: scaling.maxPerZone,
     hasReclaimable: scaling.reclaimablePriceShare !== undefined,
-    keepReserve: step.nowMs < (state.reclaimsUntilMs.get(service.name) ?? 0),
+    keepReserve: step.nowMs < (state.reclaimsExpectedUntilMs.get(service.name) ?? 0),
   });
   const plan = isRollingOut(state, service.name) ? spread.map(keepOrdered(state, service)) : spread;
   orderEngines(state, step, { service, plan, fence });
@@ -157,6 +157,6 @@
   step: Step,
   zone: { service: string; name: string; ready: number },
 ): void {
-  state.reclaimsUntilMs.set(zone.service, step.nowMs + RECLAIMS_EXPECTED_MS);
+  state.reclaimsExpectedUntilMs.set(zone.service, step.nowMs + RECLAIMS_EXPECTED_MS);
   log(step, 'enginesTakenBack', { service: zone.service, zone: zone.name, left: zone.ready });
 }
--- a/packages/reedlug-gateway/src/slices/clock.ts
+++ b/packages/reedlug-gateway/src/slices/clock.ts
@@ -22,7 +22,7 @@
 /** Wall-clock time by the agreed offset; by this box's own clock before there is one. */
 export function agreedWallMs(state: GatewayState, step: Step): number {
   const { storeEpochMs, agreedClockOffsetMs } = state;
-  if (storeEpochMs === undefined || agreedClockOffsetMs === undefined) return step.wallMs;
+  if (storeEpochMs === undefined || agreedClockOffsetMs === undefined) return step.wallClockMs;
   return step.nowMs - storeEpochMs + agreedClockOffsetMs;
 }
 
@@ -39,9 +39,9 @@
   const isDuty = state.clockRowIsLost && dutyFence(state, step.nowMs) !== undefined;
   if (state.agreedClockOffsetMs !== undefined && !isDuty) return;
   if (step.nowMs - state.startedAtMs < startDelayMs(state)) return;
-  if (step.nowMs - state.clockAskedAtMs < CLOCK_RETRY_MS) return;
-  state.clockAskedAtMs = step.nowMs;
-  const ownOffsetMs = step.wallMs - (step.nowMs - state.storeEpochMs);
+  if (step.nowMs - state.clockRequestedAtMs < CLOCK_RETRY_MS) return;
+  state.clockRequestedAtMs = step.nowMs;
+  const ownOffsetMs = step.wallClockMs - (step.nowMs - state.storeEpochMs);
   const offsetMs = state.agreedClockOffsetMs ?? ownOffsetMs;
   const value: ClockRow = { offsetMs };
   const writes = [{ key: CLOCK_KEY, expectVersion: 0, value }];
--- a/packages/reedlug-gateway/src/slices/crashNews.ts
+++ b/packages/reedlug-gateway/src/slices/crashNews.ts
@@ -7,9 +7,9 @@
  */
 import type { GatewayState, Step } from '../state.js';
 import type {
-  CrashRow,
+  CrashEntry,
   CrashSuspect,
-  CrashSuspectNews,
+  CrashSuspectGossip,
   ServerCrash,
 } from '../types/crashSuspect.js';
 import type { EventOf } from '../types/event.js';
@@ -40,15 +40,15 @@
 /** Tells what is new, or everything when it is time. */
 export function crashNewsTick(state: GatewayState, step: Step): void {
   if (state.crashSuspects.size === 0) return;
-  const tellsAll = step.nowMs - state.crashNewsAllAtMs >= TELL_ALL_EVERY_MS;
-  if (!tellsAll && state.crashNewsDue.size === 0) return;
-  if (tellsAll) state.crashNewsAllAtMs = step.nowMs;
+  const tellsAll = step.nowMs - state.fullCrashGossipSentAtMs >= TELL_ALL_EVERY_MS;
+  if (!tellsAll && state.crashGossipDue.size === 0) return;
+  if (tellsAll) state.fullCrashGossipSentAtMs = step.nowMs;
   const told = strongest(
     [...state.crashSuspects.values()].filter(({ key }) => {
-      return tellsAll || state.crashNewsDue.has(key);
+      return tellsAll || state.crashGossipDue.has(key);
     }),
   );
-  for (const { key } of told) state.crashNewsDue.delete(key);
+  for (const { key } of told) state.crashGossipDue.delete(key);
   const to = neighbours(state, step.nowMs);
   if (to.length === 0) return;
   const suspects = told.map((suspect) => newsOf(suspect, step.nowMs));
@@ -70,33 +70,36 @@
 }
 
 /** A suspect as it is told. */
-export function newsOf(suspect: CrashSuspect, nowMs: number): CrashSuspectNews {
-  const { key, crashes, goodRunAtMs, keptOutSinceMs, seenAtMs } = suspect;
+export function newsOf(suspect: CrashSuspect, nowMs: number): CrashSuspectGossip {
+  const { key, crashes, goodRunAtMs, blockedSinceMs, seenAtMs } = suspect;
   const ageOf = (atMs: number): number => Math.round(nowMs - atMs);
   return {
     key,
     crashes: crashes.map((crash) => rowOf(crash, nowMs)),
     goodRunAgeMs: Number.isFinite(goodRunAtMs) ? ageOf(goodRunAtMs) : undefined,
-    keptOutAgeMs: keptOutSinceMs === undefined ? undefined : ageOf(keptOutSinceMs),
+    keptOutAgeMs: blockedSinceMs === undefined ? undefined : ageOf(blockedSinceMs),
     seenAgeMs: ageOf(seenAtMs),
   };
 }
 
-function rowOf({ serverId, bornAtMs, sentAtMs, endedAtMs }: ServerCrash, nowMs: number): CrashRow {
+function rowOf(
+  { serverId, bornAtMs, sentAtMs, endedAtMs }: ServerCrash,
+  nowMs: number,
+): CrashEntry {
   return [serverId, bornAtMs ?? null, Math.round(nowMs - sentAtMs), Math.round(nowMs - endedAtMs)];
 }
 
 /** Whether a value is news of a suspect: datagrams and rows come from other versions too. */
-export function isSuspectNews(value: unknown): value is CrashSuspectNews {
+export function isSuspectNews(value: unknown): value is CrashSuspectGossip {
   if (typeof value !== 'object' || value === null) return false;
   const { key, crashes, goodRunAgeMs, keptOutAgeMs, seenAgeMs } =
-    value as Partial<CrashSuspectNews>;
+    value as Partial<CrashSuspectGossip>;
   const isAge = (age: unknown): boolean => age === undefined || isNumber(age);
   if (typeof key !== 'string' || !Array.isArray(crashes) || !isNumber(seenAgeMs)) return false;
   return isAge(goodRunAgeMs) && isAge(keptOutAgeMs) && crashes.every(isCrashRow);
 }
 
-function isCrashRow(row: unknown): row is CrashRow {
+function isCrashRow(row: unknown): row is CrashEntry {
   if (!Array.isArray(row) || row.length < 4 || typeof row[0] !== 'string') return false;
   return isNumberOrNull(row[1]) && isNumber(row[2]) && isNumber(row[3]);
 }
@@ -110,7 +113,7 @@
   const { suspects, recent } = event.message;
   for (const row of recent.filter(isCrashRow)) noteRecent(state, crashOf(row, step.nowMs));
   for (const news of suspects.filter(isSuspectNews)) {
-    if (takeSuspect(state, step, news) && handsOn(state)) state.crashNewsDue.add(news.key);
+    if (takeSuspect(state, step, news) && handsOn(state)) state.crashGossipDue.add(news.key);
   }
 }
 
@@ -118,7 +121,7 @@
 export function takeSuspect(
   state: GatewayState,
   step: Step,
-  news: CrashSuspectNews,
+  news: CrashSuspectGossip,
   toldAtMs = step.nowMs,
 ): boolean {
   // What is told is as old as it says: else boxes would renew for each other what is to be forgotten.
@@ -130,18 +133,18 @@
   if (goodRunAtMs > suspect.goodRunAtMs + SAME_RUN_MS) clear(step, suspect, goodRunAtMs);
   for (const row of news.crashes) addCrash(state, suspect, crashOf(row, toldAtMs));
   suspect.seenAtMs = Math.max(suspect.seenAtMs, seenAtMs);
-  const keptOutSinceMs = toldAtMs - (news.keptOutAgeMs ?? Number.POSITIVE_INFINITY);
-  const wasKeptOut = suspect.keptOutSinceMs !== undefined;
-  if (!wasKeptOut && keptOutSinceMs > suspect.goodRunAtMs) {
-    keepOut(state, step, suspect, keptOutSinceMs);
+  const blockedSinceMs = toldAtMs - (news.keptOutAgeMs ?? Number.POSITIVE_INFINITY);
+  const wasKeptOut = suspect.blockedSinceMs !== undefined;
+  if (!wasKeptOut && blockedSinceMs > suspect.goodRunAtMs) {
+    keepOut(state, step, suspect, blockedSinceMs);
   } else awaitJudgement(state, step, suspect);
-  const isNewlyOut = !wasKeptOut && suspect.keptOutSinceMs !== undefined;
+  const isNewlyOut = !wasKeptOut && suspect.blockedSinceMs !== undefined;
   const hasGrown = suspect.crashes.length > before.crashes;
   return isNewlyOut || hasGrown || suspect.goodRunAtMs !== before.goodRunAtMs;
 }
 
 function crashOf(
-  [serverId, bornAtMs, sentAgeMs, endedAgeMs]: CrashRow,
+  [serverId, bornAtMs, sentAgeMs, endedAgeMs]: CrashEntry,
   toldAtMs: number,
 ): ServerCrash {
   return {
--- a/packages/reedlug-gateway/src/slices/crashRecord.ts
+++ b/packages/reedlug-gateway/src/slices/crashRecord.ts
@@ -12,7 +12,7 @@
 import {
   CRASH_SUSPECTS_KEY,
   type CrashSuspect,
-  type CrashSuspectNews,
+  type CrashSuspectGossip,
   type CrashSuspectsRow,
 } from '../types/crashSuspect.js';
 import type { EventOf } from '../types/event.js';
@@ -32,25 +32,25 @@
 /** Reads the row after the start, and writes it where it lacks something. */
 export function crashRecordTick(state: GatewayState, step: Step): void {
   const { crashRow } = state;
-  const sinceMs = step.nowMs - crashRow.askedAtMs;
+  const sinceMs = step.nowMs - crashRow.requestedAtMs;
   if (crashRow.version === undefined) {
     if (sinceMs < READ_EVERY_MS) return;
-    crashRow.askedAtMs = step.nowMs;
+    crashRow.requestedAtMs = step.nowMs;
     const op = { kind: 'read', keys: [CRASH_SUSPECTS_KEY] } as const;
     return requestTable(step, { kind: 'crashSuspects', writes: false }, op);
   }
-  if (state.crashSuspects.size === 0 && crashRow.written === '') return;
+  if (state.crashSuspects.size === 0 && crashRow.writtenSignature === '') return;
   if (sinceMs < ASK_EVERY_MS || !mayWrite(state, step)) return;
   if (sinceMs >= READ_AGAIN_MS) {
     crashRow.version = undefined;
     return;
   }
   const suspects = suspectsToRecord(state).map((suspect) => newsOf(suspect, step.nowMs));
-  if (signatureOf(suspects) === crashRow.written) {
-    crashRow.hasOwnNews = false;
+  if (signatureOf(suspects) === crashRow.writtenSignature) {
+    crashRow.hasUnwrittenObservations = false;
     return;
   }
-  crashRow.askedAtMs = step.nowMs;
+  crashRow.requestedAtMs = step.nowMs;
   const storeNowMs = Math.round(step.nowMs - (state.storeEpochMs ?? 0));
   const value: CrashSuspectsRow = { storeNowMs, suspects };
   const write = { key: CRASH_SUSPECTS_KEY, expectVersion: crashRow.version, value };
@@ -64,21 +64,21 @@
 }
 
 function mayWrite(state: GatewayState, step: Step): boolean {
-  const { hasOwnNews, wroteLast } = state.crashRow;
-  return hasOwnNews || wroteLast || dutyFence(state, step.nowMs) !== undefined;
+  const { hasUnwrittenObservations, isLastWriter } = state.crashRow;
+  return hasUnwrittenObservations || isLastWriter || dutyFence(state, step.nowMs) !== undefined;
 }
 
 function suspectsToRecord(state: GatewayState): CrashSuspect[] {
   return strongest(
     [...state.crashSuspects.values()].filter(
-      ({ crashes, keptOutSinceMs }) =>
-        keptOutSinceMs !== undefined || crashes.length >= RECORDED_CRASHES,
+      ({ crashes, blockedSinceMs }) =>
+        blockedSinceMs !== undefined || crashes.length >= RECORDED_CRASHES,
     ),
   );
 }
 
 /** What a row says in short: it is written again when this changes. */
-function signatureOf(suspects: readonly CrashSuspectNews[]): string {
+function signatureOf(suspects: readonly CrashSuspectGossip[]): string {
   const words = suspects.map(({ key, crashes, keptOutAgeMs }) =>
     keptOutAgeMs === undefined ? `${key}:${crashes.length}` : `${key}:out`,
   );
@@ -100,7 +100,7 @@
     crashRow.version = undefined;
     return;
   }
-  crashRow.wroteLast = answer.kind === 'done' && purpose.writes;
+  crashRow.isLastWriter = answer.kind === 'done' && purpose.writes;
   const row = rows.find(({ key }) => key === CRASH_SUSPECTS_KEY);
   takeRow(state, step, row);
 }
@@ -108,7 +108,7 @@
 function takeRow(state: GatewayState, step: Step, row: TableRow | undefined): void {
   const { crashRow } = state;
   crashRow.version = row?.version ?? 0;
-  crashRow.written = '';
+  crashRow.writtenSignature = '';
   if (row === undefined) return;
   const value = row.value as Partial<CrashSuspectsRow> | null;
   if (!Array.isArray(value?.suspects) || typeof value.storeNowMs !== 'number') {
@@ -118,5 +118,5 @@
   const agedMs = Math.max(0, step.nowMs - writtenAtMs);
   const told = value.suspects.filter(isSuspectNews);
   for (const news of told) takeSuspect(state, step, news, step.nowMs - agedMs);
-  crashRow.written = signatureOf(told);
+  crashRow.writtenSignature = signatureOf(told);
 }
--- a/packages/reedlug-gateway/src/slices/crashRefusal.ts
+++ b/packages/reedlug-gateway/src/slices/crashRefusal.ts
@@ -37,7 +37,7 @@
     request: record.facts.requestId,
     suspect: suspect.key,
     crashes: suspect.crashes.length,
-    keptOutForMs: Math.round(step.nowMs - (suspect.keptOutSinceMs ?? step.nowMs)),
+    keptOutForMs: Math.round(step.nowMs - (suspect.blockedSinceMs ?? step.nowMs)),
   });
   return refusal;
 }
@@ -47,12 +47,13 @@
   { nowMs }: Step,
   suspect: CrashSuspect,
 ): CrashRefusal | undefined {
-  const { keptOutSinceMs, judgedAtMs, crashes } = suspect;
-  if (keptOutSinceMs !== undefined) {
+  const { blockedSinceMs, evaluationDueAtMs, crashes } = suspect;
+  if (blockedSinceMs !== undefined) {
     return { status: 500, reason: CRASHES_SERVERS, retryAfterMs: undefined };
   }
   const refusal = { status: 503, reason: 'crashSuspect' };
-  if (judgedAtMs !== undefined) return { ...refusal, retryAfterMs: judgedAtMs - nowMs };
+  if (evaluationDueAtMs !== undefined)
+    return { ...refusal, retryAfterMs: evaluationDueAtMs - nowMs };
   if (crashes.length < CRASHES_TO_KEEP_OUT || mayTry(state, suspect, nowMs)) return undefined;
   return { ...refusal, retryAfterMs: TRIAL_RETRY_MS };
 }
--- a/packages/reedlug-gateway/src/slices/crashSuspects.ts
+++ b/packages/reedlug-gateway/src/slices/crashSuspects.ts
@@ -65,8 +65,8 @@
   const suspect = suspectFor(state, key, step.nowMs);
   if (!addCrash(state, suspect, crash)) return;
   suspect.seenAtMs = step.nowMs;
-  state.crashNewsDue.add(key);
-  state.crashRow.hasOwnNews = true;
+  state.crashGossipDue.add(key);
+  state.crashRow.hasUnwrittenObservations = true;
   log(step, 'crashNoted', {
     suspect: key,
     server: crash.serverId,
@@ -79,10 +79,10 @@
 
 /** After a crash that may decide, the others' word on it is awaited, and nothing is sent meanwhile. */
 export function awaitJudgement(state: GatewayState, step: Step, suspect: CrashSuspect): void {
-  if (suspect.crashes.length < CRASHES_TO_KEEP_OUT || suspect.keptOutSinceMs !== undefined) return;
+  if (suspect.crashes.length < CRASHES_TO_KEEP_OUT || suspect.blockedSinceMs !== undefined) return;
   // Of what happened before its start, a box knows too little to judge; others have.
   if ((suspect.crashes.at(-1)?.endedAtMs ?? 0) < state.startedAtMs) return;
-  suspect.judgedAtMs ??= step.nowMs + JUDGED_AFTER_MS;
+  suspect.evaluationDueAtMs ??= step.nowMs + JUDGED_AFTER_MS;
 }
 
 /** The suspect of a key; a new one where none is known. */
@@ -93,8 +93,8 @@
     key,
     crashes: [],
     goodRunAtMs: Number.NEGATIVE_INFINITY,
-    keptOutSinceMs: undefined,
-    judgedAtMs: undefined,
+    blockedSinceMs: undefined,
+    evaluationDueAtMs: undefined,
     seenAtMs,
   };
   state.crashSuspects.set(key, suspect);
@@ -113,8 +113,8 @@
 }
 
 /** Whether an attempt has run for longer than one that crashes its server does. */
-export function isPastPoint({ begunAtMs }: Attempt, nowMs: number): boolean {
-  return begunAtMs !== undefined && nowMs - begunAtMs >= PAST_CRASH_MS;
+export function isPastPoint({ firstOutputAtMs }: Attempt, nowMs: number): boolean {
+  return firstOutputAtMs !== undefined && nowMs - firstOutputAtMs >= PAST_CRASH_MS;
 }
 
 /** Notes a crash whoever was there: those of a moment tell a common cause from a request. */
@@ -153,7 +153,7 @@
 export function noteGoodRun(state: GatewayState, step: Step, record: RequestRecord): void {
   const suspect = suspectOf(state, record);
   if (suspect === undefined) return;
-  if (clear(step, suspect, step.nowMs)) state.crashNewsDue.add(suspect.key);
+  if (clear(step, suspect, step.nowMs)) state.crashGossipDue.add(suspect.key);
 }
 
 /** Takes a good run into account, this box's own or one that is told; tells whether it changed anything. */
@@ -162,10 +162,10 @@
   suspect.goodRunAtMs = goodRunAtMs;
   const before = suspect.crashes.length;
   suspect.crashes = suspect.crashes.filter(({ sentAtMs }) => sentAtMs > goodRunAtMs);
-  if (suspect.crashes.length < CRASHES_TO_KEEP_OUT) suspect.judgedAtMs = undefined;
-  const { keptOutSinceMs } = suspect;
-  const isLifted = keptOutSinceMs !== undefined && keptOutSinceMs <= goodRunAtMs;
-  if (isLifted) suspect.keptOutSinceMs = undefined;
+  if (suspect.crashes.length < CRASHES_TO_KEEP_OUT) suspect.evaluationDueAtMs = undefined;
+  const { blockedSinceMs } = suspect;
+  const isLifted = blockedSinceMs !== undefined && blockedSinceMs <= goodRunAtMs;
+  if (isLifted) suspect.blockedSinceMs = undefined;
   if (suspect.crashes.length === before && !isLifted) return false;
   log(step, 'suspectCleared', { suspect: suspect.key, crashes: before, lifted: isLifted });
   return true;
@@ -180,9 +180,9 @@
 
 /** Requests that are kept out. */
 export function verdictsOf(state: GatewayState, nowMs: number): VerdictRow[] {
-  return [...state.crashSuspects.values()].flatMap(({ key, crashes, keptOutSinceMs }) => {
-    if (keptOutSinceMs === undefined) return [];
-    const keptOutForMs = Math.round(nowMs - keptOutSinceMs);
+  return [...state.crashSuspects.values()].flatMap(({ key, crashes, blockedSinceMs }) => {
+    if (blockedSinceMs === undefined) return [];
+    const keptOutForMs = Math.round(nowMs - blockedSinceMs);
     return [{ key, crashes: crashes.length, keptOutForMs }];
   });
 }
@@ -194,22 +194,22 @@
  */
 export function liftVerdict(state: GatewayState, step: Step, key: string): void {
   const suspect = state.crashSuspects.get(key);
-  if (suspect?.keptOutSinceMs === undefined) return;
+  if (suspect?.blockedSinceMs === undefined) return;
   log(step, 'verdictLifted', { suspect: key, crashes: suspect.crashes.length });
   clear(step, suspect, step.nowMs);
-  state.crashNewsDue.add(key);
-  state.crashRow.hasOwnNews = true;
+  state.crashGossipDue.add(key);
+  state.crashRow.hasUnwrittenObservations = true;
 }
 
 /** Keeps a suspect out where its crashes say so. */
 function judge(state: GatewayState, step: Step, suspect: CrashSuspect): void {
-  suspect.judgedAtMs = undefined;
-  if (suspect.keptOutSinceMs !== undefined) return;
+  suspect.evaluationDueAtMs = undefined;
+  if (suspect.blockedSinceMs !== undefined) return;
   const scene = { suspects: state.crashSuspects.values(), recent: state.recentCrashes };
   if (!isCulprit(suspect, scene)) return;
   keepOut(state, step, suspect, step.nowMs);
-  state.crashNewsDue.add(suspect.key);
-  state.crashRow.hasOwnNews = true;
+  state.crashGossipDue.add(suspect.key);
+  state.crashRow.hasUnwrittenObservations = true;
 }
 
 /** Sends a request to no server any more, and ends what has not begun of it. */
@@ -219,8 +219,8 @@
   suspect: CrashSuspect,
   sinceMs: number,
 ): void {
-  suspect.keptOutSinceMs = sinceMs;
-  suspect.judgedAtMs = undefined;
+  suspect.blockedSinceMs = sinceMs;
+  suspect.evaluationDueAtMs = undefined;
   log(step, 'requestKeptOut', {
     suspect: suspect.key,
     crashes: suspect.crashes.length,
@@ -229,7 +229,7 @@
   });
   for (const record of [...state.requests.values()]) {
     if (suspectOf(state, record) !== suspect) continue;
-    const hasBegun = record.attempts.some(({ begunAtMs }) => begunAtMs !== undefined);
+    const hasBegun = record.attempts.some(({ firstOutputAtMs }) => firstOutputAtMs !== undefined);
     if (!hasBegun) giveUp(state, step, record, CRASHES_SERVERS);
   }
 }
@@ -239,16 +239,16 @@
   const { crashSuspects } = state;
   if (crashSuspects.size === 0) return;
   const due = [...crashSuspects.values()].filter(
-    ({ judgedAtMs }) => judgedAtMs !== undefined && step.nowMs >= judgedAtMs,
+    ({ evaluationDueAtMs }) => evaluationDueAtMs !== undefined && step.nowMs >= evaluationDueAtMs,
   );
   for (const suspect of due) judge(state, step, suspect);
-  if (step.nowMs - state.suspectsForgottenAtMs < FORGET_EVERY_MS) return;
-  state.suspectsForgottenAtMs = step.nowMs;
+  if (step.nowMs - state.suspectsPrunedAtMs < FORGET_EVERY_MS) return;
+  state.suspectsPrunedAtMs = step.nowMs;
   state.recentCrashes = state.recentCrashes.filter(
     ({ endedAtMs }) => step.nowMs - endedAtMs < RECENT_MS,
   );
   for (const suspect of crashSuspects.values()) {
-    const keptMs = suspect.keptOutSinceMs === undefined ? WATCHED_MS : KEPT_OUT_MS;
+    const keptMs = suspect.blockedSinceMs === undefined ? WATCHED_MS : KEPT_OUT_MS;
     if (step.nowMs - suspect.seenAtMs >= keptMs) forget(state, step, suspect);
   }
   if (crashSuspects.size <= MOST_SUSPECTS) return;
@@ -261,12 +261,12 @@
 }
 
 /** What speaks for keeping a suspect in mind. */
-export function strengthOf({ crashes, keptOutSinceMs }: CrashSuspect): number {
-  return keptOutSinceMs === undefined ? crashes.length : MOST_CRASHES + 1;
+export function strengthOf({ crashes, blockedSinceMs }: CrashSuspect): number {
+  return blockedSinceMs === undefined ? crashes.length : MOST_CRASHES + 1;
 }
 
 function forget(state: GatewayState, step: Step, suspect: CrashSuspect): void {
   state.crashSuspects.delete(suspect.key);
-  state.crashNewsDue.delete(suspect.key);
-  if (suspect.keptOutSinceMs !== undefined) log(step, 'suspectForgotten', { suspect: suspect.key });
+  state.crashGossipDue.delete(suspect.key);
+  if (suspect.blockedSinceMs !== undefined) log(step, 'suspectForgotten', { suspect: suspect.key });
 }
--- a/packages/reedlug-gateway/src/slices/duties.ts
+++ b/packages/reedlug-gateway/src/slices/duties.ts
@@ -24,7 +24,7 @@
   if (state.hubId !== undefined) return false;
   if (step.nowMs - state.startedAtMs < startDelayMs(state)) return false;
   for (const peer of state.peers.values()) {
-    const heardMs = step.nowMs - peer.heardAtMs;
+    const heardMs = step.nowMs - peer.lastReceivedAtMs;
     if (peer.message?.leaseHolder !== undefined && heardMs < HOLDER_HEARD_MS) return false;
   }
   return true;
--- a/packages/reedlug-gateway/src/slices/ending.ts
+++ b/packages/reedlug-gateway/src/slices/ending.ts
@@ -29,13 +29,13 @@
   const view = serverOf(state, attempt);
   if (view === undefined) return undefined;
   view.running -= 1;
-  if (attempt.begunAtMs === undefined) noteRead(view, attempt);
+  if (attempt.firstOutputAtMs === undefined) noteRead(view, attempt);
   return view;
 }
 
 /** How far a send got whose server says nothing more. */
 export function reachWhenLost(attempt: Attempt): Reach {
-  return attempt.begunAtMs !== undefined ? Reach.answered : Reach.maybe;
+  return attempt.firstOutputAtMs !== undefined ? Reach.answered : Reach.maybe;
 }
 
 /** Closes every open attempt of a request and stops its servers. */
@@ -94,7 +94,7 @@
     return;
   }
   const ran = record.attempts.some((attempt) => mayHaveRun(attempt.reach));
-  const status = statusWhenGivenUp({ ran, timeIsUp: step.nowMs >= record.endsAtMs });
+  const status = statusWhenGivenUp({ ran, timeIsUp: step.nowMs >= record.deadlineAtMs });
   refuse(step, {
     exchangeId: record.exchangeId,
     facts: record.facts,
--- a/packages/reedlug-gateway/src/slices/engineNeed.ts
+++ b/packages/reedlug-gateway/src/slices/engineNeed.ts
@@ -6,8 +6,8 @@
   type EngineNeed,
   type ServiceLoad,
 } from '../policy/engineTarget.js';
-import { holdFigure, type GatewayState, type Step } from '../state.js';
-import type { HeldNeed } from '../types/views.js';
+import { updateStabilized, type GatewayState, type Step } from '../state.js';
+import type { StabilizedNeed } from '../types/views.js';
 import { modelOf } from './engineModels.js';
 import { countReady, lastOrdered } from './engineOrders.js';
 import { withMissingEngines } from './statements/missingEngines.js';
@@ -32,10 +32,10 @@
 ): EngineNeed {
   const service = spec.name;
   const { usual, least } = needFor(state, step, spec, loadOf(state, service));
-  const held = state.heldNeeds.get(service) ?? startNeed();
-  holdFigure(held.usual, usual, step.nowMs, HOLD_USUAL_MS);
-  holdFigure(held.least, least, step.nowMs, HOLD_LEAST_MS);
-  state.heldNeeds.set(service, held);
+  const held = state.stabilizedNeeds.get(service) ?? startNeed();
+  updateStabilized(held.usual, usual, step.nowMs, HOLD_USUAL_MS);
+  updateStabilized(held.least, least, step.nowMs, HOLD_LEAST_MS);
+  state.stabilizedNeeds.set(service, held);
   const atLeast = isLoadKnown(state, step) ? 0 : startingCount(state, step, spec, isFirst);
   return { usual: Math.max(held.usual.value, atLeast), least: held.least.value };
 }
@@ -58,7 +58,7 @@
 }
 
 /** Nothing is held yet. */
-function startNeed(): HeldNeed {
+function startNeed(): StabilizedNeed {
   return { usual: { value: 0, untilMs: 0 }, least: { value: 0, untilMs: 0 } };
 }
 
@@ -75,7 +75,7 @@
 ): number {
   const reclaimable = countReady(state, { service: service.name, reclaimable: true });
   const onDemand = countReady(state, { service: service.name, reclaimable: false });
-  const stood = state.firstOnDemand.get(service.name)?.size ?? 0;
+  const stood = state.initialOnDemand.get(service.name)?.size ?? 0;
   const zones = service.scaling?.zonePrices ?? [];
   const ordered = zones.reduce(
     (sum, { zone }) => sum + lastOrdered(state, service.name, zone, true),
@@ -111,8 +111,8 @@
 export function noteFirstOnDemand(state: GatewayState, service: string): void {
   // With reclaimable ones there, it is no first start: then on-demand ones only stand in.
   if (countReady(state, { service, reclaimable: true }) > 0) return;
-  const seen = state.firstOnDemand.get(service) ?? new Set();
-  state.firstOnDemand.set(service, seen);
+  const seen = state.initialOnDemand.get(service) ?? new Set();
+  state.initialOnDemand.set(service, seen);
   for (const { entry } of state.servers.values()) {
     if (entry.service === service && !entry.reclaimable) seen.add(entry.id);
   }
--- a/packages/reedlug-gateway/src/slices/engineOrders.ts
+++ b/packages/reedlug-gateway/src/slices/engineOrders.ts
@@ -61,7 +61,7 @@
 
 /** No further reclaimable engines are to be had in a zone for a while. */
 export function noteDry(state: GatewayState, step: Step, service: string, zone: string): void {
-  state.dryUntilMs.set(zoneKey(service, zone), step.nowMs + DRY_MS);
+  state.outOfCapacityUntilMs.set(zoneKey(service, zone), step.nowMs + DRY_MS);
 }
 
 /** Engines of one kind that take work, in one zone or in all; while two versions stand, those of the one that carries the load. */
@@ -130,7 +130,7 @@
     taken: false,
     granted,
     grantedAtMs,
-    givenUp,
+    releasedEngines: givenUp,
     callId,
     sentAtMs,
     notBeforeMs,
@@ -146,7 +146,7 @@
 /** Engines that were given up a moment ago and may still be on their way out. */
 function stillLeaving(order: EngineOrder | undefined, nowMs: number): number {
   if (order === undefined || nowMs - order.sentAtMs > LEAVES_AFTER_MS) return 0;
-  return order.givenUp;
+  return order.releasedEngines;
 }
 
 /**
@@ -156,7 +156,7 @@
  */
 export function countLost(order: EngineOrder, gone: number, nowMs: number): number {
   const own = Math.min(gone, stillLeaving(order, nowMs));
-  order.givenUp -= own;
+  order.releasedEngines -= own;
   return gone - own;
 }
 
--- a/packages/reedlug-gateway/src/slices/fleet.ts
+++ b/packages/reedlug-gateway/src/slices/fleet.ts
@@ -1,7 +1,7 @@
 /** The boxes that this one knows: how many there are, whose news count, and who is its hub. */
 import { hashId, hashString, rendezvousWeight } from 'reedlug-coordination';
 import { groupBoxes, needsHubs } from '../policy/peerGroups.js';
-import { NewsScope, type PeerAddress, type PeerMessage } from '../types/peer.js';
+import { GossipScope, type PeerAddress, type PeerMessage } from '../types/peer.js';
 import type { GatewayState } from '../state.js';
 import type { PeerView } from '../types/views.js';
 
@@ -37,12 +37,12 @@
 
 /** Whether a peer's last message is still news. */
 export function countsFreshly(peer: PeerView, nowMs: number): boolean {
-  return nowMs - peer.heardAtMs <= SILENT_AFTER_MS;
+  return nowMs - peer.lastReceivedAtMs <= SILENT_AFTER_MS;
 }
 
 /** Whether a peer is the hub of another group, as its last news said. */
 export function isFreshHub(peer: PeerView, nowMs: number): boolean {
-  return peer.message?.scope === NewsScope.group && countsFreshly(peer, nowMs);
+  return peer.message?.scope === GossipScope.group && countsFreshly(peer, nowMs);
 }
 
 /** A seed is known by its address alone until it is heard or listed. */
@@ -59,7 +59,7 @@
     if (!isSeed(peer)) known += 1;
     isListed ||= peer.listed;
     const { message } = peer;
-    if (message?.scope === NewsScope.others) told = Math.max(told, message.boxes + 1);
+    if (message?.scope === GossipScope.others) told = Math.max(told, message.boxes + 1);
   }
   return isListed ? known : Math.max(known, told);
 }
@@ -120,9 +120,9 @@
   nowMs: number,
 ): boolean {
   const { scope } = peer.message;
-  if (state.hubId !== undefined) return peer.boxId === state.hubId && scope === NewsScope.others;
-  if (!byHubs) return scope === NewsScope.box;
-  return scope !== NewsScope.others && !peer.message.isProbe && countsFreshly(peer, nowMs);
+  if (state.hubId !== undefined) return peer.boxId === state.hubId && scope === GossipScope.others;
+  if (!byHubs) return scope === GossipScope.box;
+  return scope !== GossipScope.others && !peer.message.isProbe && countsFreshly(peer, nowMs);
 }
 
 /** This box as its peers know it. */
@@ -145,7 +145,7 @@
   if (hub === undefined || ageMs === undefined) {
     return nowMs - state.hubSinceMs > HUB_SILENT_AFTER_MS;
   }
-  return nowMs - hub.heardAtMs + ageMs > STORE_UNHEARD_MS;
+  return nowMs - hub.lastReceivedAtMs + ageMs > STORE_UNHEARD_MS;
 }
 
 /** Groups of the fleet as this box knows it, the best hub first in each: the one that it is in, and the others. */
@@ -171,7 +171,7 @@
 
 /** Whether the hub of this box has been silent too long, counted from when it was taken. */
 export function isHubSilent(state: GatewayState, hub: PeerView, nowMs: number): boolean {
-  return nowMs - Math.max(hub.heardAtMs, state.hubSinceMs) > HUB_SILENT_AFTER_MS;
+  return nowMs - Math.max(hub.lastReceivedAtMs, state.hubSinceMs) > HUB_SILENT_AFTER_MS;
 }
 
 /** Silent boxes of this box's group that would be better hubs than the one taken. */
--- a/packages/reedlug-gateway/src/slices/fleetPart.ts
+++ b/packages/reedlug-gateway/src/slices/fleetPart.ts
@@ -7,7 +7,7 @@
  * entry in the list says so, and its next lives hold it from their start, whoever is away.
  */
 import { describeRevision } from 'reedlug-coordination';
-import type { FleetPart, PartNews } from '../types/fleetPart.js';
+import type { LimitShare, LimitShareGossip } from '../types/limitShare.js';
 import type { EventOf } from '../types/event.js';
 import { log, type GatewayState, type Step } from '../state.js';
 import type { PeerMessage } from '../types/peer.js';
@@ -37,7 +37,7 @@
   part.listRevision = Math.max(part.listRevision, revision);
   const own = changes.find(({ boxId }) => boxId === state.settings.box.id);
   if (own !== undefined || whole === true) {
-    part.isEntered = own?.holdsPart === true;
+    part.isRegistered = own?.holdsPart === true;
     // A copy that lacks a box takes no part from it: all others divide by it as before.
     const isKept =
       own === undefined && part.opening !== undefined && mayShowCopy(state, step.nowMs);
@@ -45,8 +45,8 @@
   }
   if (part.ownRevision === undefined) dropPart(state, step, 'notListed');
   noteDivisor(state, step);
-  const isNextLife = part.isEntered && part.opening === undefined;
-  if (isNextLife) holdPart(state, step, { kind: 'earlierLife', atMs: state.processBeganAtMs });
+  const isNextLife = part.isRegistered && part.opening === undefined;
+  if (isNextLife) holdPart(state, step, { kind: 'earlierLife', atMs: state.processStartedAtMs });
 }
 
 function noteDivisor(state: GatewayState, step: Step): void {
@@ -60,11 +60,11 @@
 function holdPart(
   state: GatewayState,
   step: Step,
-  opening: NonNullable<FleetPart['opening']>,
+  opening: NonNullable<LimitShare['opening']>,
 ): void {
   const { part } = state;
   part.opening = opening;
-  for (const quota of state.quotas.values()) quota.isOpened = false;
+  for (const quota of state.quotas.values()) quota.isPriorUseCharged = false;
   // An earlier life may have divided among fewer boxes until it ended.
   if (opening.kind === 'earlierLife') part.dividedSinceMs = step.nowMs;
   log(step, 'partHeld', {
@@ -98,7 +98,7 @@
 }
 
 /** What listed boxes that are heard now tell of their parts, summed up. */
-function otherParts(state: GatewayState, nowMs: number): PartNews {
+function otherParts(state: GatewayState, nowMs: number): LimitShareGossip {
   const isMember = state.hubId !== undefined;
   const heard = countedPeers(state, nowMs).filter(
     (peer) => countsFreshly(peer, nowMs) && (isMember || peer.listed),
@@ -108,8 +108,8 @@
 
 function enter(state: GatewayState, step: Step): void {
   const { part } = state;
-  if (part.isEntered || step.nowMs - part.enteredAtMs < ENTER_AGAIN_MS) return;
-  part.enteredAtMs = step.nowMs;
+  if (part.isRegistered || step.nowMs - part.registrationSentAtMs < ENTER_AGAIN_MS) return;
+  part.registrationSentAtMs = step.nowMs;
   const address = ownAddress(state);
   step.effects.push({ type: 'enterBox', boxId: address.boxId, address, holdsPart: true });
 }
@@ -118,7 +118,7 @@
 function mayBeUnlisted(state: GatewayState, nowMs: number): boolean {
   const contactAtMs = Math.max(
     state.storeContactAtMs ?? state.startedAtMs,
-    state.storeSeenByPeerAtMs,
+    state.storeContactByPeerAtMs,
   );
   if (nowMs - contactAtMs < PART_LAPSES_MS) return false;
   return otherParts(state, nowMs).boxes < state.part.divisor - 1;
@@ -127,11 +127,11 @@
 /** Takes boxes off the list that were silent for long to the one box that hears them in any case. */
 function unlistGone(state: GatewayState, step: Step): void {
   const { part } = state;
-  if (step.nowMs - part.lookedForGoneAtMs < LOOK_FOR_GONE_MS) return;
-  part.lookedForGoneAtMs = step.nowMs;
+  if (step.nowMs - part.goneBoxesCheckedAtMs < LOOK_FOR_GONE_MS) return;
+  part.goneBoxesCheckedAtMs = step.nowMs;
   for (const boxId of watchedBoxes(state, step.nowMs)) {
     const peer = state.peers.get(boxId);
-    if (peer?.listed !== true || step.nowMs - peer.heardAtMs < UNLISTED_AFTER_MS) continue;
+    if (peer?.listed !== true || step.nowMs - peer.lastReceivedAtMs < UNLISTED_AFTER_MS) continue;
     log(step, 'boxUnlisted', { peer: boxId });
     step.effects.push({ type: 'enterBox', boxId, address: undefined, holdsPart: false });
   }
@@ -145,7 +145,7 @@
 }
 
 /** What this box tells of its own part. */
-export function ownPartNews({ part }: GatewayState, nowMs: number): PartNews {
+export function ownPartNews({ part }: GatewayState, nowMs: number): LimitShareGossip {
   const { dividedSinceMs } = part;
   return {
     boxes: part.ownRevision === undefined ? 0 : 1,
@@ -158,7 +158,7 @@
 }
 
 /** Sums the parts of several messages up. */
-export function sumParts(messages: readonly PeerMessage[]): PartNews {
+export function sumParts(messages: readonly PeerMessage[]): LimitShareGossip {
   const parts = messages.map(partOf);
   const ages = parts.map(({ dividedForMs }) => dividedForMs).filter((ms) => ms !== undefined);
   return {
@@ -169,6 +169,6 @@
 }
 
 /** A box of an earlier version tells nothing and holds up nobody. */
-function partOf({ part, boxes }: PeerMessage): PartNews {
+function partOf({ part, boxes }: PeerMessage): LimitShareGossip {
   return part ?? { boxes, listRevision: Number.MAX_SAFE_INTEGER, dividedForMs: 0 };
 }
--- a/packages/reedlug-gateway/src/slices/lateRefusals.ts
+++ b/packages/reedlug-gateway/src/slices/lateRefusals.ts
@@ -12,11 +12,11 @@
 
 /** Refuses a stream that would begin too late at the best engine; true when it did. Nothing of it was sent or counted yet. */
 export function refuseIfLate(step: Step, record: RequestRecord, choice: Choice): boolean {
-  const { route, facts, exchangeId, endsAtMs } = record;
+  const { route, facts, exchangeId, deadlineAtMs } = record;
   if (route.kind !== RouteKind.stream) return false;
   const { expectedMs, conditions } = choice;
   const { running, slots } = conditions;
-  const leftMs = endsAtMs - step.nowMs;
+  const leftMs = deadlineAtMs - step.nowMs;
   const { targetMs, timeoutMs } = route;
   const hasReturned = (facts.deadlineMs ?? timeoutMs) < timeoutMs * RETURNED_DEADLINE_SHARE;
   const decision = decideSend({ expectedMs, running, slots, targetMs, leftMs, hasReturned });
--- a/packages/reedlug-gateway/src/slices/peerNews.ts
+++ b/packages/reedlug-gateway/src/slices/peerNews.ts
@@ -1,8 +1,8 @@
 /** Puts news together: of this box, of its group, and of all others for one member. */
-import { NewsScope, type PeerMessage, type ServerLoad } from '../types/peer.js';
+import { GossipScope, type PeerMessage, type ServerLoad } from '../types/peer.js';
 import type { GatewayState, Step } from '../state.js';
 import { addLoads } from '../policy/serverLoad.js';
-import type { HeardTotals, PeerView, ServerView } from '../types/views.js';
+import type { ReceivedTotals, PeerView, ServerView } from '../types/views.js';
 import { dutyFence } from './duties.js';
 import { boxesCovered, countedPeers, countsFreshly, type HeardPeer } from './fleet.js';
 import { addSendSums, type SendSums } from '../policy/engineModel.js';
@@ -29,13 +29,13 @@
   state.peerSequence += 1;
   const own = ownNews(state, step);
   const counted = countedPeers(state, step.nowMs);
-  const members = counted.filter(({ message }) => message.scope === NewsScope.box);
+  const members = counted.filter(({ message }) => message.scope === GossipScope.box);
   return {
     ofBox: () => own,
-    ofGroup: () => sumUp(state, step, own, { scope: NewsScope.group, of: members }),
+    ofGroup: () => sumUp(state, step, own, { scope: GossipScope.group, of: members }),
     ofOthers: (peer) => {
       const of = counted.filter(({ boxId }) => boxId !== peer.boxId);
-      return sumUp(state, step, own, { scope: NewsScope.others, of, except: peer.added });
+      return sumUp(state, step, own, { scope: GossipScope.others, of, except: peer.contribution });
     },
   };
 }
@@ -48,7 +48,7 @@
     boxId: box.id,
     incarnation: state.incarnation,
     sequence: state.peerSequence,
-    scope: NewsScope.box,
+    scope: GossipScope.box,
     isProbe: false,
     boxes: 1,
     zone: box.zone,
@@ -99,19 +99,19 @@
   step: Step,
   own: PeerMessage,
   params: {
-    scope: typeof NewsScope.group | typeof NewsScope.others;
+    scope: typeof GossipScope.group | typeof GossipScope.others;
     of: readonly HeardPeer[];
-    except?: HeardTotals;
+    except?: ReceivedTotals;
   },
 ): PeerMessage {
   const { scope, of, except } = params;
-  const parts = [state.heardFromBoxes];
-  if (scope === NewsScope.others) parts.push(state.heardFromHubs);
+  const parts = [state.totalsFromBoxes];
+  if (scope === GossipScope.others) parts.push(state.totalsFromHubs);
   const holder = of.find(({ message }) => message.leaseHolder !== undefined);
   return {
     ...own,
     scope,
-    registry: scope === NewsScope.others ? registryNews(state, step.nowMs) : undefined,
+    registry: scope === GossipScope.others ? registryNews(state, step.nowMs) : undefined,
     boxes: boxesCovered(of),
     storeContactAgeMs: ageOf(lastStoreContact(state, of), step.nowMs),
     leaseHolder: own.leaseHolder ?? holder?.message.leaseHolder,
@@ -131,9 +131,9 @@
 
 function lastStoreContact(state: GatewayState, of: readonly HeardPeer[]): number | undefined {
   let lastAtMs = state.storeContactAtMs;
-  for (const { heardAtMs, message } of of) {
+  for (const { lastReceivedAtMs, message } of of) {
     if (message.storeContactAgeMs === undefined) continue;
-    const atMs = heardAtMs - message.storeContactAgeMs;
+    const atMs = lastReceivedAtMs - message.storeContactAgeMs;
     if (lastAtMs === undefined || atMs > lastAtMs) lastAtMs = atMs;
   }
   return lastAtMs;
@@ -170,8 +170,8 @@
 
 function sumAdmitted(
   own: PeerMessage,
-  parts: readonly HeardTotals[],
-  except: HeardTotals | undefined,
+  parts: readonly ReceivedTotals[],
+  except: ReceivedTotals | undefined,
 ): Record<string, number> {
   const sums: Record<string, number> = { ...own.admitted };
   for (const { admitted } of parts) {
@@ -186,6 +186,6 @@
 /** Peers whose hub this box is: they tell it their own news, and get everyone else's. */
 export function membersOf(state: GatewayState, nowMs: number): PeerView[] {
   return [...state.peers.values()].filter(
-    (peer) => peer.message?.scope === NewsScope.box && countsFreshly(peer, nowMs),
+    (peer) => peer.message?.scope === GossipScope.box && countsFreshly(peer, nowMs),
   );
 }
--- a/packages/reedlug-gateway/src/slices/peers.ts
+++ b/packages/reedlug-gateway/src/slices/peers.ts
@@ -1,7 +1,7 @@
 /** What peers tell: totals, versions, addresses. */
 import type { EventOf } from '../types/event.js';
-import { NewsScope, type PeerAddress, type PeerMessage } from '../types/peer.js';
-import { createHeardTotals, log, type GatewayState, type Step } from '../state.js';
+import { GossipScope, type PeerAddress, type PeerMessage } from '../types/peer.js';
+import { createReceivedTotals, log, type GatewayState, type Step } from '../state.js';
 import type { PeerView } from '../types/views.js';
 import { agreeOnClock } from './clock.js';
 import { countsFreshly, isCounted, PEER_GONE_AFTER_MS, type HeardPeer } from './fleet.js';
@@ -31,10 +31,10 @@
   const before = peer.message;
   if (before !== undefined && isOlder(message, before, countsFreshly(peer, step.nowMs))) return;
   noteNewcomer(state, step, peer, message.incarnation);
-  peer.heardAtMs = step.nowMs;
+  peer.lastReceivedAtMs = step.nowMs;
   peer.isSuspected = false;
   peer.message = message;
-  peer.askedUnits.clear();
+  peer.requestedUnits.clear();
   noteStoreSeen(state, step, message);
   if (message.storeEra !== undefined) {
     onStoreEra(state, step, { era: message.storeEra, source: boxId });
@@ -91,15 +91,15 @@
     boxId: address.boxId,
     address,
     listed: false,
-    heardAtMs: step.nowMs,
+    lastReceivedAtMs: step.nowMs,
     message: undefined,
-    added: createHeardTotals(),
-    askedUnits: new Map(),
+    contribution: createReceivedTotals(),
+    requestedUnits: new Map(),
     registryNumber: undefined,
     aheadSinceMs: undefined,
-    toldAtMs: Number.NEGATIVE_INFINITY,
+    gossipSentAtMs: Number.NEGATIVE_INFINITY,
     isSuspected: false,
-    askedAtMs: Number.NEGATIVE_INFINITY,
+    stateRequestedAtMs: Number.NEGATIVE_INFINITY,
   };
   state.peers.set(address.boxId, peer);
   log(step, 'peerAdded', { peer: address.boxId });
@@ -109,7 +109,7 @@
 function noteStoreSeen(state: GatewayState, step: Step, message: PeerMessage): void {
   if (message.storeContactAgeMs === undefined) return;
   const seenAtMs = step.nowMs - message.storeContactAgeMs;
-  state.storeSeenByPeerAtMs = Math.max(state.storeSeenByPeerAtMs, seenAtMs);
+  state.storeContactByPeerAtMs = Math.max(state.storeContactByPeerAtMs, seenAtMs);
 }
 
 /**
@@ -125,19 +125,22 @@
   const { message } = peer;
   if (before?.scope !== message.scope || !isCounted(state, peer, step.nowMs)) return;
   const sameLife = before.incarnation === message.incarnation;
-  if (!sameLife && message.scope !== NewsScope.box) return;
-  const isOwn = message.scope === NewsScope.box;
-  const heard = isOwn ? state.heardFromBoxes : state.heardFromHubs;
+  if (!sameLife && message.scope !== GossipScope.box) return;
+  const isOwn = message.scope === GossipScope.box;
+  const heard = isOwn ? state.totalsFromBoxes : state.totalsFromHubs;
   for (const [workspace, admitted] of Object.entries(message.admitted)) {
     const units = admitted - (sameLife ? (before.admitted[workspace] ?? 0) : 0);
     if (units <= 0) continue;
     heard.admitted.set(workspace, (heard.admitted.get(workspace) ?? 0) + units);
-    peer.added.admitted.set(workspace, (peer.added.admitted.get(workspace) ?? 0) + units);
+    peer.contribution.admitted.set(
+      workspace,
+      (peer.contribution.admitted.get(workspace) ?? 0) + units,
+    );
   }
   const tokens = message.workTokens - (sameLife ? before.workTokens : 0);
   if (tokens <= 0) return;
   heard.workTokens += tokens;
-  peer.added.workTokens += tokens;
+  peer.contribution.workTokens += tokens;
 }
 
 /** Asks a peer for what the store does not give this box, or not in time. */
@@ -156,8 +159,8 @@
 }
 
 function askPeer(step: Step, peer: PeerView, withServers: boolean): void {
-  if (step.nowMs - peer.askedAtMs < ASK_PEER_EVERY_MS) return;
-  peer.askedAtMs = step.nowMs;
+  if (step.nowMs - peer.stateRequestedAtMs < ASK_PEER_EVERY_MS) return;
+  peer.stateRequestedAtMs = step.nowMs;
   step.effects.push({ type: 'askPeer', peer: peer.address, withServers });
 }
 
@@ -191,7 +194,7 @@
 /** A listed box that is silent is kept by its address: it may be cut off. */
 export function forgetGonePeers(state: GatewayState, step: Step): void {
   for (const peer of state.peers.values()) {
-    if (step.nowMs - peer.heardAtMs < PEER_GONE_AFTER_MS) continue;
+    if (step.nowMs - peer.lastReceivedAtMs < PEER_GONE_AFTER_MS) continue;
     if (peer.message !== undefined) log(step, 'peerGone', { peer: peer.boxId });
     peer.message = undefined;
     if (!peer.listed) forget(state, peer);
@@ -201,9 +204,9 @@
 function forget(state: GatewayState, peer: PeerView): void {
   state.peers.delete(peer.boxId);
   // Its part is no longer taken off when it is told the others' sum, so it must not be in that sum.
-  for (const [workspace, units] of peer.added.admitted) {
-    const { admitted } = state.heardFromBoxes;
+  for (const [workspace, units] of peer.contribution.admitted) {
+    const { admitted } = state.totalsFromBoxes;
     admitted.set(workspace, (admitted.get(workspace) ?? 0) - units);
   }
-  state.heardFromBoxes.workTokens -= peer.added.workTokens;
+  state.totalsFromBoxes.workTokens -= peer.contribution.workTokens;
 }
--- a/packages/reedlug-gateway/src/slices/quotas.ts
+++ b/packages/reedlug-gateway/src/slices/quotas.ts
@@ -53,7 +53,7 @@
   const ownUnits = workspace.ratePerSecond > 0 ? takeUnits(state, quota, units, nowMs) : 0;
   if (ownUnits === undefined) return false;
   record.chargedAtMs = nowMs;
-  record.chargedToPart = ownUnits;
+  record.chargedToShare = ownUnits;
   quota.admitted += units;
   return true;
 }
@@ -117,10 +117,10 @@
   nowMs: number,
 ): void {
   const quota = quotaOf(state, workspace, nowMs);
-  const { chargedToPart, chargedAtMs } = record;
+  const { chargedToShare, chargedAtMs } = record;
   const isInWindow = nowMs - chargedAtMs < quota.charged.lengthMs;
-  if (chargedToPart > 0 && isInWindow) addUnits(quota.charged, -chargedToPart, chargedAtMs);
-  record.chargedToPart = 0;
+  if (chargedToShare > 0 && isInWindow) addUnits(quota.charged, -chargedToShare, chargedAtMs);
+  record.chargedToShare = 0;
 }
 
 /** Units that this box could send or lend of its own part now. */
@@ -187,8 +187,8 @@
 /** Charges what may have been sent before this box held its part: unknown, so the most that it allows. */
 function openPart(state: GatewayState, quota: QuotaView, nowMs: number): void {
   const { opening, divisor } = state.part;
-  if (quota.isOpened || opening === undefined) return;
-  quota.isOpened = true;
+  if (quota.isPriorUseCharged || opening === undefined) return;
+  quota.isPriorUseCharged = true;
   const units = (windowBounds(state, quota, nowMs)[0]?.units ?? 0) / divisor;
   switch (opening.kind) {
     case 'unused':
@@ -225,7 +225,7 @@
   const { ratePerSecond, burst } = workspace;
   const quota: QuotaView = {
     charged: createUnitWindow(chargedLengthMs(state)),
-    isOpened: false,
+    isPriorUseCharged: false,
     loans: [],
     limits: [{ fromMs: nowMs, ratePerSecond, burst }],
     admitted: 0,
--- a/packages/reedlug-gateway/src/slices/registryNews.ts
+++ b/packages/reedlug-gateway/src/slices/registryNews.ts
@@ -2,7 +2,7 @@
  * The registry of servers within a group: a hub hands its changes on with its
  * news, so that its members need not follow the store as well.
  */
-import type { NumberedChange, RegistryNews } from '../types/peer.js';
+import type { NumberedChange, RegistryGossip } from '../types/peer.js';
 import type { ServerChange } from '../types/server.js';
 import type { GatewayState, Step } from '../state.js';
 import type { PeerView } from '../types/views.js';
@@ -21,7 +21,7 @@
 }
 
 /** The changes that members are told now. */
-export function registryNews(state: GatewayState, nowMs: number): RegistryNews {
+export function registryNews(state: GatewayState, nowMs: number): RegistryGossip {
   state.registryChanges = state.registryChanges.filter(({ atMs }) => nowMs - atMs <= TOLD_FOR_MS);
   const changes = state.registryChanges.map(({ change }) => change);
   return { lastNumber: state.registryNumber, changes };
@@ -40,7 +40,7 @@
  */
 export function nextRegistryStep(
   hub: PeerView,
-  registry: RegistryNews | undefined,
+  registry: RegistryGossip | undefined,
   isAsNew: boolean,
 ): RegistryStep {
   if (registry === undefined) return { kind: 'apply', changes: [] };
--- a/packages/reedlug-gateway/src/slices/repeats.ts
+++ b/packages/reedlug-gateway/src/slices/repeats.ts
@@ -32,13 +32,13 @@
   found: RequestAttempt,
   reason: string,
 ): void {
-  found.record.avoid.add(found.attempt.serverId);
+  found.record.excludedServers.add(found.attempt.serverId);
   goOn(state, step, found, reason);
 }
 
 /** After the end of a server's life the request may go on at its next one, too. */
 export function afterLife(state: GatewayState, step: Step, found: RequestAttempt): void {
-  found.record.avoid.delete(found.attempt.serverId);
+  found.record.excludedServers.delete(found.attempt.serverId);
   goOn(state, step, found, 'serverBorn');
 }
 
@@ -97,7 +97,7 @@
   reason: string,
 ): void {
   const { record, attempt } = found;
-  record.avoid.add(attempt.serverId);
+  record.excludedServers.add(attempt.serverId);
   const ranBefore = record.attempts.some((other) => mayHaveRun(other.reach));
   const allowed = ranBefore ? mayRepeat(state, step, record) : haveRoomForSend(state, step, record);
   if (!allowed) return giveUp(state, step, record, reason);
@@ -112,6 +112,6 @@
 /** Whether a further send is worth it and in the budget; takes it from there. */
 export function haveRoomForSend(state: GatewayState, step: Step, record: RequestRecord): boolean {
   if (record.attempts.length >= MAX_SENDS) return false;
-  if (record.endsAtMs - step.nowMs < MIN_SEND_MS) return false;
+  if (record.deadlineAtMs - step.nowMs < MIN_SEND_MS) return false;
   return takeRepeat(state, record.service);
 }
--- a/packages/reedlug-gateway/src/slices/requests.ts
+++ b/packages/reedlug-gateway/src/slices/requests.ts
@@ -2,7 +2,7 @@
 import { hashShare } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
 import type { RouteSpec, WorkspaceSpec } from '../types/configuration.js';
-import type { AwaitingRequest, RequestFacts, RequestRecord } from '../types/request.js';
+import type { PendingRequest, RequestFacts, RequestRecord } from '../types/request.js';
 import { log, type GatewayState, type Step } from '../state.js';
 import { awaitStart, forgetAwaiting, knowsEnough, takeAwaiting } from './awaiting.js';
 import { crashRefusal } from './crashRefusal.js';
@@ -39,7 +39,7 @@
   for (const request of takeAwaiting(state, step)) takeRequest(state, step, request);
 }
 
-function takeRequest(state: GatewayState, step: Step, request: AwaitingRequest): void {
+function takeRequest(state: GatewayState, step: Step, request: PendingRequest): void {
   const { exchangeId, facts, arrivedAtMs } = request;
   const { active } = state;
   const refuseNow = (status: number, reason: string, retryAfterMs?: number): void => {
@@ -87,13 +87,13 @@
     workspace: workspace?.name,
     units: workspace === undefined ? 0 : unitsOf(workspace, facts),
     chargedAtMs: nowMs,
-    chargedToPart: 0,
+    chargedToShare: 0,
     urgency: urgencyOf(route, workspace),
     arrivedAtMs: nowMs,
-    endsAtMs: nowMs + allowedMs,
+    deadlineAtMs: nowMs + allowedMs,
     attempts: [],
-    avoid: new Set(),
-    foundNoConnection: false,
+    excludedServers: new Set(),
+    failedToConnect: false,
     relayed: false,
     lastEventId: undefined,
     counted: false,
@@ -134,7 +134,7 @@
 /** Ends requests whose time is up. */
 export function requestsTick(state: GatewayState, step: Step): void {
   for (const record of state.requests.values()) {
-    if (step.nowMs < record.endsAtMs) continue;
+    if (step.nowMs < record.deadlineAtMs) continue;
     noteLeft(state, step, record);
     giveUp(state, step, record, 'timeIsUp');
   }
--- a/packages/reedlug-gateway/src/slices/rolloutEvidence.ts
+++ b/packages/reedlug-gateway/src/slices/rolloutEvidence.ts
@@ -50,7 +50,7 @@
 /** A slow answer that is not awaited to its first event, as its caller left or its server is silent, says as much as one that came. */
 export function noteLeft(state: GatewayState, step: Step, record: RequestRecord): void {
   const attempt = record.attempts.at(-1);
-  const isAwaited = attempt?.open === true && attempt.begunAtMs === undefined;
+  const isAwaited = attempt?.open === true && attempt.firstOutputAtMs === undefined;
   if (!isAwaited || !isSlow(state, step, record, attempt)) return;
   noteAnswer(state, step, { record, attempt, end: AnswerEnd.good });
 }
--- a/packages/reedlug-gateway/src/slices/rolloutJudgement.ts
+++ b/packages/reedlug-gateway/src/slices/rolloutJudgement.ts
@@ -20,8 +20,9 @@
 
 /** Judges roll-outs in progress and lays out their samples. */
 export function rolloutsTick(state: GatewayState, step: Step): void {
-  if (state.rollouts.size === 0 || step.nowMs - state.rolloutsJudgedAtMs < JUDGE_EVERY_MS) return;
-  state.rolloutsJudgedAtMs = step.nowMs;
+  if (state.rollouts.size === 0 || step.nowMs - state.rolloutsEvaluatedAtMs < JUDGE_EVERY_MS)
+    return;
+  state.rolloutsEvaluatedAtMs = step.nowMs;
   for (const view of state.rollouts.values()) judge(state, step, view);
 }
 
--- a/packages/reedlug-gateway/src/slices/rolloutRecords.ts
+++ b/packages/reedlug-gateway/src/slices/rolloutRecords.ts
@@ -30,11 +30,11 @@
 }
 
 function keepRecord(state: GatewayState, step: Step, view: RolloutView): void {
-  if (step.nowMs - view.askedAtMs < ASK_EVERY_MS) return;
+  if (step.nowMs - view.requestedAtMs < ASK_EVERY_MS) return;
   if (!isUsableDuration(view.order.durationMs)) return;
   const phase = phaseToWrite(view);
   if (phase === undefined) return;
-  view.askedAtMs = step.nowMs;
+  view.requestedAtMs = step.nowMs;
   const { service } = view.order;
   const key = keyOf(service);
   const purpose = { kind: 'rollout' as const, service, revision: view.order.revision };
--- a/packages/reedlug-gateway/src/slices/rollouts.ts
+++ b/packages/reedlug-gateway/src/slices/rollouts.ts
@@ -9,7 +9,7 @@
 import type { EventOf } from '../types/event.js';
 import {
   RolloutPhase,
-  type RolloutNews,
+  type RolloutGossip,
   type RolloutOrder,
   type RolloutView,
 } from '../types/rollout.js';
@@ -71,7 +71,7 @@
     shareByRoute: new Map(),
     recordVersion: undefined,
     recordedPhase: undefined,
-    askedAtMs: Number.NEGATIVE_INFINITY,
+    requestedAtMs: Number.NEGATIVE_INFINITY,
   };
   state.rollouts.set(order.service, view);
   log(step, isUsableDuration(order.durationMs) ? 'rolloutOrdered' : 'rolloutOrderUnusable', {
@@ -127,7 +127,7 @@
   state: GatewayState,
   step: Step,
   peerId: string,
-  told: readonly RolloutNews[],
+  told: readonly RolloutGossip[],
 ): void {
   for (const { order, ageMs, phase, barred } of told) {
     const view = takeOrder(state, step, { order, ageMs, barred, source: peerId });
@@ -163,7 +163,7 @@
   state: GatewayState,
   nowMs: number,
   of: readonly HeardPeer[],
-): RolloutNews[] {
+): RolloutGossip[] {
   return [...state.rollouts.values()].map((view) => ({
     order: view.order,
     ageMs: Math.round(nowMs - view.orderedAtMs),
--- a/packages/reedlug-gateway/src/slices/sending.ts
+++ b/packages/reedlug-gateway/src/slices/sending.ts
@@ -17,14 +17,14 @@
   state: GatewayState,
   step: Step,
   record: RequestRecord,
-  avoid: ReadonlySet<string> = record.avoid,
+  avoid: ReadonlySet<string> = record.excludedServers,
 ): Choice | undefined {
   const params = {
     service: record.service,
     facts: record.facts,
     urgency: record.urgency,
     avoid,
-    staysInZone: record.foundNoConnection,
+    staysInZone: record.failedToConnect,
     trialHash: trialHash(state, record),
     nowMs: step.nowMs,
   };
@@ -45,7 +45,8 @@
   const suspect = suspectOf(state, record);
   const hasCrashes = suspect !== undefined && suspect.crashes.length > 0;
   const wasLost = record.attempts.some(
-    ({ open, reach, begunAtMs }) => !open && reach === Reach.maybe && begunAtMs === undefined,
+    ({ open, reach, firstOutputAtMs }) =>
+      !open && reach === Reach.maybe && firstOutputAtMs === undefined,
   );
   if (!hasCrashes && !wasLost) return undefined;
   return hashString(suspectKey(record.workspace, record.facts.digest));
@@ -81,8 +82,8 @@
     urgency: record.urgency,
     conditions,
     expectedMs,
-    heardAtMs: step.nowMs,
-    begunAtMs: undefined,
+    lastActivityAtMs: step.nowMs,
+    firstOutputAtMs: undefined,
   };
   state.nextAttemptId += 1;
   record.attempts.push(attempt);
@@ -101,11 +102,11 @@
     order: {
       serverId: view.entry.id,
       address: view.entry.address,
-      deadlineMs: Math.max(1, Math.floor(record.endsAtMs - step.nowMs)),
+      deadlineMs: Math.max(1, Math.floor(record.deadlineAtMs - step.nowMs)),
       urgency: route.kind === RouteKind.stream ? record.urgency : undefined,
       workspace: record.workspace,
       resumeAfterEventId: record.lastEventId,
-      careful: !isRepeatable(record),
+      needsFreshConnection: !isRepeatable(record),
     },
   });
   log(step, 'requestSent', {
--- a/packages/reedlug-gateway/src/slices/servers.ts
+++ b/packages/reedlug-gateway/src/slices/servers.ts
@@ -9,8 +9,8 @@
 import { describeRevision, hashId } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
 import {
-  isLaterLife,
-  lifeOf,
+  isLaterIncarnation,
+  incarnationOf,
   ServerState,
   type ServerChange,
   type ServerEntry,
@@ -73,7 +73,7 @@
     else onEntry(state, step, entry, event.source);
   }
   if (!event.whole) return;
-  const sinceMs = Math.max(state.storeReturnedAtMs, state.storeCopyAtMs);
+  const sinceMs = Math.max(state.storeReturnedAtMs, state.storeRestoredAtMs);
   for (const id of state.servers.keys()) {
     if (!present.has(id)) onMissing(state, step, { id, source: event.source, sinceMs });
   }
@@ -92,17 +92,17 @@
 function isDoubtful(state: GatewayState, step: Step, { id, bornAtMs }: ServerEntry): boolean {
   const gone = state.goneServers.get(id);
   if (gone === undefined || state.servers.has(id) || !mayShowCopy(state, step.nowMs)) return false;
-  return !isLaterLife(bornAtMs, gone.bornAtMs);
+  return !isLaterIncarnation(bornAtMs, gone.bornAtMs);
 }
 
 function doubt(state: GatewayState, step: Step, entry: ServerEntry): void {
-  if (state.doubtedServers.has(entry.id)) return;
-  state.doubtedServers.set(entry.id, { entry, untilMs: step.nowMs + DOUBTED_MS });
+  if (state.unconfirmedServers.has(entry.id)) return;
+  state.unconfirmedServers.set(entry.id, { entry, untilMs: step.nowMs + DOUBTED_MS });
   log(step, 'serverDoubted', { server: entry.id });
 }
 
 function onEntry(state: GatewayState, step: Step, given: ServerEntry, source: string): void {
-  state.doubtedServers.delete(given.id);
+  state.unconfirmedServers.delete(given.id);
   const entry = withUsableSlots(given);
   if (isOfEarlierLife(state, entry)) return;
   const known = state.servers.get(given.id);
@@ -110,21 +110,21 @@
     log(step, 'serverEntryOdd', { ...describe(given, source), slots: String(given.slots) });
   }
   const leaving = entry.state === ServerState.leaving;
-  const isBorn = known !== undefined && isLaterLife(entry.bornAtMs, known.entry.bornAtMs);
+  const isBorn = known !== undefined && isLaterIncarnation(entry.bornAtMs, known.entry.bornAtMs);
   const isNews = known === undefined || isBorn || known.entry.state !== entry.state;
   if (isNews) noteRegistryChange(state, step, { id: entry.id, entry });
   if (known === undefined || isBorn) {
     state.servers.set(entry.id, createView(state, entry));
-    if (leaving) mergeLeaving(state, step, { life: lifeOf(entry), source, isListed: true });
+    if (leaving) mergeLeaving(state, step, { life: incarnationOf(entry), source, isListed: true });
     log(step, isBorn ? 'serverBorn' : 'serverAdded', describe(entry, source));
     if (isBorn) loseAttempts(state, step, known);
     return;
   }
-  if (known.lapsesAtMs !== undefined) log(step, 'serverBack', describe(entry, source));
-  known.lapsesAtMs = undefined;
+  if (known.expiresAtMs !== undefined) log(step, 'serverBack', describe(entry, source));
+  known.expiresAtMs = undefined;
   known.entry = entry;
-  known.statements = findStatements(state, lifeOf(entry));
-  if (leaving) mergeLeaving(state, step, { life: lifeOf(entry), source, isListed: true });
+  known.statements = findStatements(state, incarnationOf(entry));
+  if (leaving) mergeLeaving(state, step, { life: incarnationOf(entry), source, isListed: true });
   if (leaving || known.statements?.leaving !== undefined) known.leaving = true;
 }
 
@@ -132,7 +132,7 @@
 function isOfEarlierLife(state: GatewayState, entry: ServerEntry): boolean {
   const { id, bornAtMs } = entry;
   const knownMs = state.servers.get(id)?.entry.bornAtMs ?? state.goneServers.get(id)?.bornAtMs;
-  return isLaterLife(knownMs, bornAtMs);
+  return isLaterIncarnation(knownMs, bornAtMs);
 }
 
 /** Decisions divide by the places of a server: an entry without a whole number of them counts as one place. */
@@ -142,21 +142,21 @@
 
 /** A server as this box begins to know it: a new life holds and knows nothing of an earlier one. */
 function createView(state: GatewayState, entry: ServerEntry): ServerView {
-  state.serverLives += 1;
-  const statements = findStatements(state, lifeOf(entry));
+  state.serverIncarnationCount += 1;
+  const statements = findStatements(state, incarnationOf(entry));
   return {
     entry,
     idHash: hashId(entry.id),
-    life: state.serverLives,
+    life: state.serverIncarnationCount,
     leaving: entry.state === ServerState.leaving || statements?.leaving !== undefined,
-    lapsesAtMs: undefined,
+    expiresAtMs: undefined,
     running: 0,
     prefillTokens: 0,
     unread: 0,
     unreadByUrgency: [],
     failureScore: 0,
     failureAtMs: 0,
-    heardAtMs: 0,
+    lastActivityAtMs: 0,
     slowness: 1,
     slownessAtMs: 0,
     statements,
@@ -181,12 +181,12 @@
   step: Step,
   { id, source, sinceMs }: { id: string; source: string; sinceMs: number },
 ): void {
-  state.doubtedServers.delete(id);
+  state.unconfirmedServers.delete(id);
   const view = state.servers.get(id);
-  if (view === undefined || view.lapsesAtMs !== undefined) return;
+  if (view === undefined || view.expiresAtMs !== undefined) return;
   const lapsesAtMs = sinceMs + LAPSE_WINDOW_MS;
   if (step.nowMs < lapsesAtMs && !view.leaving) {
-    view.lapsesAtMs = lapsesAtMs;
+    view.expiresAtMs = lapsesAtMs;
     log(step, 'serverLapsed', describe(view.entry, source));
     return;
   }
@@ -226,7 +226,7 @@
 /** The store may have turned away just this box; then the entries of living servers did not lapse. */
 function wasAwayForAll(state: GatewayState, step: Step): boolean {
   const awayMs = step.nowMs - state.storeLostAtMs;
-  return awayMs >= LAPSING_ABSENCE_MS && state.storeSeenByPeerAtMs < state.storeLostAtMs;
+  return awayMs >= LAPSING_ABSENCE_MS && state.storeContactByPeerAtMs < state.storeLostAtMs;
 }
 
 /** Lets servers go whose entries did not come back. */
@@ -234,11 +234,11 @@
   for (const [id, { goneAtMs }] of state.goneServers) {
     if (step.nowMs - goneAtMs > GONE_KNOWN_MS) state.goneServers.delete(id);
   }
-  for (const { entry, untilMs } of [...state.doubtedServers.values()]) {
+  for (const { entry, untilMs } of [...state.unconfirmedServers.values()]) {
     if (step.nowMs >= untilMs) onEntry(state, step, entry, 'store');
   }
   for (const view of state.servers.values()) {
-    if (view.lapsesAtMs === undefined || step.nowMs < view.lapsesAtMs) continue;
+    if (view.expiresAtMs === undefined || step.nowMs < view.expiresAtMs) continue;
     removeServer(state, step, view, 'lapsed');
   }
 }
--- a/packages/reedlug-gateway/src/slices/serviceLoad.ts
+++ b/packages/reedlug-gateway/src/slices/serviceLoad.ts
@@ -17,10 +17,10 @@
 
 /** Measures prompt tokens to be read a second, and requests in progress, since the last measurement. */
 export function measureLoad(state: GatewayState, elapsedMs: number, nowMs: number): void {
-  const { workTokens, heardFromBoxes, heardFromHubs } = state;
-  const total = workTokens + heardFromBoxes.workTokens + heardFromHubs.workTokens;
-  const added = Math.max(0, total - state.workTokensSeen);
-  state.workTokensSeen = total;
+  const { workTokens, totalsFromBoxes, totalsFromHubs } = state;
+  const total = workTokens + totalsFromBoxes.workTokens + totalsFromHubs.workTokens;
+  const added = Math.max(0, total - state.workTokensAtLastPlan);
+  state.workTokensAtLastPlan = total;
   const open = openRequests(state, nowMs);
   if (added > 0 || [...open.values()].some((requests) => requests > 0)) {
     state.loadSinceMs ??= nowMs;
--- a/packages/reedlug-gateway/src/slices/silence.ts
+++ b/packages/reedlug-gateway/src/slices/silence.ts
@@ -21,9 +21,9 @@
 /** Whether neither the attempt nor its server has been heard for long. */
 function isLost(state: GatewayState, step: Step, record: RequestRecord, attempt: Attempt): boolean {
   const usualMs =
-    attempt.begunAtMs !== undefined ? (record.route.gapTargetMs ?? 0) : attempt.expectedMs;
+    attempt.firstOutputAtMs !== undefined ? (record.route.gapTargetMs ?? 0) : attempt.expectedMs;
   const lostMs = lostAfterMs(usualMs);
-  if (step.nowMs - attempt.heardAtMs < lostMs) return false;
+  if (step.nowMs - attempt.lastActivityAtMs < lostMs) return false;
   const view = serverOf(state, attempt);
   return view === undefined || silenceMs(view, step.nowMs) >= lostMs;
 }
@@ -33,10 +33,10 @@
   const reach = reachWhenLost(attempt);
   attempt.reach = reach;
   if (!mayRunAgain(record)) return;
-  const avoid = new Set([...record.avoid, attempt.serverId]);
+  const avoid = new Set([...record.excludedServers, attempt.serverId]);
   const choice = chooseFor(state, step, record, avoid);
   if (choice === undefined || !haveRoomForSend(state, step, record)) return;
-  record.avoid.add(attempt.serverId);
+  record.excludedServers.add(attempt.serverId);
   noteLeft(state, step, record);
   const view = closeAttempt(state, attempt, reach);
   noteLoss(state, step, { record, attempt, view });
--- a/packages/reedlug-gateway/src/slices/statements/__tests__/leaving.test.ts
+++ b/packages/reedlug-gateway/src/slices/statements/__tests__/leaving.test.ts
@@ -14,7 +14,7 @@
 import type { AnswerVerdict } from '../../../types/request.js';
 import { ServerState } from '../../../types/server.js';
 
-const LEAVING = { ...NOTHING_SAID, isLeaving: true };
+const LEAVING = { ...NOTHING_SAID, isDraining: true };
 
 /** Sends a request; gives the server that was chosen, which says that it leaves in its answer. */
 function askLeaving(box: Pick<TestBox, 'take'>, exchangeId: number, verdict: AnswerVerdict) {
--- a/packages/reedlug-gateway/src/slices/statements/__tests__/limits.test.ts
+++ b/packages/reedlug-gateway/src/slices/statements/__tests__/limits.test.ts
@@ -132,7 +132,7 @@
   playOn();
   const senders = [...fleet.boxes].filter(
     ([, { state }]) =>
-      state.servers.get('records-1')?.statements?.limit?.sends.sinceMs !== undefined,
+      state.servers.get('records-1')?.statements?.limit?.sends.sharingSinceMs !== undefined,
   );
   expect(senders.length).to.equal(2);
   fleet.kill(senders[0]?.[0] ?? '');
@@ -252,7 +252,7 @@
   fleet.pass(4000);
   const { exchangeId, attemptId } = sentOf(fleet.take('box-3', requestOf())) as Sent;
   const ids = { exchangeId, attemptId };
-  const statements = { ...NOTHING_SAID, restMs: 2000 };
+  const statements = { ...NOTHING_SAID, pauseMs: 2000 };
   fleet.take('box-3', { type: 'answerBegun', ...ids, statements });
   fleet.take('box-3', { type: 'attemptAnswered', ...ids, verdict: 'notRun', status: 503 });
   fleet.pass(300);
--- a/packages/reedlug-gateway/src/slices/statements/__tests__/rests.test.ts
+++ b/packages/reedlug-gateway/src/slices/statements/__tests__/rests.test.ts
@@ -40,7 +40,7 @@
 
 function refuse(box: Taker, { exchangeId, attemptId }: Sent, restMs: number): void {
   const ids = { exchangeId, attemptId };
-  box.take({ type: 'answerBegun', ...ids, statements: { ...NOTHING_SAID, restMs } });
+  box.take({ type: 'answerBegun', ...ids, statements: { ...NOTHING_SAID, pauseMs: restMs } });
   box.take({ type: 'attemptAnswered', ...ids, verdict: 'notRun', status: 503 });
 }
 
--- a/packages/reedlug-gateway/src/slices/statements/announcement.ts
+++ b/packages/reedlug-gateway/src/slices/statements/announcement.ts
@@ -5,12 +5,15 @@
 const AGAIN_MS = 1000;
 
 /** Whether others are to be told of a change now. */
-export function isNews({ changedAtMs, toldAtMs }: Announcement, nowMs: number): boolean {
-  if (toldAtMs === undefined) return true;
-  return toldAtMs < changedAtMs + AGAIN_MS && nowMs >= changedAtMs + AGAIN_MS;
+export function isNews({ changedAtMs, announcedAtMs }: Announcement, nowMs: number): boolean {
+  if (announcedAtMs === undefined) return true;
+  return announcedAtMs < changedAtMs + AGAIN_MS && nowMs >= changedAtMs + AGAIN_MS;
 }
 
 /** The announcement of a change that others tell, and tell again. */
-export function asTold({ changedAtMs }: Announcement): { changedAtMs: number; toldAtMs: number } {
-  return { changedAtMs, toldAtMs: changedAtMs + AGAIN_MS };
+export function asTold({ changedAtMs }: Announcement): {
+  changedAtMs: number;
+  announcedAtMs: number;
+} {
+  return { changedAtMs, announcedAtMs: changedAtMs + AGAIN_MS };
 }
--- a/packages/reedlug-gateway/src/slices/statements/answerStatements.ts
+++ b/packages/reedlug-gateway/src/slices/statements/answerStatements.ts
@@ -3,7 +3,7 @@
 import type { Attempt, RequestRecord } from '../../types/request.js';
 import type {
   AnswerStatements,
-  LifeStatements,
+  IncarnationStatements,
   LimitStatement,
 } from '../../types/serverStatement.js';
 import { mergeLeaving } from './leaving.js';
@@ -24,11 +24,11 @@
   const { record, attempt, said } = params;
   const source = record.facts.requestId;
   takeLimit(state, step, { attempt, limit: said.limit, source });
-  if (said.restMs !== undefined) {
+  if (said.pauseMs !== undefined) {
     const statements = statementsFor(state, step, attempt);
-    if (statements !== undefined) mergeOwnRest(step, { statements, restMs: said.restMs, source });
+    if (statements !== undefined) mergeOwnRest(step, { statements, restMs: said.pauseMs, source });
   }
-  if (said.isLeaving) mergeLeaving(state, step, { life: attempt, source, isListed: false });
+  if (said.isDraining) mergeLeaving(state, step, { life: attempt, source, isListed: false });
 }
 
 /** A server that refuses has little open and would be the cheapest choice again; one that asked for rest is not chosen. */
@@ -68,7 +68,7 @@
   step: Step,
   attempt: Attempt,
   perSecond: number | undefined,
-): LifeStatements | undefined {
+): IncarnationStatements | undefined {
   if (perSecond === undefined && !state.statements.has(attempt.serverId)) return undefined;
   return statementsFor(state, step, attempt);
 }
--- a/packages/reedlug-gateway/src/slices/statements/eligibility.ts
+++ b/packages/reedlug-gateway/src/slices/statements/eligibility.ts
@@ -1,7 +1,7 @@
 /** Whether a server may be sent a request by what it has said: the one gate of all sends. */
 import { limitNow, nextSendAtMs, noteLimitedSend } from '../../policy/serverLimit.js';
 import type { GatewayState } from '../../state.js';
-import type { LifeStatements } from '../../types/serverStatement.js';
+import type { IncarnationStatements } from '../../types/serverStatement.js';
 import type { ServerView } from '../../types/views.js';
 import { mayProbeRest, noteSendInRest, restsUntilMs } from './rests.js';
 import { ownPart } from './senderPart.js';
@@ -27,7 +27,7 @@
 }
 
 /** When a rest lets this box send again. */
-function restedAtMs(state: GatewayState, life: LifeStatements, nowMs: number): number {
+function restedAtMs(state: GatewayState, life: IncarnationStatements, nowMs: number): number {
   const { rest } = life;
   if (rest === undefined) return nowMs;
   const untilMs = restsUntilMs(rest);
--- a/packages/reedlug-gateway/src/slices/statements/leaving.ts
+++ b/packages/reedlug-gateway/src/slices/statements/leaving.ts
@@ -1,6 +1,6 @@
 /** Servers that say they leave: for the rest of that life they get nothing, whatever else says they are ready. */
 import { log, type GatewayState, type Step } from '../../state.js';
-import type { ServerLife } from '../../types/server.js';
+import type { ServerIncarnation } from '../../types/server.js';
 import { asTold } from './announcement.js';
 import { statementsFor } from './lifeStatements.js';
 
@@ -8,12 +8,12 @@
 export function mergeLeaving(
   state: GatewayState,
   step: Step,
-  params: { life: ServerLife; source: string; isListed: boolean },
+  params: { life: ServerIncarnation; source: string; isListed: boolean },
 ): void {
   const { life, source, isListed } = params;
   const statements = statementsFor(state, step, life);
   if (statements === undefined || statements.leaving !== undefined) return;
-  const announcement = { changedAtMs: step.nowMs, toldAtMs: undefined };
+  const announcement = { changedAtMs: step.nowMs, announcedAtMs: undefined };
   // The registry tells all boxes itself.
   statements.leaving = { announcement: isListed ? asTold(announcement) : announcement };
   const view = state.servers.get(life.serverId);
--- a/packages/reedlug-gateway/src/slices/statements/lifeStatements.ts
+++ b/packages/reedlug-gateway/src/slices/statements/lifeStatements.ts
@@ -5,8 +5,8 @@
  * undoes no statement, and a next life begins without any.
  */
 import type { GatewayState, Step } from '../../state.js';
-import { isLaterLife, type ServerLife } from '../../types/server.js';
-import type { LifeStatements, ServerLeaving } from '../../types/serverStatement.js';
+import { isLaterIncarnation, type ServerIncarnation } from '../../types/server.js';
+import type { IncarnationStatements, ServerDraining } from '../../types/serverStatement.js';
 import type { ServerView } from '../../types/views.js';
 import { isLimitOver } from './limits.js';
 
@@ -20,18 +20,19 @@
 export function statementsFor(
   state: GatewayState,
   step: Step,
-  life: ServerLife,
-): LifeStatements | undefined {
+  life: ServerIncarnation,
+): IncarnationStatements | undefined {
   const { serverId, bornAtMs } = life;
   const known = state.statements.get(serverId);
   const view = state.servers.get(serverId);
   const latestMs = view?.entry.bornAtMs ?? state.goneServers.get(serverId)?.bornAtMs;
-  if (isLaterLife(latestMs, bornAtMs) || isLaterLife(known?.bornAtMs, bornAtMs)) return undefined;
-  if (known !== undefined && !isLaterLife(bornAtMs, known.bornAtMs ?? latestMs)) {
+  if (isLaterIncarnation(latestMs, bornAtMs) || isLaterIncarnation(known?.bornAtMs, bornAtMs))
+    return undefined;
+  if (known !== undefined && !isLaterIncarnation(bornAtMs, known.bornAtMs ?? latestMs)) {
     known.bornAtMs ??= bornAtMs;
     return known;
   }
-  const made: LifeStatements = {
+  const made: IncarnationStatements = {
     ...life,
     limit: undefined,
     rest: undefined,
@@ -40,18 +41,19 @@
     listedAtMs: step.nowMs,
   };
   state.statements.set(serverId, made);
-  if (view !== undefined && !isLaterLife(bornAtMs, view.entry.bornAtMs)) view.statements = made;
+  if (view !== undefined && !isLaterIncarnation(bornAtMs, view.entry.bornAtMs))
+    view.statements = made;
   return made;
 }
 
 /** What is known of a life that the registry lists now; the statements of an earlier one are forgotten. */
 export function findStatements(
   state: GatewayState,
-  { serverId, bornAtMs }: ServerLife,
-): LifeStatements | undefined {
+  { serverId, bornAtMs }: ServerIncarnation,
+): IncarnationStatements | undefined {
   const known = state.statements.get(serverId);
-  if (known === undefined || isLaterLife(known.bornAtMs, bornAtMs)) return undefined;
-  if (isLaterLife(bornAtMs, known.bornAtMs)) {
+  if (known === undefined || isLaterIncarnation(known.bornAtMs, bornAtMs)) return undefined;
+  if (isLaterIncarnation(bornAtMs, known.bornAtMs)) {
     state.statements.delete(serverId);
     return undefined;
   }
@@ -68,7 +70,7 @@
 }
 
 /** What servers of a service have said that leave and are still listed. */
-export function leavingServersOf(state: GatewayState, service: string): ServerLeaving[] {
+export function leavingServersOf(state: GatewayState, service: string): ServerDraining[] {
   return [...state.statements.values()].flatMap((statements) => {
     const isOfService = viewOf(state, statements)?.entry.service === service;
     return isOfService && statements.leaving !== undefined ? [statements.leaving] : [];
@@ -87,7 +89,7 @@
   }
 }
 
-function isAnyInForce(statements: LifeStatements, nowMs: number): boolean {
+function isAnyInForce(statements: IncarnationStatements, nowMs: number): boolean {
   const { limit, rest, refusal, leaving } = statements;
   if (leaving !== undefined) return true;
   if (refusal !== undefined && nowMs - refusal.atMs < REFUSAL_KNOWN_MS) return true;
@@ -95,7 +97,7 @@
   return limit !== undefined && !isLimitOver(limit, nowMs);
 }
 
-function viewOf(state: GatewayState, statements: LifeStatements): ServerView | undefined {
+function viewOf(state: GatewayState, statements: IncarnationStatements): ServerView | undefined {
   const view = state.servers.get(statements.serverId);
   return view?.statements === statements ? view : undefined;
 }
--- a/packages/reedlug-gateway/src/slices/statements/limits.ts
+++ b/packages/reedlug-gateway/src/slices/statements/limits.ts
@@ -1,7 +1,11 @@
 /** Limits of servers as this box merges them, from its own answers and from other boxes. */
 import { isNewerLimit } from '../../policy/serverLimit.js';
 import { log, type Step } from '../../state.js';
-import type { LifeStatements, LimitFact, ServerLimit } from '../../types/serverStatement.js';
+import type {
+  IncarnationStatements,
+  LimitObservation,
+  ServerLimit,
+} from '../../types/serverStatement.js';
 
 /** Time for which an end of a limit is known, in ms: no news of it are on their way any more. */
 const END_KNOWN_MS = 60_000;
@@ -9,7 +13,11 @@
 /** Merges what a server said of its limit; `source` names the request, or the box that told it. */
 export function mergeLimit(
   step: Step,
-  { statements, fact, source }: { statements: LifeStatements; fact: LimitFact; source: string },
+  {
+    statements,
+    fact,
+    source,
+  }: { statements: IncarnationStatements; fact: LimitObservation; source: string },
 ): void {
   const { limit } = statements;
   if (!isNewerLimit(fact, limit)) return;
@@ -22,7 +30,7 @@
   known.receivedAtMs = receivedAtMs;
   known.lastPerSecond = perSecond ?? known.lastPerSecond;
   if (before === perSecond) return;
-  known.announcement = { changedAtMs: step.nowMs, toldAtMs: undefined };
+  known.announcement = { changedAtMs: step.nowMs, announcedAtMs: undefined };
   log(step, perSecond === undefined ? 'serverLimitEnded' : 'serverLimitNamed', {
     server: statements.serverId,
     bornAtMs: statements.bornAtMs ?? 0,
@@ -38,13 +46,13 @@
   return perSecond === undefined && nowMs - receivedAtMs >= END_KNOWN_MS;
 }
 
-function createLimit(fact: LimitFact, nowMs: number): ServerLimit {
+function createLimit(fact: LimitObservation, nowMs: number): ServerLimit {
   return {
     ...fact,
     lastPerSecond: fact.perSecond ?? 0,
     knownSinceMs: nowMs,
-    announcement: { changedAtMs: nowMs, toldAtMs: undefined },
+    announcement: { changedAtMs: nowMs, announcedAtMs: undefined },
     rank: undefined,
-    sends: { atMs: [], sinceMs: undefined, followsOther: false },
+    sends: { atMs: [], sharingSinceMs: undefined, replacedAnotherBox: false },
   };
 }
--- a/packages/reedlug-gateway/src/slices/statements/missingEngines.ts
+++ b/packages/reedlug-gateway/src/slices/statements/missingEngines.ts
@@ -4,7 +4,7 @@
 import type { EngineNeed, ServiceLoad } from '../../policy/engineTarget.js';
 import type { GatewayState, Step } from '../../state.js';
 import type { ServiceSpec } from '../../types/configuration.js';
-import type { LifeStatements } from '../../types/serverStatement.js';
+import type { IncarnationStatements } from '../../types/serverStatement.js';
 import { statingServersOf } from './lifeStatements.js';
 import { restsUntilMs } from './rests.js';
 
@@ -36,7 +36,7 @@
 
 /** Requests a second that a server takes by what it said; undefined for as many as come. A rest that is over before another engine is there counts for nothing. */
 function takenPerSecond(
-  { limit, rest }: LifeStatements,
+  { limit, rest }: IncarnationStatements,
   { nowMs, bootMs }: { nowMs: number; bootMs: number },
 ): number | undefined {
   if (rest !== undefined && restsUntilMs(rest) - nowMs > bootMs) return 0;
--- a/packages/reedlug-gateway/src/slices/statements/refusals.ts
+++ b/packages/reedlug-gateway/src/slices/statements/refusals.ts
@@ -1,7 +1,7 @@
 /** Refusals without a time, of which all boxes hear: else each of them learns alone that a server refuses. */
 import { noteFailure } from '../../policy/serverHealth.js';
 import type { GatewayState, Step } from '../../state.js';
-import type { LifeStatements } from '../../types/serverStatement.js';
+import type { IncarnationStatements } from '../../types/serverStatement.js';
 
 /** Time within which several refusals of a server are told as one, in ms: a server that is full refuses many at once. */
 const SAME_REFUSAL_MS = 500;
@@ -10,12 +10,12 @@
 export function mergeRefusal(
   state: GatewayState,
   { nowMs }: Step,
-  { statements, ageMs }: { statements: LifeStatements; ageMs: number },
+  { statements, ageMs }: { statements: IncarnationStatements; ageMs: number },
 ): void {
   const atMs = nowMs - ageMs;
   const known = statements.refusal;
   if (known !== undefined && atMs < known.atMs + SAME_REFUSAL_MS) return;
-  statements.refusal = { atMs, announcement: { changedAtMs: nowMs, toldAtMs: undefined } };
+  statements.refusal = { atMs, announcement: { changedAtMs: nowMs, announcedAtMs: undefined } };
   const view = state.servers.get(statements.serverId);
   if (view?.statements === statements) noteFailure(view, nowMs);
 }
--- a/packages/reedlug-gateway/src/slices/statements/rests.ts
+++ b/packages/reedlug-gateway/src/slices/statements/rests.ts
@@ -7,7 +7,11 @@
  */
 import { log, type GatewayState, type Step } from '../../state.js';
 import type { Attempt } from '../../types/request.js';
-import type { LifeStatements, ServerRest, ServerStatement } from '../../types/serverStatement.js';
+import type {
+  IncarnationStatements,
+  ServerPause,
+  ServerStatement,
+} from '../../types/serverStatement.js';
 import { rankOf } from './senderPart.js';
 
 /** Two tellings of one rest differ by less, in ms: each comes a way later. A shorter rest is over before others hear of it. */
@@ -22,7 +26,7 @@
 /** Merges a rest that a server asked this box for. */
 export function mergeOwnRest(
   step: Step,
-  params: { statements: LifeStatements; restMs: number; source: string },
+  params: { statements: IncarnationStatements; restMs: number; source: string },
 ): void {
   const { statements, restMs, source } = params;
   const rest = mergeRest(step, {
@@ -42,15 +46,19 @@
 /** Merges a rest of which this box or another one knows. */
 export function mergeRest(
   step: Step,
-  { statements, told, source }: { statements: LifeStatements; told: RestStatement; source: string },
-): ServerRest {
+  {
+    statements,
+    told,
+    source,
+  }: { statements: IncarnationStatements; told: RestStatement; source: string },
+): ServerPause {
   const { nowMs } = step;
   const known = statements.rest;
   const rest = known ?? createRest(nowMs);
   statements.rest = rest;
   const before = { ...rest, wasLifted: isLifted(rest) };
   rest.untilMs = Math.max(rest.untilMs, nowMs + told.leftMs);
-  rest.askedAtMs = Math.max(rest.askedAtMs, nowMs - told.askedAgeMs);
+  rest.requestedAtMs = Math.max(rest.requestedAtMs, nowMs - told.askedAgeMs);
   rest.probeAtMs = Math.max(rest.probeAtMs, timeOf(told.probeAgeMs, nowMs));
   rest.servedAtMs = Math.max(rest.servedAtMs, timeOf(told.servedAgeMs, nowMs));
   const isNews =
@@ -59,7 +67,7 @@
     rest.probeAtMs > before.probeAtMs + SAME_REST_MS ||
     isLifted(rest) !== before.wasLifted;
   if (!isNews) return rest;
-  rest.announcement = { changedAtMs: nowMs, toldAtMs: undefined };
+  rest.announcement = { changedAtMs: nowMs, announcedAtMs: undefined };
   log(step, 'serverRests', {
     server: statements.serverId,
     bornAtMs: statements.bornAtMs ?? 0,
@@ -71,37 +79,37 @@
 }
 
 /** A rest as others are told. */
-export function restStatement(rest: ServerRest, nowMs: number): RestStatement {
+export function restStatement(rest: ServerPause, nowMs: number): RestStatement {
   return {
     kind: 'rest',
     leftMs: Math.round(rest.untilMs - nowMs),
-    askedAgeMs: Math.round(nowMs - rest.askedAtMs),
+    askedAgeMs: Math.round(nowMs - rest.requestedAtMs),
     probeAgeMs: ageOf(rest.probeAtMs, nowMs),
     servedAgeMs: ageOf(rest.servedAtMs, nowMs),
   };
 }
 
 /** Until when this box keeps a rest. */
-export function restsUntilMs(rest: ServerRest): number {
+export function restsUntilMs(rest: ServerPause): number {
   return isLifted(rest) ? rest.ownUntilMs : rest.untilMs;
 }
 
 /** Whether this box may send the one request of the fleet by which it shows whether a long rest stands. */
 export function mayProbeRest(
   state: GatewayState,
-  { rest, life, nowMs }: { rest: ServerRest; life: LifeStatements; nowMs: number },
+  { rest, life, nowMs }: { rest: ServerPause; life: IncarnationStatements; nowMs: number },
 ): boolean {
-  const restedMs = nowMs - rest.askedAtMs;
-  if (restedMs < PROBE_AFTER_MS || rest.probeAtMs >= rest.askedAtMs) return false;
+  const restedMs = nowMs - rest.requestedAtMs;
+  if (restedMs < PROBE_AFTER_MS || rest.probeAtMs >= rest.requestedAtMs) return false;
   const rank = rankOf(state, { life, ranked: rest, nowMs });
   return restedMs >= PROBE_AFTER_MS + rank * NEXT_PROBE_MS;
 }
 
 /** Notes a send to a server that rests. */
-export function noteSendInRest(rest: ServerRest, nowMs: number): void {
+export function noteSendInRest(rest: ServerPause, nowMs: number): void {
   if (restsUntilMs(rest) <= nowMs) return;
   rest.probeAtMs = nowMs;
-  rest.announcement = { changedAtMs: nowMs, toldAtMs: undefined };
+  rest.announcement = { changedAtMs: nowMs, announcedAtMs: undefined };
 }
 
 /** A server has served a request: where that was the probe of a rest, the rest is over for boxes that were not asked. */
@@ -111,12 +119,12 @@
   if (statements?.bornAtMs !== attempt.bornAtMs || rest === undefined) return;
   if (attempt.sentAtMs !== rest.probeAtMs || isLifted(rest)) return;
   rest.servedAtMs = step.nowMs;
-  rest.announcement = { changedAtMs: step.nowMs, toldAtMs: undefined };
+  rest.announcement = { changedAtMs: step.nowMs, announcedAtMs: undefined };
   log(step, 'serverRestLifted', { server: attempt.serverId });
 }
 
-function isLifted({ servedAtMs, askedAtMs }: ServerRest): boolean {
-  return servedAtMs > askedAtMs;
+function isLifted({ servedAtMs, requestedAtMs }: ServerPause): boolean {
+  return servedAtMs > requestedAtMs;
 }
 
 function timeOf(ageMs: number | undefined, nowMs: number): number {
@@ -127,14 +135,14 @@
   return atMs === Number.NEGATIVE_INFINITY ? undefined : Math.round(nowMs - atMs);
 }
 
-function createRest(nowMs: number): ServerRest {
+function createRest(nowMs: number): ServerPause {
   return {
     untilMs: nowMs,
-    askedAtMs: Number.NEGATIVE_INFINITY,
+    requestedAtMs: Number.NEGATIVE_INFINITY,
     ownUntilMs: nowMs,
     probeAtMs: Number.NEGATIVE_INFINITY,
     servedAtMs: Number.NEGATIVE_INFINITY,
-    announcement: { changedAtMs: nowMs, toldAtMs: undefined },
+    announcement: { changedAtMs: nowMs, announcedAtMs: undefined },
     rank: undefined,
   };
 }
--- a/packages/reedlug-gateway/src/slices/statements/returnTimes.ts
+++ b/packages/reedlug-gateway/src/slices/statements/returnTimes.ts
@@ -34,13 +34,13 @@
   const { service, urgency, facts } = record;
   // Others refuse callers as well, and all of them come back to the same servers.
   const pauseMs = (1000 * fleetSize(state)) / perSecond;
-  const told = state.returnTimes.get(service) ?? new Map<number, number>();
+  const told = state.retryAfterTimes.get(service) ?? new Map<number, number>();
   const ahead = [...told].filter(([other]) => other <= urgency).map(([, atMs]) => atMs);
   const lastAtMs = Math.max(Number.NEGATIVE_INFINITY, ...ahead);
   const atMs = Math.max(nextAtMs, lastAtMs + pauseMs);
   const waitMs = Math.min(mostRetryMs, Math.max(0, atMs - nowMs));
   told.set(urgency, nowMs + waitMs);
-  state.returnTimes.set(service, told);
+  state.retryAfterTimes.set(service, told);
   return spreadRetryMs(waitMs, facts.requestId);
 }
 
@@ -54,7 +54,7 @@
 
 function intakeOf(
   state: GatewayState,
-  { service, avoid }: RequestRecord,
+  { service, excludedServers }: RequestRecord,
   nowMs: number,
 ): Intake | undefined {
   let limitedPerSecond = 0;
@@ -65,7 +65,8 @@
     const { limit, rest } = view.statements ?? {};
     const limitPerSecond = limit && limitNow(limit, nowMs);
     const isResting = rest !== undefined && restsUntilMs(rest) > nowMs;
-    if (avoid.has(view.entry.id) || (limitPerSecond === undefined && !isResting)) continue;
+    if (excludedServers.has(view.entry.id) || (limitPerSecond === undefined && !isResting))
+      continue;
     if (limitPerSecond !== undefined) limitedPerSecond += limitPerSecond;
     else restedPerSecond += (view.entry.slots * RESTED_SHARE * 1000) / stayMs;
     nextAtMs = Math.min(nextAtMs, eligibleAtMs(state, view, nowMs));
--- a/packages/reedlug-gateway/src/slices/statements/senderPart.ts
+++ b/packages/reedlug-gateway/src/slices/statements/senderPart.ts
@@ -10,8 +10,8 @@
 import { hashString } from 'reedlug-coordination';
 import { sendersOf } from '../../policy/serverLimit.js';
 import type { GatewayState } from '../../state.js';
-import { lifeOf, type ServerLife } from '../../types/server.js';
-import type { ReachedFleet, SenderRank, ServerLimit } from '../../types/serverStatement.js';
+import { incarnationOf, type ServerIncarnation } from '../../types/server.js';
+import type { ReachableFleet, SenderRank, ServerLimit } from '../../types/serverStatement.js';
 import type { PeerView, ServerView } from '../../types/views.js';
 import {
   boxesBefore,
@@ -36,7 +36,7 @@
   { limit, perSecond, nowMs }: { limit: ServerLimit; perSecond: number; nowMs: number },
 ): number {
   const isFirstLook = limit.rank === undefined;
-  const rank = rankOf(state, { life: lifeOf(view.entry), ranked: limit, nowMs });
+  const rank = rankOf(state, { life: incarnationOf(view.entry), ranked: limit, nowMs });
   const senders = sendersOf(perSecond, nowMs - limit.receivedAtMs);
   // The callers of a box that stops go to others.
   const isSender = rank < senders && state.stoppingSinceMs === undefined;
@@ -52,25 +52,25 @@
   { sends, knownSinceMs }: ServerLimit,
   { isSender, isFirstLook, nowMs }: { isSender: boolean; isFirstLook: boolean; nowMs: number },
 ): void {
-  if (!isSender) sends.sinceMs = undefined;
-  if (!isSender || sends.sinceMs !== undefined) return;
-  sends.sinceMs = nowMs;
-  sends.followsOther = !isFirstLook || knownSinceMs - startedAtMs < SETTLED_MS;
+  if (!isSender) sends.sharingSinceMs = undefined;
+  if (!isSender || sends.sharingSinceMs !== undefined) return;
+  sends.sharingSinceMs = nowMs;
+  sends.replacedAnotherBox = !isFirstLook || knownSinceMs - startedAtMs < SETTLED_MS;
 }
 
 /** How many boxes come before this one among those that may send to a server; kept in what is ranked. */
 export function rankOf(
   state: GatewayState,
-  params: { life: ServerLife; ranked: { rank: SenderRank | undefined }; nowMs: number },
+  params: { life: ServerIncarnation; ranked: { rank: SenderRank | undefined }; nowMs: number },
 ): number {
   const { life, ranked, nowMs } = params;
   const known = ranked.rank;
-  const { byHubs } = reachedFleet(state, nowMs);
-  const lookEveryMs = byHubs ? LOOK_AT_LIST_EVERY_MS : LOOK_EVERY_MS;
-  if (known !== undefined && nowMs - known.lookedAtMs < lookEveryMs) return known.rank;
+  const { viaHubs } = reachedFleet(state, nowMs);
+  const lookEveryMs = viaHubs ? LOOK_AT_LIST_EVERY_MS : LOOK_EVERY_MS;
+  if (known !== undefined && nowMs - known.checkedAtMs < lookEveryMs) return known.rank;
   const lifeHash = hashString(`${life.serverId} ${life.bornAtMs ?? ''}`);
-  const rank = boxesBefore(state, lifeHash, (peer) => mayBeSender(peer, byHubs, nowMs));
-  ranked.rank = { rank, lookedAtMs: nowMs };
+  const rank = boxesBefore(state, lifeHash, (peer) => mayBeSender(peer, viaHubs, nowMs));
+  ranked.rank = { rank, checkedAtMs: nowMs };
   return rank;
 }
 
@@ -81,12 +81,12 @@
 }
 
 /** The fleet as this box hears it: each send may look at hundreds of limited servers. */
-function reachedFleet(state: GatewayState, nowMs: number): ReachedFleet {
-  const known = state.reachedFleet;
-  if (known !== undefined && nowMs - known.lookedAtMs < LOOK_EVERY_MS) return known;
+function reachedFleet(state: GatewayState, nowMs: number): ReachableFleet {
+  const known = state.reachableFleet;
+  if (known !== undefined && nowMs - known.checkedAtMs < LOOK_EVERY_MS) return known;
   const heard = countedPeers(state, nowMs).filter((peer) => countsFreshly(peer, nowMs));
   const boxes = fleetSize(state);
   const share = Math.min(1, boxesCovered(heard) / boxes);
-  state.reachedFleet = { boxes, share, byHubs: usesHubs(state), lookedAtMs: nowMs };
-  return state.reachedFleet;
+  state.reachableFleet = { boxes, share, viaHubs: usesHubs(state), checkedAtMs: nowMs };
+  return state.reachableFleet;
 }
--- a/packages/reedlug-gateway/src/slices/statements/statementNews.ts
+++ b/packages/reedlug-gateway/src/slices/statements/statementNews.ts
@@ -11,10 +11,10 @@
 import type { PeerAddress } from '../../types/peer.js';
 import type {
   Announcement,
-  LifeStatements,
+  IncarnationStatements,
   ServerLimit,
   ServerStatement,
-  StatementOfLife,
+  IncarnationStatement,
 } from '../../types/serverStatement.js';
 import type { PeerView } from '../../types/views.js';
 import { handsOn, SILENT_AFTER_MS } from '../fleet.js';
@@ -36,9 +36,9 @@
 export function statementsTick(state: GatewayState, step: Step): void {
   forgetOldStatements(state, step);
   const { nowMs } = step;
-  const hasNewcomers = state.newcomers.size > 0;
-  const due: StatementOfLife[] = [];
-  const all: StatementOfLife[] = [];
+  const hasNewcomers = state.peersNeedingStatements.size > 0;
+  const due: IncarnationStatement[] = [];
+  const all: IncarnationStatement[] = [];
   for (const known of state.statements.values()) {
     if (!hasNewcomers && !isAnyDue(known, nowMs)) continue;
     for (const { statement, announcement, isDue } of standing(known, nowMs)) {
@@ -46,18 +46,18 @@
       if (hasNewcomers) all.push({ serverId, bornAtMs, statement });
       if (!isDue) continue;
       due.push({ serverId, bornAtMs, statement });
-      announcement.toldAtMs = nowMs;
+      announcement.announcedAtMs = nowMs;
     }
   }
   if (due.length > 0) tell(state, step, due, neighbours(state, nowMs));
-  if (all.length > 0) tell(state, step, all, addressesOf(state, state.newcomers));
-  state.newcomers.clear();
+  if (all.length > 0) tell(state, step, all, addressesOf(state, state.peersNeedingStatements));
+  state.peersNeedingStatements.clear();
 }
 
 /** Whether others are to be told something now; thousands of servers may have said something that they know. */
-function isAnyDue(statements: LifeStatements, nowMs: number): boolean {
+function isAnyDue(statements: IncarnationStatements, nowMs: number): boolean {
   const { limit, rest, refusal, leaving } = statements;
-  if (refusal !== undefined && refusal.announcement.toldAtMs === undefined) return true;
+  if (refusal !== undefined && refusal.announcement.announcedAtMs === undefined) return true;
   if (limit !== undefined && isLimitDue(limit, nowMs)) return true;
   if (rest !== undefined && isNews(rest.announcement, nowMs)) return true;
   return leaving !== undefined && isNews(leaving.announcement, nowMs);
@@ -70,7 +70,7 @@
   isDue: boolean;
 }
 
-function standing(statements: LifeStatements, nowMs: number): Standing[] {
+function standing(statements: IncarnationStatements, nowMs: number): Standing[] {
   const { limit, rest, refusal, leaving } = statements;
   const found: Standing[] = [];
   if (limit !== undefined) {
@@ -96,7 +96,7 @@
     found.push({
       statement: { kind: 'refusal', ageMs: Math.round(nowMs - atMs) },
       announcement,
-      isDue: announcement.toldAtMs === undefined,
+      isDue: announcement.announcedAtMs === undefined,
     });
   }
   if (leaving !== undefined) {
@@ -112,8 +112,8 @@
 
 function isLimitDue({ announcement, receivedAtMs }: ServerLimit, nowMs: number): boolean {
   if (isNews(announcement, nowMs)) return true;
-  const { toldAtMs = nowMs } = announcement;
-  return receivedAtMs > toldAtMs && nowMs - toldAtMs >= RENEW_MS;
+  const { announcedAtMs = nowMs } = announcement;
+  return receivedAtMs > announcedAtMs && nowMs - announcedAtMs >= RENEW_MS;
 }
 
 function addressesOf(state: GatewayState, boxIds: ReadonlySet<string>): PeerAddress[] {
@@ -123,7 +123,7 @@
 function tell(
   state: GatewayState,
   step: Step,
-  news: readonly StatementOfLife[],
+  news: readonly IncarnationStatement[],
   to: readonly PeerAddress[],
 ): void {
   if (to.length === 0) return;
@@ -143,9 +143,9 @@
   incarnation: number,
 ): void {
   const isNewLife = peer.message?.incarnation !== incarnation;
-  const wasSilent = step.nowMs - peer.heardAtMs > SILENT_AFTER_MS;
+  const wasSilent = step.nowMs - peer.lastReceivedAtMs > SILENT_AFTER_MS;
   if (!isNewLife && !wasSilent) return;
-  state.newcomers.add(peer.boxId);
+  state.peersNeedingStatements.add(peer.boxId);
   tellDecisions(state, step);
 }
 
@@ -159,7 +159,7 @@
   for (const news of statements) take(state, step, news, boxId);
 }
 
-function take(state: GatewayState, step: Step, news: StatementOfLife, source: string): void {
+function take(state: GatewayState, step: Step, news: IncarnationStatement, source: string): void {
   const { statement } = news;
   if (statement.kind === 'rest' && statement.leftMs < SAME_REST_MS) return;
   if (statement.kind === 'leaving')
@@ -197,5 +197,5 @@
   announcement: Announcement | undefined,
 ): void {
   if (announcement === undefined || handsOn(state)) return;
-  announcement.toldAtMs = Math.max(nowMs, asTold(announcement).toldAtMs);
+  announcement.announcedAtMs = Math.max(nowMs, asTold(announcement).announcedAtMs);
 }
--- a/packages/reedlug-gateway/src/slices/storeEra.ts
+++ b/packages/reedlug-gateway/src/slices/storeEra.ts
@@ -26,10 +26,13 @@
   if (!isNewEra(state, era)) return;
   const before = state.storeEra;
   state.storeEra = era;
-  state.eraKnown = { sinceMs: step.nowMs, toldSinceWallMs: Number.POSITIVE_INFINITY };
+  state.eraKnown = {
+    sinceMs: step.nowMs,
+    reportedSinceWallClockMs: Number.POSITIVE_INFINITY,
+  };
   noteLeaseEra(state.lease, { era, isFirst: before === undefined, nowMs: step.nowMs });
   if (before === undefined) return log(step, 'storeEraFirst', { era, source });
-  state.storeCopyAtMs = step.nowMs;
+  state.storeRestoredAtMs = step.nowMs;
   log(step, 'storeCameBack', { era, before, source });
   step.effects.push({ type: 'readStoreAgain' });
   forgetCheckpoint(state);
@@ -40,6 +43,6 @@
 }
 
 /** Whether a whole collection that is read now may lack what was there, and show what is gone. */
-export function mayShowCopy({ storeCopyAtMs }: GatewayState, nowMs: number): boolean {
-  return nowMs - storeCopyAtMs < COPY_SHOWS_MS;
+export function mayShowCopy({ storeRestoredAtMs }: GatewayState, nowMs: number): boolean {
+  return nowMs - storeRestoredAtMs < COPY_SHOWS_MS;
 }
--- a/packages/reedlug-gateway/src/slices/suspension.ts
+++ b/packages/reedlug-gateway/src/slices/suspension.ts
@@ -17,32 +17,32 @@
 
 /** Looks at the time of day before an event is handled. */
 export function noteWallClock(state: GatewayState, step: Step): void {
-  const aheadMs = step.wallMs - step.nowMs;
-  const lostMs = aheadMs - (state.wallAheadMs ?? aheadMs);
-  state.wallAheadMs = aheadMs;
+  const aheadMs = step.wallClockMs - step.nowMs;
+  const lostMs = aheadMs - (state.wallClockAheadMs ?? aheadMs);
+  state.wallClockAheadMs = aheadMs;
   if (lostMs >= LEAST_MS) doubt(state, step, lostMs, 'timeOfDay');
 }
 
 /** Looks at the store's clock: time since its zero can seem longer than it is, never shorter. */
 export function noteStoreEpoch(state: GatewayState, step: Step, epochMs: number): void {
   const lostMs = (state.storeEpochMs ?? epochMs) - epochMs;
-  const isTold = step.nowMs - state.suspendedAtMs < SAME_MS;
+  const isTold = step.nowMs - state.resumedAtMs < SAME_MS;
   if (lostMs >= LEAST_MS && !isTold) doubt(state, step, lostMs, 'storeClock');
 }
 
 /** Takes everything that is only safe for a time as that much older. */
 function doubt(state: GatewayState, step: Step, lostMs: number, witness: string): void {
-  state.suspendedAtMs = step.nowMs;
+  state.resumedAtMs = step.nowMs;
   log(step, 'suspended', { lostMs: Math.round(lostMs), witness });
   ageLease(state.lease, lostMs);
   for (const quota of state.quotas.values()) {
     for (const loan of quota.loans) loan.untilMs -= lostMs;
   }
-  for (const ask of state.unitAsks.values()) ask.sentAtMs -= lostMs;
+  for (const ask of state.unitRequests.values()) ask.sentAtMs -= lostMs;
   for (const { limit } of state.statements.values()) {
     const sends = limit?.sends;
-    if (sends?.sinceMs === undefined) continue;
-    sends.sinceMs = step.nowMs;
-    sends.followsOther = true;
+    if (sends?.sharingSinceMs === undefined) continue;
+    sends.sharingSinceMs = step.nowMs;
+    sends.replacedAnotherBox = true;
   }
 }
--- a/packages/reedlug-gateway/src/slices/tellPeers.ts
+++ b/packages/reedlug-gateway/src/slices/tellPeers.ts
@@ -34,8 +34,8 @@
 
 /** Sends this box's news when it is time. */
 export function peersTick(state: GatewayState, step: Step): void {
-  if (step.nowMs - state.newsSentAtMs < NEWS_EVERY_MS) return;
-  state.newsSentAtMs = step.nowMs;
+  if (step.nowMs - state.gossipSentAtMs < NEWS_EVERY_MS) return;
+  state.gossipSentAtMs = step.nowMs;
   forgetGonePeers(state, step);
   noteSilentZones(state, step.nowMs);
   if (state.peers.size === 0) return;
@@ -59,12 +59,12 @@
 
 /** A silent peer is told less often. */
 function isDue(peer: PeerView, nowMs: number): boolean {
-  const isHeard = nowMs - peer.heardAtMs <= PEER_GONE_AFTER_MS;
-  return isHeard || nowMs - peer.toldAtMs >= PROBE_EVERY_MS;
+  const isHeard = nowMs - peer.lastReceivedAtMs <= PEER_GONE_AFTER_MS;
+  return isHeard || nowMs - peer.gossipSentAtMs >= PROBE_EVERY_MS;
 }
 
 function tell(step: Step, peer: PeerView, message: PeerMessage): void {
-  peer.toldAtMs = step.nowMs;
+  peer.gossipSentAtMs = step.nowMs;
   step.effects.push({ type: 'sendPeers', message, to: [peer.address] });
 }
 
@@ -88,7 +88,7 @@
   const hub = state.hubId === undefined ? undefined : state.peers.get(state.hubId);
   if (hub !== undefined) tell(step, hub, news.ofBox());
   for (const peer of betterHubs(state, group)) {
-    if (step.nowMs - peer.toldAtMs < PROBE_EVERY_MS) continue;
+    if (step.nowMs - peer.gossipSentAtMs < PROBE_EVERY_MS) continue;
     tell(step, peer, { ...news.ofBox(), isProbe: true });
   }
 }
@@ -106,17 +106,17 @@
     for (const hub of hubs) tell(step, hub, message);
     if (hubs.length > 0) continue;
     for (const peer of peers.slice(0, PROBED_HUBS)) {
-      if (step.nowMs - peer.toldAtMs >= PROBE_EVERY_MS) tell(step, peer, message);
+      if (step.nowMs - peer.gossipSentAtMs >= PROBE_EVERY_MS) tell(step, peer, message);
     }
   }
 }
 
 /** The sums of hubs leave usage out: it is told by each box to the one that reports it. */
 function tellUsage(state: GatewayState, step: Step): void {
-  if (step.nowMs - state.usageToldAtMs < USAGE_EVERY_MS) return;
+  if (step.nowMs - state.usageSentAtMs < USAGE_EVERY_MS) return;
   const holder = leaseHolder(state, step.nowMs);
   if (holder === undefined) return;
-  state.usageToldAtMs = step.nowMs;
+  state.usageSentAtMs = step.nowMs;
   const { incarnation } = state;
   const usage = ownUsage(state, step);
   const boxId = state.settings.box.id;
--- a/packages/reedlug-gateway/src/slices/unitLoans.ts
+++ b/packages/reedlug-gateway/src/slices/unitLoans.ts
@@ -7,7 +7,7 @@
  * question, which is before the lender charged it, on the clock of the box that sends.
  */
 import type { EventOf } from '../types/event.js';
-import { NewsScope, type UnitsAskedMessage, type UnitsReturnedMessage } from '../types/peer.js';
+import { GossipScope, type UnitsAskedMessage, type UnitsReturnedMessage } from '../types/peer.js';
 import { addUnits } from '../policy/unitWindow.js';
 import { log, type GatewayState, type Step } from '../state.js';
 import type { WorkspaceSpec } from '../types/configuration.js';
@@ -32,7 +32,7 @@
   const { boxId, host, port } = ownAddress(state);
   const askId = state.nextAskId;
   state.nextAskId += 1;
-  state.unitAsks.set(askId, { sentAtMs: step.nowMs, workspace });
+  state.unitRequests.set(askId, { sentAtMs: step.nowMs, workspace });
   const { incarnation } = state;
   const asked = { kind: 'unitsAsked' as const, boxId, incarnation, host, port, askId, hops: 0 };
   askEach(step, lenders, { ...asked, workspace, units });
@@ -50,7 +50,7 @@
   const lenders: Lender[] = [];
   for (const peer of countedPeers(state, nowMs)) {
     const told = peer.message.room?.[workspace] ?? 0;
-    const room = told - (peer.askedUnits.get(workspace) ?? 0);
+    const room = told - (peer.requestedUnits.get(workspace) ?? 0);
     if (room > 0 && countsFreshly(peer, nowMs)) lenders.push({ peer, room });
   }
   return lenders.sort((a, b) => b.room - a.room).slice(0, MOST_ASKED);
@@ -63,7 +63,7 @@
     if (left <= 0) return;
     const units = Math.min(left, room);
     left -= units;
-    peer.askedUnits.set(workspace, (peer.askedUnits.get(workspace) ?? 0) + units);
+    peer.requestedUnits.set(workspace, (peer.requestedUnits.get(workspace) ?? 0) + units);
     step.effects.push({ type: 'sendPeers', message: { ...message, units }, to: [peer.address] });
   }
 }
@@ -94,7 +94,7 @@
   const { workspace, boxId, hops } = message;
   if (!handsOn(state) || hops > MOST_HOPS) return;
   const lenders = lendersOf(state, workspace, step.nowMs).filter(({ peer }) => {
-    const isMember = peer.message.scope === NewsScope.box;
+    const isMember = peer.message.scope === GossipScope.box;
     return peer.boxId !== boxId && (isMember || hops < MOST_HOPS);
   });
   askEach(step, lenders, message);
@@ -106,7 +106,7 @@
   step: Step,
   { message }: EventOf<'unitsLent'>,
 ): WorkspaceSpec | undefined {
-  const ask = state.unitAsks.get(message.askId);
+  const ask = state.unitRequests.get(message.askId);
   if (ask === undefined || message.incarnation !== state.incarnation) return undefined;
   const workspace = findWorkspace(state, ask.workspace);
   const untilMs = ask.sentAtMs + LOAN_MS;
@@ -119,8 +119,8 @@
 
 /** Forgets questions whose loans would have ended, and loans that nobody gives back any more. */
 export function forgetOldAsks(state: GatewayState, nowMs: number): void {
-  for (const [askId, { sentAtMs }] of state.unitAsks) {
-    if (nowMs - sentAtMs > LOAN_MS) state.unitAsks.delete(askId);
+  for (const [askId, { sentAtMs }] of state.unitRequests) {
+    if (nowMs - sentAtMs > LOAN_MS) state.unitRequests.delete(askId);
   }
   for (const [key, { countsFromMs }] of state.lentUnits) {
     if (nowMs > countsFromMs) state.lentUnits.delete(key);
--- a/packages/reedlug-gateway/src/slices/usage.ts
+++ b/packages/reedlug-gateway/src/slices/usage.ts
@@ -10,7 +10,7 @@
 import { CHECKPOINT_KEY, type CheckpointRow } from '../types/checkpoint.js';
 import type { RequestRecord } from '../types/request.js';
 import { log, requestTable, type GatewayState, type Step } from '../state.js';
-import type { UsageDecisionNews } from '../types/peer.js';
+import type { UsageDecisionGossip } from '../types/peer.js';
 import type { UsageCounts, UsageWindow } from '../types/views.js';
 import { agreedWallMs } from './clock.js';
 import { dropLease, dutyFence } from './duties.js';
@@ -62,9 +62,9 @@
     decided: undefined,
     decidedAtMs: Number.NEGATIVE_INFINITY,
     reported: false,
-    toldUntilMs: Number.NEGATIVE_INFINITY,
-    isLeftOut: false,
-    askedAtMs: Number.NEGATIVE_INFINITY,
+    announcedUntilMs: Number.NEGATIVE_INFINITY,
+    isOmissionLogged: false,
+    requestedAtMs: Number.NEGATIVE_INFINITY,
     callId: 0,
   };
   state.usage.set(window, created);
@@ -104,7 +104,7 @@
 export function mergeDecisions(
   state: GatewayState,
   step: Step,
-  decisions: readonly UsageDecisionNews[],
+  decisions: readonly UsageDecisionGossip[],
 ): void {
   const { usageWindowMs } = state.settings.bounds;
   if (usageWindowMs === 0) return;
@@ -139,10 +139,10 @@
 }
 
 function advanceWindow(state: GatewayState, step: Step, entry: UsageWindow, fence: number): void {
-  if (entry.reported || step.nowMs - entry.askedAtMs < RETRY_MS) return;
+  if (entry.reported || step.nowMs - entry.requestedAtMs < RETRY_MS) return;
   if (entry.decided === undefined) return decide(state, step, entry);
   if (!isTold(entry, step.nowMs)) return;
-  entry.askedAtMs = step.nowMs;
+  entry.requestedAtMs = step.nowMs;
   entry.callId = state.nextCallId;
   state.nextCallId += 1;
   step.effects.push({
@@ -156,11 +156,11 @@
 function decide(state: GatewayState, step: Step, entry: UsageWindow): void {
   const { window } = entry;
   if (!mayDecide(state, step, entry)) {
-    if (!entry.isLeftOut) log(step, 'usageLeftOut', { window, reason: 'mayBeReported' });
-    entry.isLeftOut = true;
+    if (!entry.isOmissionLogged) log(step, 'usageLeftOut', { window, reason: 'mayBeReported' });
+    entry.isOmissionLogged = true;
     return;
   }
-  entry.askedAtMs = step.nowMs;
+  entry.requestedAtMs = step.nowMs;
   const writes = [{ key: reportKey(window), expectVersion: 0, value: sumOf(entry) }];
   requestTable(step, { kind: 'usage', window }, { kind: 'transact', writes });
 }
@@ -195,7 +195,7 @@
   if (!mayDecide(state, step, entry)) return;
   const counts = row.value as UsageCounts;
   noteDecision(step, entry, counts);
-  entry.askedAtMs = Number.NEGATIVE_INFINITY;
+  entry.requestedAtMs = Number.NEGATIVE_INFINITY;
   log(step, 'usageDecided', { window, requests: total(counts), answer: answer.kind });
 }
 
@@ -266,8 +266,11 @@
   if (answer.kind === 'done' || row.value === undefined) return;
   const { workspaces, windows, era } = row.value as CheckpointRow;
   if (era?.number === state.storeEra && era !== undefined) {
-    const { eraKnown } = state;
-    eraKnown.toldSinceWallMs = Math.min(eraKnown.toldSinceWallMs, era.sinceWallMs);
+    const { eraKnown: eraKnown } = state;
+    eraKnown.reportedSinceWallClockMs = Math.min(
+      eraKnown.reportedSinceWallClockMs,
+      era.sinceWallMs,
+    );
   }
   for (const [window, byBox] of Object.entries(windows)) {
     windowOf(state, Number(window));
--- a/packages/reedlug-gateway/src/slices/usageDecisions.ts
+++ b/packages/reedlug-gateway/src/slices/usageDecisions.ts
@@ -8,7 +8,7 @@
  * is reported twice can not.
  */
 import { log, type GatewayState, type Step } from '../state.js';
-import type { UsageDecisionNews } from '../types/peer.js';
+import type { UsageDecisionGossip } from '../types/peer.js';
 import type { UsageCounts, UsageWindow } from '../types/views.js';
 import { agreedWallMs } from './clock.js';
 
@@ -43,10 +43,10 @@
 
 /** Time by which the store was in its present era, by the agreed clock. */
 export function eraSinceWallMs(state: GatewayState, step: Step): number {
-  const { sinceMs, toldSinceWallMs } = state.eraKnown;
+  const { sinceMs, reportedSinceWallClockMs } = state.eraKnown;
   // A store without eras loses nothing.
   if (state.storeEra === undefined || state.storeEra === 0) return Number.NEGATIVE_INFINITY;
-  return Math.min(wallAt(state, step, sinceMs), toldSinceWallMs);
+  return Math.min(wallAt(state, step, sinceMs), reportedSinceWallClockMs);
 }
 
 /** A time on this box's clock by the agreed one. */
@@ -78,12 +78,15 @@
 }
 
 function tell(step: Step, entry: UsageWindow): void {
-  entry.toldUntilMs = step.nowMs + TOLD_FOR_MS;
+  entry.announcedUntilMs = step.nowMs + TOLD_FOR_MS;
 }
 
 /** What peers are told now. */
-export function decisionNews(state: GatewayState, nowMs: number): UsageDecisionNews[] | undefined {
-  const told = [...state.usage.values()].filter(({ toldUntilMs }) => nowMs < toldUntilMs);
+export function decisionNews(
+  state: GatewayState,
+  nowMs: number,
+): UsageDecisionGossip[] | undefined {
+  const told = [...state.usage.values()].filter(({ announcedUntilMs }) => nowMs < announcedUntilMs);
   const news = told.flatMap(({ window, decided, reported }) =>
     decided === undefined ? [] : [{ window, counts: decided, isReported: reported }],
   );
@@ -94,7 +97,7 @@
 export function mergeDecision(
   step: Step,
   entry: UsageWindow,
-  { counts, isReported }: UsageDecisionNews,
+  { counts, isReported }: UsageDecisionGossip,
 ): void {
   if (entry.decided === undefined) noteDecision(step, entry, counts);
   else if (!areEqual(entry.decided, counts)) {
--- a/packages/reedlug-gateway/src/state.ts
+++ b/packages/reedlug-gateway/src/state.ts
@@ -4,19 +4,19 @@
 import type { CrashRowState, CrashSuspect, LostServer, ServerCrash } from './types/crashSuspect.js';
 import type { Effect, LogField } from './types/effect.js';
 import type { TablePurpose } from './types/event.js';
-import { createFleetPart, type FleetPart } from './types/fleetPart.js';
+import { createLimitShare, type LimitShare } from './types/limitShare.js';
 import type { NumberedChange } from './types/peer.js';
-import type { AwaitingRequest, RequestRecord, WaitingSend } from './types/request.js';
+import type { PendingRequest, RequestRecord, WaitingSend } from './types/request.js';
 import type { RolloutView } from './types/rollout.js';
-import type { LifeStatements, ReachedFleet } from './types/serverStatement.js';
+import type { IncarnationStatements, ReachableFleet } from './types/serverStatement.js';
 import type { ServerEntry } from './types/server.js';
 import type { GatewaySettings } from './types/settings.js';
 import type {
   ActiveConfiguration,
   EngineOrder,
-  HeardTotals,
-  HeldFigure,
-  HeldNeed,
+  ReceivedTotals,
+  StabilizedValue,
+  StabilizedNeed,
   LentUnits,
   LoadAverage,
   PeerView,
@@ -28,7 +28,7 @@
 /** One step of the reducer: its time, and the effects so far. */
 export interface Step {
   nowMs: number;
-  wallMs: number;
+  wallClockMs: number;
   effects: Effect[];
 }
 
@@ -38,17 +38,17 @@
   incarnation: number;
   startedAtMs: number;
   /** When its process began, before which an earlier life of the box had ended. */
-  processBeganAtMs: number;
+  processStartedAtMs: number;
   nextAttemptId: number;
   nextCallId: number;
   active: ActiveConfiguration | undefined;
   servers: Map<string, ServerView>;
   /** Lives of servers seen so far. */
-  serverLives: number;
+  serverIncarnationCount: number;
   /** Latest lives of servers that are gone, for news of earlier ones. */
   goneServers: Map<string, { bornAtMs: number | undefined; goneAtMs: number }>;
   /** Entries of such lives that came back with a copy of the store: they count once they stay. */
-  doubtedServers: Map<string, { entry: ServerEntry; untilMs: number }>;
+  unconfirmedServers: Map<string, { entry: ServerEntry; untilMs: number }>;
   /** Servers with lost sends by life, until it is known whether they crashed. */
   lostServers: Map<number, LostServer>;
   /** Requests under which servers crashed, by key. */
@@ -56,18 +56,18 @@
   /** Crashes of the last time, whichever requests were there. */
   recentCrashes: ServerCrash[];
   /** Keys of those that the next tick tells of. */
-  crashNewsDue: Set<string>;
-  crashNewsAllAtMs: number;
-  suspectsForgottenAtMs: number;
+  crashGossipDue: Set<string>;
+  fullCrashGossipSentAtMs: number;
+  suspectsPrunedAtMs: number;
   crashRow: CrashRowState;
   /** What servers have said in answers, by id: of the latest life that said something. */
-  statements: Map<string, LifeStatements>;
+  statements: Map<string, IncarnationStatements>;
   /** The fleet as this box last looked at it for the limits of servers; undefined before. */
-  reachedFleet: ReachedFleet | undefined;
+  reachableFleet: ReachableFleet | undefined;
   /** Until when callers were told to come back to servers that take too few, by service and urgency. */
-  returnTimes: Map<string, Map<number, number>>;
+  retryAfterTimes: Map<string, Map<number, number>>;
   /** Boxes to be told of all such statements: they began a life, or were silent. */
-  newcomers: Set<string>;
+  peersNeedingStatements: Set<string>;
   serversRevision: number;
   serversKnown: boolean;
   /** Changes of the registry of the last moments, for the members of this box as a hub. */
@@ -77,24 +77,24 @@
   /** The latest era of the store that this box knows; undefined before the store's first answer. */
   storeEra: number | undefined;
   /** When the store last came back from a copy, as far as this box knows. */
-  storeCopyAtMs: number;
+  storeRestoredAtMs: number;
   /** When this box first knew of that era, and since when it was by what a holder wrote in it, by the agreed clock. */
-  eraKnown: { sinceMs: number; toldSinceWallMs: number };
+  eraKnown: { sinceMs: number; reportedSinceWallClockMs: number };
   /** When the store last stopped answering this box, and when it answered again after it was away for all. */
   storeLostAtMs: number;
   storeReturnedAtMs: number;
   /** When the store last answered this box; undefined before. */
   storeContactAtMs: number | undefined;
   /** When the store last answered a peer, as far as peers told. */
-  storeSeenByPeerAtMs: number;
+  storeContactByPeerAtMs: number;
   requests: Map<number, RequestRecord>;
   /** Requests that came before configuration and servers were known. */
-  awaitingStart: AwaitingRequest[];
+  pendingRequests: PendingRequest[];
   quotas: Map<string, QuotaView>;
   /** This box's part of all limits. */
-  part: FleetPart;
+  part: LimitShare;
   /** Units asked of other boxes and still awaited: when, and for which workspace. */
-  unitAsks: Map<number, { sentAtMs: number; workspace: string }>;
+  unitRequests: Map<number, { sentAtMs: number; workspace: string }>;
   nextAskId: number;
   /** Units that this box lent lately, by who asked for them. */
   lentUnits: Map<string, LentUnits>;
@@ -107,23 +107,23 @@
   /** When that peer became the hub of this box. */
   hubSinceMs: number;
   /** What other boxes told for themselves, and what hubs told for others. */
-  heardFromBoxes: HeardTotals;
-  heardFromHubs: HeardTotals;
+  totalsFromBoxes: ReceivedTotals;
+  totalsFromHubs: ReceivedTotals;
   /** Zones of which no box is heard. */
   silentZones: ReadonlySet<string>;
-  usageToldAtMs: number;
+  usageSentAtMs: number;
   peerSequence: number;
-  newsSentAtMs: number;
+  gossipSentAtMs: number;
   lease: LeaseState;
   /** Wall clock less store clock, agreed by all boxes in a row of the store. */
   agreedClockOffsetMs: number | undefined;
-  clockAskedAtMs: number;
+  clockRequestedAtMs: number;
   /** True while the row may be missing that says what was agreed. */
   clockRowIsLost: boolean;
   /** How far the time of day was ahead of the steady clock at the last event. */
-  wallAheadMs: number | undefined;
+  wallClockAheadMs: number | undefined;
   /** When this box last came out of a suspension, as far as it knows. */
-  suspendedAtMs: number;
+  resumedAtMs: number;
   /** Monotonic time of this box at the store's time 0. */
   storeEpochMs: number | undefined;
   usage: Map<number, UsageWindow>;
@@ -136,13 +136,13 @@
   checkpointFence: number | undefined;
   /** By service, the roll-out ordered last. */
   rollouts: Map<string, RolloutView>;
-  rolloutsJudgedAtMs: number;
+  rolloutsEvaluatedAtMs: number;
   orders: Map<string, EngineOrder>;
-  planAtMs: number;
+  plannedAtMs: number;
   /** Prompt tokens that this box has sent to be read, since its start; those that a server keeps do not count. */
   workTokens: number;
   /** The same of all boxes at the last plan. */
-  workTokensSeen: number;
+  workTokensAtLastPlan: number;
   /** Prompt tokens a second over all boxes, averaged over seconds and over a longer time. */
   tokensPerSecond: LoadAverage;
   /** What this box's own sends have shown, by service. */
@@ -154,12 +154,12 @@
   /** When this box first saw any load, its own or another's; undefined before. */
   loadSinceMs: number | undefined;
   /** On-demand engines that were there while the registry filled and nobody asked, by service. */
-  firstOnDemand: Map<string, Set<string>>;
-  heldNeeds: Map<string, HeldNeed>;
+  initialOnDemand: Map<string, Set<string>>;
+  stabilizedNeeds: Map<string, StabilizedNeed>;
   /** By service and zone, until when no further reclaimable engines are to be had. */
-  dryUntilMs: Map<string, number>;
+  outOfCapacityUntilMs: Map<string, number>;
   /** By service, until when more of its engines are expected to be taken back. */
-  reclaimsUntilMs: Map<string, number>;
+  reclaimsExpectedUntilMs: Map<string, number>;
   /** By service and zone, reclaimable engines that took work at the last plan. */
   readyReclaimable: Map<string, number>;
   stoppingSinceMs: number | undefined;
@@ -187,48 +187,48 @@
     settings,
     incarnation,
     startedAtMs: nowMs,
-    processBeganAtMs: nowMs - processAgeMs,
+    processStartedAtMs: nowMs - processAgeMs,
     nextAttemptId: 1,
     nextCallId: 1,
     active: undefined,
     servers: new Map(),
-    serverLives: 0,
+    serverIncarnationCount: 0,
     goneServers: new Map(),
-    doubtedServers: new Map(),
+    unconfirmedServers: new Map(),
     lostServers: new Map(),
     crashSuspects: new Map(),
     recentCrashes: [],
-    crashNewsDue: new Set(),
-    crashNewsAllAtMs: Number.NEGATIVE_INFINITY,
-    suspectsForgottenAtMs: nowMs,
+    crashGossipDue: new Set(),
+    fullCrashGossipSentAtMs: Number.NEGATIVE_INFINITY,
+    suspectsPrunedAtMs: nowMs,
     crashRow: {
       version: undefined,
-      written: '',
-      askedAtMs: Number.NEGATIVE_INFINITY,
-      wroteLast: false,
-      hasOwnNews: false,
+      writtenSignature: '',
+      requestedAtMs: Number.NEGATIVE_INFINITY,
+      isLastWriter: false,
+      hasUnwrittenObservations: false,
     },
     statements: new Map(),
-    reachedFleet: undefined,
-    returnTimes: new Map(),
-    newcomers: new Set(),
+    reachableFleet: undefined,
+    retryAfterTimes: new Map(),
+    peersNeedingStatements: new Set(),
     serversRevision: 0,
     serversKnown: false,
     registryChanges: [],
     registryNumber: 0,
     storeReachable: true,
     storeEra: undefined,
-    storeCopyAtMs: Number.NEGATIVE_INFINITY,
-    eraKnown: { sinceMs: nowMs, toldSinceWallMs: Number.POSITIVE_INFINITY },
+    storeRestoredAtMs: Number.NEGATIVE_INFINITY,
+    eraKnown: { sinceMs: nowMs, reportedSinceWallClockMs: Number.POSITIVE_INFINITY },
     storeLostAtMs: Number.NEGATIVE_INFINITY,
     storeReturnedAtMs: Number.NEGATIVE_INFINITY,
     storeContactAtMs: undefined,
-    storeSeenByPeerAtMs: Number.NEGATIVE_INFINITY,
+    storeContactByPeerAtMs: Number.NEGATIVE_INFINITY,
     requests: new Map(),
-    awaitingStart: [],
+    pendingRequests: [],
     quotas: new Map(),
-    part: createFleetPart(),
-    unitAsks: new Map(),
+    part: createLimitShare(),
+    unitRequests: new Map(),
     nextAskId: 1,
     lentUnits: new Map(),
     waitingForUnits: [],
@@ -236,12 +236,12 @@
     peers: new Map(),
     hubId: undefined,
     hubSinceMs: nowMs,
-    heardFromBoxes: createHeardTotals(),
-    heardFromHubs: createHeardTotals(),
+    totalsFromBoxes: createReceivedTotals(),
+    totalsFromHubs: createReceivedTotals(),
     silentZones: new Set(),
-    usageToldAtMs: Number.NEGATIVE_INFINITY,
+    usageSentAtMs: Number.NEGATIVE_INFINITY,
     peerSequence: 0,
-    newsSentAtMs: Number.NEGATIVE_INFINITY,
+    gossipSentAtMs: Number.NEGATIVE_INFINITY,
     lease: createLease(
       {
         key: LEASE_KEY,
@@ -254,10 +254,10 @@
       incarnation,
     ),
     agreedClockOffsetMs: undefined,
-    clockAskedAtMs: Number.NEGATIVE_INFINITY,
+    clockRequestedAtMs: Number.NEGATIVE_INFINITY,
     clockRowIsLost: false,
-    wallAheadMs: undefined,
-    suspendedAtMs: Number.NEGATIVE_INFINITY,
+    wallClockAheadMs: undefined,
+    resumedAtMs: Number.NEGATIVE_INFINITY,
     storeEpochMs: undefined,
     usage: new Map(),
     usageChanged: false,
@@ -265,20 +265,20 @@
     checkpointVersion: 0,
     checkpointFence: undefined,
     rollouts: new Map(),
-    rolloutsJudgedAtMs: nowMs,
+    rolloutsEvaluatedAtMs: nowMs,
     orders: new Map(),
-    planAtMs: nowMs,
+    plannedAtMs: nowMs,
     workTokens: 0,
-    workTokensSeen: 0,
+    workTokensAtLastPlan: 0,
     tokensPerSecond: { recent: 0, long: 0 },
     ownSends: new Map(),
     engineModels: new Map(),
     openRequests: new Map(),
     loadSinceMs: undefined,
-    firstOnDemand: new Map(),
-    heldNeeds: new Map(),
-    dryUntilMs: new Map(),
-    reclaimsUntilMs: new Map(),
+    initialOnDemand: new Map(),
+    stabilizedNeeds: new Map(),
+    outOfCapacityUntilMs: new Map(),
+    reclaimsExpectedUntilMs: new Map(),
     readyReclaimable: new Map(),
     stoppingSinceMs: undefined,
     stopped: false,
@@ -286,15 +286,21 @@
 }
 
 /** Nothing heard yet. */
-export function createHeardTotals(): HeardTotals {
+export function createReceivedTotals(): ReceivedTotals {
   return { admitted: new Map(), workTokens: 0 };
 }
 
 /** Sets a held figure: a lower value counts only once the time of the higher one is over. */
-export function holdFigure(held: HeldFigure, value: number, nowMs: number, holdMs: number): void {
-  if (value < held.value && nowMs < held.untilMs) return;
-  if (value < held.value || nowMs + holdMs > held.untilMs) held.untilMs = nowMs + holdMs;
-  held.value = value;
+export function updateStabilized(
+  stabilized: StabilizedValue,
+  value: number,
+  nowMs: number,
+  holdMs: number,
+): void {
+  if (value < stabilized.value && nowMs < stabilized.untilMs) return;
+  if (value < stabilized.value || nowMs + holdMs > stabilized.untilMs)
+    stabilized.untilMs = nowMs + holdMs;
+  stabilized.value = value;
 }
 
 /** Adds a log line. */
--- a/packages/reedlug-gateway/src/types/crashSuspect.ts
+++ b/packages/reedlug-gateway/src/types/crashSuspect.ts
@@ -19,20 +19,20 @@
   /** When a run of it last went well; before the start of the clock where none is known. */
   goodRunAtMs: number;
   /** Since when it is sent to no server any more. */
-  keptOutSinceMs: number | undefined;
+  blockedSinceMs: number | undefined;
   /** When it is judged; undefined while nothing is to be decided. */
-  judgedAtMs: number | undefined;
+  evaluationDueAtMs: number | undefined;
   /** When it last came to a box, or crashed a server. */
   seenAtMs: number;
 }
 
 /** A crash as it is told: server, start of its life, and how long ago it was sent there and ended, in ms. */
-export type CrashRow = readonly [string, number | null, number, number];
+export type CrashEntry = readonly [string, number | null, number, number];
 
 /** A suspect as it is told: all times are ages in ms, since boxes have no common clock. */
-export interface CrashSuspectNews {
+export interface CrashSuspectGossip {
   key: string;
-  crashes: readonly CrashRow[];
+  crashes: readonly CrashEntry[];
   goodRunAgeMs: number | undefined;
   keptOutAgeMs: number | undefined;
   seenAgeMs: number;
@@ -42,13 +42,13 @@
 export interface CrashSuspectsMessage {
   kind: 'crashSuspects';
   boxId: string;
-  suspects: readonly CrashSuspectNews[];
+  suspects: readonly CrashSuspectGossip[];
   /**
    * Crashes of the last moments, whoever was there. Who is cleared before the next tick is
    * told without its crashes: a box that heard of three of five at one moment took them for
    * all, and kept a popular request out.
    */
-  recent: readonly CrashRow[];
+  recent: readonly CrashEntry[];
 }
 
 /** Key of the row in the table. */
@@ -57,7 +57,7 @@
 /** The row: suspects as told, with the store's time at which their ages were true. */
 export interface CrashSuspectsRow {
   storeNowMs: number;
-  suspects: readonly CrashSuspectNews[];
+  suspects: readonly CrashSuspectGossip[];
 }
 
 /** A server with lost sends, until it is known whether it has crashed. */
@@ -75,10 +75,10 @@
   /** Undefined until it is read, and where a write may have been done. */
   version: number | undefined;
   /** What it says in short. */
-  written: string;
-  askedAtMs: number;
+  writtenSignature: string;
+  requestedAtMs: number;
   /** True while this box wrote it last, as far as it knows. */
-  wroteLast: boolean;
+  isLastWriter: boolean;
   /** True once this box's own sends showed what the row may lack. */
-  hasOwnNews: boolean;
+  hasUnwrittenObservations: boolean;
 }
--- a/packages/reedlug-gateway/src/types/effect.ts
+++ b/packages/reedlug-gateway/src/types/effect.ts
@@ -22,7 +22,7 @@
   /** Go on after this event; undefined to send the caller's own field on. */
   resumeAfterEventId: number | undefined;
   /** True when the connection must be fresh or just used, since a lost send cannot be repeated. */
-  careful: boolean;
+  needsFreshConnection: boolean;
 }
 
 /** A value of a log field. */
--- a/packages/reedlug-gateway/src/types/event.ts
+++ b/packages/reedlug-gateway/src/types/event.ts
@@ -116,7 +116,7 @@
   | { kind: 'rollout'; service: string; revision: number };
 
 /** An event with the time on the box's monotonic clock and on its wall clock. */
-export type GatewayEvent = EventBody & { nowMs: number; wallMs: number };
+export type GatewayEvent = EventBody & { nowMs: number; wallClockMs: number };
 
 /** An event of one type. */
 export type EventOf<T extends EventBody['type']> = Extract<GatewayEvent, { type: T }>;
--- a/packages/reedlug-gateway/src/types/fleetPart.ts
+++ b/packages/reedlug-gateway/src/types/limitShare.ts
@@ -1,7 +1,7 @@
 /** A box's part of all limits, as one of the boxes among which they are divided. */
 
 /** What a box, or all that a hub speaks for, tell of their parts. */
-export interface PartNews {
+export interface LimitShareGossip {
   /** Listed boxes covered. */
   boxes: number;
   /** Revision up to which all of them have read the list of boxes. */
@@ -11,7 +11,7 @@
 }
 
 /** What was sent of a part before the box held it. */
-export type PartOpening =
+export type PriorUse =
   /** Nothing: neither this box nor others had any of it. */
   | { kind: 'unused' }
   /** An earlier life may have sent its burst up to this time. */
@@ -20,7 +20,7 @@
   | { kind: 'joined'; atMs: number };
 
 /** A box's part. */
-export interface FleetPart {
+export interface LimitShare {
   /** Revision up to which this box has read the list of boxes; 0 before. */
   listRevision: number;
   /** Revision of its own entry there; undefined while it is not listed. */
@@ -30,25 +30,25 @@
   /** When that last grew while this box held a part; undefined before. */
   dividedSinceMs: number | undefined;
   /** Undefined while the box holds no part: then it sends only what others lend. */
-  opening: PartOpening | undefined;
+  opening: PriorUse | undefined;
   /** True once the list says that it holds a part. */
-  isEntered: boolean;
+  isRegistered: boolean;
   /** When it last asked the store to enter that. */
-  enteredAtMs: number;
+  registrationSentAtMs: number;
   /** When it last looked for boxes that are gone. */
-  lookedForGoneAtMs: number;
+  goneBoxesCheckedAtMs: number;
 }
 
 /** Returns the part of a box that knows nothing yet. */
-export function createFleetPart(): FleetPart {
+export function createLimitShare(): LimitShare {
   return {
     listRevision: 0,
     ownRevision: undefined,
     divisor: 1,
     dividedSinceMs: undefined,
     opening: undefined,
-    isEntered: false,
-    enteredAtMs: Number.NEGATIVE_INFINITY,
-    lookedForGoneAtMs: 0,
+    isRegistered: false,
+    registrationSentAtMs: Number.NEGATIVE_INFINITY,
+    goneBoxesCheckedAtMs: 0,
   };
 }
--- a/packages/reedlug-gateway/src/types/peer.ts
+++ b/packages/reedlug-gateway/src/types/peer.ts
@@ -1,8 +1,8 @@
 /** What boxes tell each other, in datagrams. */
 import type { SendSums } from '../policy/engineModel.js';
 import type { CrashSuspectsMessage } from './crashSuspect.js';
-import type { PartNews } from './fleetPart.js';
-import type { RolloutNews } from './rollout.js';
+import type { LimitShareGossip } from './limitShare.js';
+import type { RolloutGossip } from './rollout.js';
 import type { HostPort, ServerChange } from './server.js';
 import type { ServerStatementsMessage } from './serverStatement.js';
 
@@ -30,7 +30,7 @@
 }
 
 /** Whose figures a message sums up. */
-export const NewsScope = {
+export const GossipScope = {
   /** The sender alone. */
   box: 'box',
   /** The sender, a hub, and the boxes that tell it their news: for the hubs of other groups. */
@@ -38,7 +38,7 @@
   /** Every box that the sender, a hub, knows of, but for the one that it is sent to. */
   others: 'others',
 } as const;
-export type NewsScope = (typeof NewsScope)[keyof typeof NewsScope];
+export type GossipScope = (typeof GossipScope)[keyof typeof GossipScope];
 
 /** A change of the registry as a hub took it in. */
 export interface NumberedChange extends ServerChange {
@@ -47,7 +47,7 @@
 }
 
 /** What a hub's members need to follow the registry without the store. */
-export interface RegistryNews {
+export interface RegistryGossip {
   /** Number of the hub's last change; 0 before the first. */
   lastNumber: number;
   /** The changes of the last moments, in order. */
@@ -63,7 +63,7 @@
 }
 
 /** What is to be reported for a window of usage, as a box knows it. */
-export interface UsageDecisionNews {
+export interface UsageDecisionGossip {
   window: number;
   /** Requests by workspace. */
   counts: Readonly<Record<string, number>>;
@@ -77,7 +77,7 @@
   /** Grows with each start of a box. */
   incarnation: number;
   sequence: number;
-  scope: NewsScope;
+  scope: GossipScope;
   /** True when the sender only asks for an answer: its figures reach others in another way. */
   isProbe: boolean;
   /** Boxes that the figures cover. */
@@ -91,7 +91,7 @@
   /** Revision of the registry that the box has read. */
   serversRevision: number;
   /** Changes of the registry, for the members of a hub. */
-  registry: RegistryNews | undefined;
+  registry: RegistryGossip | undefined;
   /** The latest era of the store that the sender knows; boxes of an earlier version do not tell. */
   storeEra?: number | undefined;
   /** Time since the store last answered one of the boxes covered, in ms; undefined before its first answer. */
@@ -108,13 +108,13 @@
   /** Requests of the sender begun, by usage window and workspace; empty where hubs sum news up. */
   usage: Readonly<Record<string, Readonly<Record<string, number>>>>;
   /** Decisions that the sender knows, for a while after they change; boxes of an earlier version do not tell. */
-  decisions?: readonly UsageDecisionNews[] | undefined;
+  decisions?: readonly UsageDecisionGossip[] | undefined;
   /** Units that the boxes covered could lend now, by workspace; boxes of an earlier version lend nothing. */
   room?: Readonly<Record<string, number>> | undefined;
   /** The parts that the boxes covered have of all limits; boxes of an earlier version do not tell. */
-  part?: PartNews | undefined;
+  part?: LimitShareGossip | undefined;
   /** Roll-outs that the sender knows of; boxes of an earlier version do not tell. */
-  rollouts?: readonly RolloutNews[] | undefined;
+  rollouts?: readonly RolloutGossip[] | undefined;
   /** Agreed wall clock less store clock, in ms; undefined while none is agreed. */
   clockOffsetMs: number | undefined;
 }
--- a/packages/reedlug-gateway/src/types/request.ts
+++ b/packages/reedlug-gateway/src/types/request.ts
@@ -64,9 +64,9 @@
   conditions: SendConditions;
   expectedMs: number;
   /** When it was sent, or when anything last came of it. */
-  heardAtMs: number;
+  lastActivityAtMs: number;
   /** When its first event or its answer came; undefined before. */
-  begunAtMs: number | undefined;
+  firstOutputAtMs: number | undefined;
 }
 
 /** A request in progress. */
@@ -82,17 +82,17 @@
   /** When its last send was charged; before the first one, when it arrived. */
   chargedAtMs: number;
   /** Units of it that were charged to this box's part; the others were lent. */
-  chargedToPart: number;
+  chargedToShare: number;
   /** 0 to 9; 0 goes first at an engine. */
   urgency: number;
   arrivedAtMs: number;
   /** When the final answer is due, the earlier of caller's deadline and route's timeout. */
-  endsAtMs: number;
+  deadlineAtMs: number;
   attempts: Attempt[];
   /** Servers that refused or lost it. */
-  avoid: Set<string>;
+  excludedServers: Set<string>;
   /** True once a send of it found no connection. */
-  foundNoConnection: boolean;
+  failedToConnect: boolean;
   /** True once the head of an answer went to the caller. */
   relayed: boolean;
   /** Id of the last whole event that went to the caller. */
@@ -109,7 +109,7 @@
 }
 
 /** A request that came before its box knew configuration and servers. */
-export interface AwaitingRequest {
+export interface PendingRequest {
   exchangeId: number;
   facts: RequestFacts;
   arrivedAtMs: number;
--- a/packages/reedlug-gateway/src/types/rollout.ts
+++ b/packages/reedlug-gateway/src/types/rollout.ts
@@ -44,18 +44,18 @@
 }
 
 /** Answers of one route from the version that served before. */
-export interface UsualTally extends AnswerTally {
+export interface BaselineTally extends AnswerTally {
   route: string;
 }
 
 /** What was seen of both versions since the order. */
 export interface RolloutEvidence {
   trial: readonly TrialTally[];
-  usual: readonly UsualTally[];
+  usual: readonly BaselineTally[];
 }
 
 /** What a box tells of a roll-out. */
-export interface RolloutNews {
+export interface RolloutGossip {
   order: RolloutOrder;
   /** Time since the order, in ms. */
   ageMs: number;
@@ -92,7 +92,7 @@
   wantsCompletion: boolean;
   /** This box's own sends. */
   trial: Map<string, TrialTally>;
-  usual: Map<string, UsualTally>;
+  usual: Map<string, BaselineTally>;
   /** What all boxes had seen at earlier looks of the last seconds, the newest last. */
   history: { atMs: number; evidence: RolloutEvidence }[];
   /** Servers of the new version that take the sample, and those of the larger one; set each tick. */
@@ -104,5 +104,5 @@
   recordVersion: number | undefined;
   /** The phase that the table holds; undefined while it is not known. */
   recordedPhase: RolloutPhase | undefined;
-  askedAtMs: number;
+  requestedAtMs: number;
 }
--- a/packages/reedlug-gateway/src/types/server.ts
+++ b/packages/reedlug-gateway/src/types/server.ts
@@ -31,20 +31,23 @@
 }
 
 /** A life of a server; one that does not tell when it was born has one life for all that is known. */
-export interface ServerLife {
+export interface ServerIncarnation {
   serverId: string;
   /** Start of the life by the wall clock, in Unix ms. */
   bornAtMs: number | undefined;
 }
 
 /** The life of a registry entry. */
-export function lifeOf({ id, bornAtMs }: ServerEntry): ServerLife {
+export function incarnationOf({ id, bornAtMs }: ServerEntry): ServerIncarnation {
   return { serverId: id, bornAtMs };
 }
 
 /** Whether a life began after another one of the same server. */
-export function isLaterLife(bornAtMs: number | undefined, thanMs: number | undefined): boolean {
-  return bornAtMs !== undefined && thanMs !== undefined && bornAtMs > thanMs;
+export function isLaterIncarnation(
+  startedAtMs: number | undefined,
+  thanMs: number | undefined,
+): boolean {
+  return startedAtMs !== undefined && thanMs !== undefined && startedAtMs > thanMs;
 }
 
 /** A change of an entry of the registry; without a value the entry is gone. */
--- a/packages/reedlug-gateway/src/types/serverStatement.ts
+++ b/packages/reedlug-gateway/src/types/serverStatement.ts
@@ -2,15 +2,15 @@
  * What servers say of themselves in their answers: a limit of requests a second, a time of
  * rest, that they leave. Said to one box, it is meant for all, and belongs to one life.
  */
-import type { ServerLife } from './server.js';
+import type { ServerIncarnation } from './server.js';
 
 /** What the head of an answer says of its server, beside the answer itself. */
 export interface AnswerStatements {
   limit: LimitStatement;
   /** The server takes no new requests any more. */
-  isLeaving: boolean;
+  isDraining: boolean;
   /** Time for which a server that refused the request wants no other one, in ms; undefined where it does not tell. */
-  restMs: number | undefined;
+  pauseMs: number | undefined;
 }
 
 /** What an answer says of its server's limit. */
@@ -45,7 +45,7 @@
   | { kind: 'leaving' };
 
 /** A statement of one life of a server. */
-export interface StatementOfLife extends ServerLife {
+export interface IncarnationStatement extends ServerIncarnation {
   statement: ServerStatement;
 }
 
@@ -53,7 +53,7 @@
 export interface ServerStatementsMessage {
   kind: 'serverStatements';
   boxId: string;
-  statements: readonly StatementOfLife[];
+  statements: readonly IncarnationStatement[];
 }
 
 /** How far a box has told others of a statement. */
@@ -61,17 +61,17 @@
   /** When this box learned what stands now. */
   changedAtMs: number;
   /** When it last told others, or was told by one that tells them; undefined before. */
-  toldAtMs: number | undefined;
+  announcedAtMs: number | undefined;
 }
 
 /** Everything that a box knows of the statements of one life of a server. */
-export interface LifeStatements extends ServerLife {
+export interface IncarnationStatements extends ServerIncarnation {
   limit: ServerLimit | undefined;
-  rest: ServerRest | undefined;
+  rest: ServerPause | undefined;
   /** The last one without a time of rest. */
   refusal: ServerRefusal | undefined;
   /** Set once the server has said that it leaves; that ends with the life. */
-  leaving: ServerLeaving | undefined;
+  leaving: ServerDraining | undefined;
   /** When the life was last in the registry, as this box knows it. */
   listedAtMs: number;
 }
@@ -80,7 +80,7 @@
  * What is known of a server's limit, by one answer of it. Answers overtake each other, so
  * both ends of the time in which the server said it are kept.
  */
-export interface LimitFact {
+export interface LimitObservation {
   /** Undefined once the server names none any more. */
   perSecond: number | undefined;
   /** When the request was sent, and when the head of its answer came, on this box's clock. */
@@ -89,7 +89,7 @@
 }
 
 /** The limit of one life of a server as a box knows it. */
-export interface ServerLimit extends LimitFact {
+export interface ServerLimit extends LimitObservation {
   /** The limit that was named last, also once there is none any more. */
   lastPerSecond: number;
   /** When this box first learned that the server has a limit. */
@@ -106,16 +106,16 @@
   /** The latest ones, oldest first. */
   atMs: number[];
   /** Since when this box is one of those that share the limit; undefined while it is not. */
-  sinceMs: number | undefined;
+  sharingSinceMs: number | undefined;
   /** Whether it took the place of another box, which may have sent the whole of the window before. */
-  followsOther: boolean;
+  replacedAnotherBox: boolean;
 }
 
 /** Rests that a server asked for, on this box's clock; times that are not known lie before all others. */
-export interface ServerRest {
+export interface ServerPause {
   /** When the last of them ends, and when that was asked. */
   untilMs: number;
-  askedAtMs: number;
+  requestedAtMs: number;
   /** When the last one ends that this box was asked for itself. */
   ownUntilMs: number;
   /** When a box sent a request to learn whether the rest stands, and when that was served. */
@@ -133,20 +133,20 @@
 }
 
 /** A server that takes no new requests any more. */
-export interface ServerLeaving {
+export interface ServerDraining {
   announcement: Announcement;
 }
 
 /** The fleet as a box reaches it: its boxes, the share of them that is heard, and whether hubs sum up their news. */
-export interface ReachedFleet {
+export interface ReachableFleet {
   boxes: number;
   share: number;
-  byHubs: boolean;
-  lookedAtMs: number;
+  viaHubs: boolean;
+  checkedAtMs: number;
 }
 
 /** How many boxes come before this one among those that may send to a limited server. */
 export interface SenderRank {
   rank: number;
-  lookedAtMs: number;
+  checkedAtMs: number;
 }
--- a/packages/reedlug-gateway/src/types/views.ts
+++ b/packages/reedlug-gateway/src/types/views.ts
@@ -4,7 +4,7 @@
 import type { CloudCall } from './effect.js';
 import type { PeerAddress, PeerMessage } from './peer.js';
 import type { HostPort, ServerEntry } from './server.js';
-import type { LifeStatements } from './serverStatement.js';
+import type { IncarnationStatements } from './serverStatement.js';
 
 /** A configuration with the look-ups that a request needs. */
 export interface ActiveConfiguration {
@@ -24,7 +24,7 @@
   /** True once any source has said that it leaves; never undone for one id. */
   leaving: boolean;
   /** Set while its entry is missing after the store was away; the server goes at this time. */
-  lapsesAtMs: number | undefined;
+  expiresAtMs: number | undefined;
   /** This box's open work there. */
   running: number;
   prefillTokens: number;
@@ -35,12 +35,12 @@
   failureScore: number;
   failureAtMs: number;
   /** When anything last came from it to this box, or was sent while nothing else was open. */
-  heardAtMs: number;
+  lastActivityAtMs: number;
   /** How much longer its first events take than those of its service: 1 for as long; it goes back to 1 with time. */
   slowness: number;
   slownessAtMs: number;
   /** What its life has said in answers; undefined while nothing of it matters. */
-  statements: LifeStatements | undefined;
+  statements: IncarnationStatements | undefined;
   /** Prompt parts it is taken to keep, by last use on this box's clock, least recent first. */
   cachedParts: Map<string, number>;
 }
@@ -74,7 +74,7 @@
   /** What this box's part was charged lately: own sends, and units lent, which count from the end of the loan. */
   charged: UnitWindow;
   /** True once what was sent before this box held its part is charged. */
-  isOpened: boolean;
+  isPriorUseCharged: boolean;
   /** Units lent to this box and not sent yet, the first to end first. */
   loans: UnitLoan[];
   /** Limits of the last window, the newest last; never empty. */
@@ -89,25 +89,25 @@
   address: PeerAddress;
   /** True while the store lists the box; then it is kept while it is silent. */
   listed: boolean;
-  heardAtMs: number;
+  lastReceivedAtMs: number;
   /** Undefined until the first message, and again after a long silence. */
   message: PeerMessage | undefined;
   /** What its messages have added to the totals of this box. */
-  added: HeardTotals;
+  contribution: ReceivedTotals;
   /** Units that this box has asked of it, or has had asked, since its last message, by workspace. */
-  askedUnits: Map<string, number>;
+  requestedUnits: Map<string, number>;
   /** Number of its last change of the registry that this box took; undefined before the first. */
   registryNumber: number | undefined;
-  toldAtMs: number;
+  gossipSentAtMs: number;
   /** True once it was silent as this box's hub, until it is heard again. */
   isSuspected: boolean;
   /** Since when it has had a newer configuration or registry; undefined while it has none. */
   aheadSinceMs: number | undefined;
-  askedAtMs: number;
+  stateRequestedAtMs: number;
 }
 
 /** Sums of what other boxes told; they only grow while the boxes are known. */
-export interface HeardTotals {
+export interface ReceivedTotals {
   /** Units admitted, by workspace. */
   admitted: Map<string, number>;
   /** Prompt tokens sent to be read. */
@@ -123,7 +123,7 @@
   granted: number;
   grantedAtMs: number;
   /** Engines that orders have given up and that still took work at the last plan. */
-  givenUp: number;
+  releasedEngines: number;
   /** The fence it was sent under; a new holder orders anew. */
   fence: number;
   callId: number;
@@ -138,15 +138,15 @@
 }
 
 /** A figure that falls only after a time. */
-export interface HeldFigure {
+export interface StabilizedValue {
   value: number;
   untilMs: number;
 }
 
 /** Engines needed by a service, held against short dips of its load. */
-export interface HeldNeed {
-  usual: HeldFigure;
-  least: HeldFigure;
+export interface StabilizedNeed {
+  usual: StabilizedValue;
+  least: StabilizedValue;
 }
 
 /** Requests by workspace. */
@@ -163,9 +163,9 @@
   decidedAtMs: number;
   reported: boolean;
   /** Until when peers are told what is decided. */
-  toldUntilMs: number;
+  announcedUntilMs: number;
   /** True once the log says that it stays without a report. */
-  isLeftOut: boolean;
-  askedAtMs: number;
+  isOmissionLogged: boolean;
+  requestedAtMs: number;
   callId: number;
 }
--- a/packages/reedlug-simulator/src/boxes/virtualBox.ts
+++ b/packages/reedlug-simulator/src/boxes/virtualBox.ts
@@ -141,7 +141,7 @@
     const sinceMs = nowMs(world) - box.startedAtMs;
     const wallMs = WALL_START_MS + nowMs(world);
     const begunAtMs = performance.now();
-    const effects = reduce(box.state, { ...body, nowMs: sinceMs, wallMs });
+    const effects = reduce(box.state, { ...body, nowMs: sinceMs, wallClockMs: wallMs });
     box.reducerMs += performance.now() - begunAtMs;
     for (const effect of effects) performEffect(world, box, effect);
   });
--- a/packages/reedlug-simulator/src/faults/statingServers.ts
+++ b/packages/reedlug-simulator/src/faults/statingServers.ts
@@ -61,8 +61,8 @@
 ): AnswerStatements {
   return {
     limit: limitStatementOf(world, server),
-    isLeaving: server.isLeaving,
-    restMs: isRefusal ? server.refusing?.restMs : undefined,
+    isDraining: server.isLeaving,
+    pauseMs: isRefusal ? server.refusing?.restMs : undefined,
   };
 }
 
@@ -72,13 +72,14 @@
   params: { server: VirtualServer; box: VirtualBox; statements: AnswerStatements },
 ): void {
   const { server, box, statements } = params;
-  const { limit, isLeaving, restMs } = statements;
+  const { limit, isDraining, pauseMs } = statements;
   if (limit.kind === 'limit') noteLimitTold(world, server, box);
-  if (isLeaving) {
+  if (isDraining) {
     const { leavingToldAtMs } = recordOf(world, server);
     if (!leavingToldAtMs.has(box)) leavingToldAtMs.set(box, nowMs(world));
   }
-  if (restMs !== undefined) recordOf(world, server).rests.push({ atMs: nowMs(world), restMs, box });
+  if (pauseMs !== undefined)
+    recordOf(world, server).rests.push({ atMs: nowMs(world), restMs: pauseMs, box });
 }
 
 /** Notes a request that reached a server which has said something. */
