--- a/packages/reedlug-coordination/src/__tests__/parts.test.ts
+++ b/packages/reedlug-coordination/src/__tests__/components.test.ts
@@ -1,10 +1,15 @@
 import { expect } from 'chai';
-import { breakerAllows, breakerNotes, createBreaker } from '../breaker.js';
+import { breakerAllows, recordBreakerResult, createBreaker } from '../breaker.js';
 import { applyDeltas, applySnapshot, createConfigReplica, deltasAfter } from '../configReplica.js';
 import { createFairQueue, pushFair, takeFair } from '../fairQueue.js';
-import { createMembership, membershipTick, noteMember, takesNewWork } from '../membership.js';
+import {
+  createMembership,
+  membershipTick,
+  recordMemberStatement,
+  acceptsNewWork,
+} from '../membership.js';
 import { hashString, rendezvousWeight } from '../rendezvous.js';
-import { createRetryBudget, noteFirstTry, takeRetry } from '../retryBudget.js';
+import { createRetryBudget, recordFirstTry, takeRetry } from '../retryBudget.js';
 import { shareOfLimit } from '../sharedLimit.js';
 import { createTokenBucket, takeTokens } from '../tokenBucket.js';
 
@@ -35,22 +40,22 @@
 test('a member that only the list names takes no work', () => {
   const membership = createMembership({ suspectAfterMs: 100, deadAfterMs: 500 });
   const listed = { kind: 'listed', incarnation: 1, zone: 'z', leaving: false } as const;
-  const member = noteMember(membership, 'm', listed, 0);
-  expect(member !== undefined && takesNewWork(member)).equal(false);
+  const member = recordMemberStatement(membership, 'm', listed, 0);
+  expect(member !== undefined && acceptsNewWork(member)).equal(false);
 });
 
 test('silence makes a member suspect, then dead', () => {
   const membership = createMembership({ suspectAfterMs: 100, deadAfterMs: 500 });
-  noteMember(membership, 'm', { kind: 'heard', incarnation: 1, zone: 'z' }, 0);
+  recordMemberStatement(membership, 'm', { kind: 'heard', incarnation: 1, zone: 'z' }, 0);
   expect(membershipTick(membership, 101).map(({ state }) => state)).deep.equal(['suspect']);
   expect(membershipTick(membership, 501).map(({ state }) => state)).deep.equal(['dead']);
 });
 
 test('a late word of an older life changes nothing', () => {
   const membership = createMembership({ suspectAfterMs: 100, deadAfterMs: 500 });
-  noteMember(membership, 'm', { kind: 'heard', incarnation: 2, zone: 'z' }, 0);
+  recordMemberStatement(membership, 'm', { kind: 'heard', incarnation: 2, zone: 'z' }, 0);
   const old = { kind: 'leaving', incarnation: 1, leavesAtMs: 5, source: 'peer' } as const;
-  expect(noteMember(membership, 'm', old, 1)).equal(undefined);
+  expect(recordMemberStatement(membership, 'm', old, 1)).equal(undefined);
   expect(membership.members.get('m')?.state).equal('live');
 });
 
@@ -64,17 +69,17 @@
 test('retries are a share of first tries', () => {
   const budget = createRetryBudget(0.1, 2);
   expect([takeRetry(budget), takeRetry(budget), takeRetry(budget)]).deep.equal([true, true, false]);
-  for (let index = 0; index < 11; index += 1) noteFirstTry(budget);
+  for (let index = 0; index < 11; index += 1) recordFirstTry(budget);
   expect([takeRetry(budget), takeRetry(budget)]).deep.equal([true, false]);
 });
 
 test('an open breaker lets one probe through', () => {
   const breaker = createBreaker(2, 100);
-  breakerNotes(breaker, false, 0);
-  breakerNotes(breaker, false, 0);
+  recordBreakerResult(breaker, false, 0);
+  recordBreakerResult(breaker, false, 0);
   expect(breakerAllows(breaker, 50)).equal(false);
   expect([breakerAllows(breaker, 101), breakerAllows(breaker, 101)]).deep.equal([true, false]);
-  breakerNotes(breaker, true, 102);
+  recordBreakerResult(breaker, true, 102);
   expect(breakerAllows(breaker, 103)).equal(true);
 });
 
--- a/packages/reedlug-coordination/src/__tests__/lease.test.ts
+++ b/packages/reedlug-coordination/src/__tests__/lease.test.ts
@@ -1,12 +1,18 @@
 import { expect } from 'chai';
-import { createLease, leaseAnswered, leaseTick, usableFence, type LeaseState } from '../lease.js';
+import {
+  createLease,
+  handleLeaseAnswer,
+  leaseTick,
+  usableFence,
+  type LeaseState,
+} from '../lease.js';
 import type { TableAnswer, TableOp, TableRow } from '../tableTypes.js';
 
 const OPTIONS = {
   key: 'lease/x',
   ttlMs: 10_000,
   marginMs: 1000,
-  renewEveryMs: 3000,
+  renewIntervalMs: 3000,
   maxOrderFlightMs: 5000,
 };
 
@@ -26,14 +32,14 @@
   };
 }
 
-function turn(lease: LeaseState, table: (op: TableOp) => TableAnswer, nowMs: number): void {
+function tickOnce(lease: LeaseState, table: (op: TableOp) => TableAnswer, nowMs: number): void {
   const op = leaseTick(lease, nowMs);
-  if (op !== undefined) leaseAnswered(lease, table(op), { sentAtMs: nowMs, nowMs });
+  if (op !== undefined) handleLeaseAnswer(lease, table(op), { sentAtMs: nowMs, nowMs });
 }
 
 function acquire(lease: LeaseState, table: (op: TableOp) => TableAnswer, nowMs: number): void {
-  turn(lease, table, nowMs);
-  turn(lease, table, nowMs + 1);
+  tickOnce(lease, table, nowMs);
+  tickOnce(lease, table, nowMs + 1);
 }
 
 test('a free lease is taken', () => {
@@ -52,12 +58,12 @@
 test('a taker waits out the whole lease and the fence grows', () => {
   const table = createRowTable();
   const holder = createLease(OPTIONS, 'a', 1);
-  const taker = createLease(OPTIONS, 'b', 1);
+  const candidate = createLease(OPTIONS, 'b', 1);
   acquire(holder, table, 0);
-  for (let nowMs = 100; nowMs < 11_000; nowMs += 100) turn(taker, table, nowMs);
-  expect(taker.held).equal(undefined);
-  for (let nowMs = 11_000; nowMs < 16_000; nowMs += 100) turn(taker, table, nowMs);
-  expect(taker.held?.fence).equal(2);
+  for (let nowMs = 100; nowMs < 11_000; nowMs += 100) tickOnce(candidate, table, nowMs);
+  expect(candidate.held).equal(undefined);
+  for (let nowMs = 11_000; nowMs < 16_000; nowMs += 100) tickOnce(candidate, table, nowMs);
+  expect(candidate.held?.fence).equal(2);
 });
 
 test('an unfenced server waits for the last holder', () => {
@@ -69,11 +75,11 @@
 test('the answer to an older operation grants nothing', () => {
   const table = createRowTable();
   const lease = createLease(OPTIONS, 'a', 1);
-  turn(lease, table, 0);
+  tickOnce(lease, table, 0);
   const op = leaseTick(lease, 1);
   expect(op?.kind).equal('transact');
   const late = table(op ?? { kind: 'read', keys: [] });
   leaseTick(lease, 20_000);
-  leaseAnswered(lease, late, { sentAtMs: 1, nowMs: 20_001 });
+  handleLeaseAnswer(lease, late, { sentAtMs: 1, nowMs: 20_001 });
   expect(lease.held).equal(undefined);
 });
--- a/packages/reedlug-coordination/src/__tests__/leaseEras.test.ts
+++ b/packages/reedlug-coordination/src/__tests__/leaseEras.test.ts
@@ -1,10 +1,10 @@
 import { expect } from 'chai';
 import {
-  answerOfEra,
+  answerWithRevisions,
   createLease,
-  leaseAnswered,
+  handleLeaseAnswer,
   leaseTick,
-  noteLeaseEra,
+  recordLeaseEra,
   usableFence,
   withStoreVersions,
   type LeaseState,
@@ -17,7 +17,7 @@
   key: 'lease/x',
   ttlMs: 3000,
   marginMs: 300,
-  renewEveryMs: 1200,
+  renewIntervalMs: 1200,
   maxOrderFlightMs: 3000,
 };
 /** When others may take what this holder has, counted from when they first saw its row. */
@@ -25,23 +25,23 @@
 const TICK_MS = 50;
 
 /** A table of one row in a store that may come back from a copy. */
-class CopiedTable {
+class RestorableTable {
   era = 1;
   row: TableRow | undefined;
   private version = 0;
 
-  copy(): { row: TableRow | undefined; version: number } {
+  backUp(): { row: TableRow | undefined; version: number } {
     return { row: this.row, version: this.version };
   }
 
-  comeBack(copy: { row: TableRow | undefined; version: number }): void {
+  restore(backup: { row: TableRow | undefined; version: number }): void {
     this.era += 1;
-    this.row = copy.row;
-    this.version = copy.version;
+    this.row = backup.row;
+    this.version = backup.version;
   }
 
   apply(op: TableOp): TableAnswer {
-    return answerOfEra(op, this.answer(op), this.era);
+    return answerWithRevisions(op, this.answer(op), this.era);
   }
 
   private answer(op: TableOp): TableAnswer {
@@ -67,15 +67,20 @@
 }
 
 /** Lets boxes tick until a time; each learns the era from the answer, before it takes that. */
-function run(table: CopiedTable, boxes: readonly LeaseState[], fromMs: number, toMs: number): void {
+function run(
+  table: RestorableTable,
+  boxes: readonly LeaseState[],
+  fromMs: number,
+  toMs: number,
+): void {
   for (let nowMs = fromMs; nowMs < toMs; nowMs += TICK_MS) {
     for (const lease of boxes) {
       const op = leaseTick(lease, nowMs);
       if (op === undefined) continue;
       const answer = table.apply(op);
       const { era } = table;
-      if (era > lease.era) noteLeaseEra(lease, { era, isFirst: lease.era === 0, nowMs });
-      leaseAnswered(lease, answer, { sentAtMs: nowMs, nowMs });
+      if (era > lease.era) recordLeaseEra(lease, { era, isFirst: lease.era === 0, nowMs });
+      handleLeaseAnswer(lease, answer, { sentAtMs: nowMs, nowMs });
     }
   }
 }
@@ -85,14 +90,14 @@
 }
 
 test('a holder takes its row again when the store came back, without a gap', () => {
-  const table = new CopiedTable();
+  const table = new RestorableTable();
   const holder = createBox('a');
   const other = createBox('b');
   run(table, [holder, other], 0, 2000);
-  const copy = table.copy();
+  const backup = table.backUp();
   const fence = fenceAt(holder, 2000);
   run(table, [holder, other], 2000, 5000);
-  table.comeBack(copy);
+  table.restore(backup);
   for (let nowMs = 5000; nowMs < 12_000; nowMs += 500) {
     run(table, [holder, other], nowMs, nowMs + 500);
     expect(fenceAt(holder, nowMs + 500), `at ${nowMs}`).to.be.at.least(fence);
@@ -103,28 +108,28 @@
 });
 
 test('fences rise where row, holder and all boxes are new', () => {
-  const table = new CopiedTable();
+  const table = new RestorableTable();
   const first = createBox('a');
   run(table, [first], 0, 500);
-  const copy = table.copy();
+  const backup = table.backUp();
   const second = createBox('b');
   run(table, [second], 500, 500 + 2 * WAIT_MS);
   const lost = fenceAt(second, 500 + 2 * WAIT_MS);
   expect(lost).to.be.greaterThan(0);
-  table.comeBack(copy);
+  table.restore(backup);
   const third = createBox('c');
   run(table, [third], 8000, 8000 + 2 * WAIT_MS);
   expect(fenceAt(third, 8000 + 2 * WAIT_MS)).to.be.greaterThan(lost);
 });
 
 test('a holder keeps its lease though the row of the one before came back', () => {
-  const table = new CopiedTable();
+  const table = new RestorableTable();
   const before = createBox('a');
   run(table, [before], 0, 500);
-  const copy = table.copy();
+  const backup = table.backUp();
   const holder = createBox('b');
   run(table, [holder], 500, 6000);
-  table.comeBack(copy);
+  table.restore(backup);
   run(table, [before, holder], 6000, 12_000);
   expect(fenceAt(holder, 12_000)).to.be.greaterThan(0);
   expect(before.held).to.equal(undefined);
@@ -132,39 +137,39 @@
 
 test('a row that came back, or is missing, is waited for by all who knew the store before', () => {
   for (const isMissing of [true, false]) {
-    const table = new CopiedTable();
-    const empty = table.copy();
+    const table = new RestorableTable();
+    const empty = table.backUp();
     const gone = createBox('a');
     const other = createBox('b');
     run(table, [gone, other], 0, 2000);
-    const copy = isMissing ? empty : table.copy();
+    const backup = isMissing ? empty : table.backUp();
     run(table, [gone, other], 2000, 3000);
-    table.comeBack(copy);
+    table.restore(backup);
     run(table, [other], 3000, 3000 + WAIT_MS);
     expect(other.held, `missing ${String(isMissing)}`).to.equal(undefined);
-    const heldByMs = 3000 + OPTIONS.renewEveryMs + WAIT_MS + 4 * TICK_MS;
+    const heldByMs = 3000 + OPTIONS.renewIntervalMs + WAIT_MS + 4 * TICK_MS;
     run(table, [other], 3000 + WAIT_MS, heldByMs);
     expect(fenceAt(other, heldByMs), `missing ${String(isMissing)}`).to.be.greaterThan(0);
   }
 });
 
 test('a take that the store carried out in a later era grants nothing', () => {
-  const table = new CopiedTable();
+  const table = new RestorableTable();
   const lease = createBox('a');
   run(table, [lease], 0, TICK_MS);
   run(table, [lease], TICK_MS, 2 * TICK_MS);
   const op = leaseTick(lease, 100);
   if (op?.kind !== 'transact') throw new Error('the lease is taken by a write');
-  table.comeBack(table.copy());
-  leaseAnswered(lease, table.apply(op), { sentAtMs: 100, nowMs: 104 });
+  table.restore(table.backUp());
+  handleLeaseAnswer(lease, table.apply(op), { sentAtMs: 100, nowMs: 104 });
   expect(lease.held).to.equal(undefined);
 });
 
 test('a missing row is waited for by a box that had never looked at it before', () => {
   const lease = createBox('a');
-  noteLeaseEra(lease, { era: 0, isFirst: true, nowMs: 0 });
-  noteLeaseEra(lease, { era: 1, isFirst: false, nowMs: 100 });
-  const table = new CopiedTable();
+  recordLeaseEra(lease, { era: 0, isFirst: true, nowMs: 0 });
+  recordLeaseEra(lease, { era: 1, isFirst: false, nowMs: 100 });
+  const table = new RestorableTable();
   run(table, [lease], 100, 100 + WAIT_MS);
   expect(lease.held).to.equal(undefined);
   run(table, [lease], 100 + WAIT_MS, 100 + WAIT_MS + 4 * TICK_MS);
--- a/packages/reedlug-coordination/src/__tests__/storeRevision.test.ts
+++ b/packages/reedlug-coordination/src/__tests__/storeRevision.test.ts
@@ -1,5 +1,11 @@
 import { expect } from 'chai';
-import { answerOfEra, eraOf, storeRevision, versionOf, withStoreVersions } from '../index.js';
+import {
+  answerWithRevisions,
+  eraOf,
+  storeRevision,
+  versionOf,
+  withStoreVersions,
+} from '../index.js';
 
 const OLD = storeRevision({ era: 1, version: 900 });
 const NEW = storeRevision({ era: 2, version: 7 });
@@ -19,9 +25,9 @@
   });
   expect(withStoreVersions(writeOn(OLD)).writes[0]?.expectVersion).to.equal(900);
   const done = { kind: 'done' as const, rows: [{ key: 'a', version: 8, value: 1 }] };
-  expect(answerOfEra(writeOn(OLD), done, 2)).to.deep.equal({ kind: 'unknown' });
+  expect(answerWithRevisions(writeOn(OLD), done, 2)).to.deep.equal({ kind: 'unknown' });
   for (const expected of [0, NEW]) {
-    const answer = answerOfEra(writeOn(expected), done, 2);
+    const answer = answerWithRevisions(writeOn(expected), done, 2);
     const version = storeRevision({ era: 2, version: 8 });
     expect(answer).to.deep.equal({ kind: 'done', rows: [{ key: 'a', version, value: 1 }] });
   }
@@ -30,7 +36,7 @@
 test('the row in conflict with a write of another era is told', () => {
   const op = { kind: 'transact' as const, writes: [{ key: 'a', expectVersion: OLD, value: 1 }] };
   const rows = [{ key: 'a', version: 5, value: 2 }];
-  const answer = answerOfEra(op, { kind: 'refused', reason: 'conflict', rows }, 2);
+  const answer = answerWithRevisions(op, { kind: 'refused', reason: 'conflict', rows }, 2);
   const version = storeRevision({ era: 2, version: 5 });
   expect(answer).to.deep.equal({
     kind: 'refused',
--- a/packages/reedlug-coordination/src/attemptLedger.ts
+++ b/packages/reedlug-coordination/src/attemptLedger.ts
@@ -41,10 +41,10 @@
   }
   const held = ledger.tokens.length;
   if (batch.offset > held) return { kind: 'gap', expectedOffset: held };
-  const fresh = batch.tokens.slice(held - batch.offset);
-  if (fresh.length === 0) return { kind: 'dropped', reason: 'duplicate' };
-  for (const token of fresh) ledger.tokens.push(token);
-  return { kind: 'accepted', offset: held, tokens: fresh };
+  const newTokens = batch.tokens.slice(held - batch.offset);
+  if (newTokens.length === 0) return { kind: 'dropped', reason: 'duplicate' };
+  for (const token of newTokens) ledger.tokens.push(token);
+  return { kind: 'accepted', offset: held, tokens: newTokens };
 }
 
 /** Takes an end marker. Only a marker of the current attempt over all tokens makes the answer whole. */
--- a/packages/reedlug-coordination/src/breaker.ts
+++ b/packages/reedlug-coordination/src/breaker.ts
@@ -23,7 +23,7 @@
 }
 
 /** Notes the result of a call that the breaker allowed. */
-export function breakerNotes(breaker: Breaker, succeeded: boolean, nowMs: number): void {
+export function recordBreakerResult(breaker: Breaker, succeeded: boolean, nowMs: number): void {
   breaker.probing = false;
   if (succeeded) {
     breaker.failures = 0;
--- a/packages/reedlug-coordination/src/claims.ts
+++ b/packages/reedlug-coordination/src/claims.ts
@@ -76,7 +76,7 @@
     case 'done':
       return { verdicts: group.claims.map(heldVerdict), next: undefined };
     case 'unknown':
-      return again(group, group.claims, true, []);
+      return retryClaims(group, group.claims, true, []);
     case 'refused':
       return afterRefusal(group, answer.reason, answer.rows);
   }
@@ -90,19 +90,19 @@
   if (reason === 'throttled') {
     return { verdicts: group.claims.map(unavailableVerdict), next: undefined };
   }
-  const { verdicts, open } = judge(group.claims, rows);
+  const { verdicts, open } = evaluateClaims(group.claims, rows);
   if (open.length === 0) return { verdicts, next: undefined };
-  return again(group, open, false, verdicts);
+  return retryClaims(group, open, false, verdicts);
 }
 
 function afterReadBack(group: ClaimGroup, answer: TableAnswer): ClaimStep {
-  if (answer.kind !== 'done') return again(group, group.claims, true, []);
-  const { verdicts, open } = judge(group.claims, answer.rows);
+  if (answer.kind !== 'done') return retryClaims(group, group.claims, true, []);
+  const { verdicts, open } = evaluateClaims(group.claims, answer.rows);
   if (open.length === 0) return { verdicts, next: undefined };
-  return again(group, open, false, verdicts);
+  return retryClaims(group, open, false, verdicts);
 }
 
-function again(
+function retryClaims(
   group: ClaimGroup,
   claims: PendingClaim[],
   readingBack: boolean,
@@ -116,7 +116,7 @@
   return { verdicts, next: { group: next, op } };
 }
 
-function judge(
+function evaluateClaims(
   claims: readonly PendingClaim[],
   rows: readonly TableRow[],
 ): { verdicts: ClaimVerdict[]; open: PendingClaim[] } {
@@ -124,21 +124,21 @@
   const verdicts: ClaimVerdict[] = [];
   const open: PendingClaim[] = [];
   for (const claim of claims) {
-    const standing = rowByKey.get(claim.key);
-    const untouched = (standing?.version ?? 0) === claim.expectVersion;
-    if (standing === undefined || untouched) open.push(claim);
-    else verdicts.push(verdictAgainst(claim, standing));
+    const existing = rowByKey.get(claim.key);
+    const isUnchanged = (existing?.version ?? 0) === claim.expectVersion;
+    if (existing === undefined || isUnchanged) open.push(claim);
+    else verdicts.push(verdictForRow(claim, existing));
   }
   return { verdicts, open };
 }
 
-function verdictAgainst(claim: PendingClaim, row: TableRow): ClaimVerdict {
-  const standing = row.value as ClaimValue;
-  if (standing.operationId === claim.value.operationId) return heldVerdict(claim);
+function verdictForRow(claim: PendingClaim, row: TableRow): ClaimVerdict {
+  const existing = row.value as ClaimValue;
+  if (existing.operationId === claim.value.operationId) return heldVerdict(claim);
   const { key } = claim;
   const { requestId } = claim.value;
-  if (standing.digest !== claim.value.digest) return { kind: 'digestDiffers', key, requestId };
-  return { kind: 'taken', key, requestId, by: standing, version: row.version };
+  if (existing.digest !== claim.value.digest) return { kind: 'digestDiffers', key, requestId };
+  return { kind: 'taken', key, requestId, by: existing, version: row.version };
 }
 
 function heldVerdict(claim: PendingClaim): ClaimVerdict {
--- a/packages/reedlug-coordination/src/configReplica.ts
+++ b/packages/reedlug-coordination/src/configReplica.ts
@@ -44,9 +44,9 @@
   /** Recent deltas by revision, to serve peers that are behind. */
   recent: Map<number, ConfigDelta>;
   /** Deltas that arrived before the ones they follow. */
-  early: Map<number, ConfigDelta>;
+  outOfOrder: Map<number, ConfigDelta>;
   /** The highest revision that any reachable peer has told of. */
-  highestHeard: number;
+  highestKnownRevision: number;
 }
 
 /** How many deltas a replica keeps for peers; who is further behind takes a snapshot. */
@@ -58,28 +58,28 @@
     revision: 0,
     items: new Map(),
     recent: new Map(),
-    early: new Map(),
-    highestHeard: 0,
+    outOfOrder: new Map(),
+    highestKnownRevision: 0,
   };
 }
 
 /** Takes deltas in any order; returns those that were applied, in order. */
 export function applyDeltas(replica: ConfigReplica, deltas: readonly ConfigDelta[]): ConfigDelta[] {
   for (const delta of deltas) {
-    replica.highestHeard = Math.max(replica.highestHeard, delta.revision);
-    if (delta.revision > replica.revision) replica.early.set(delta.revision, delta);
+    replica.highestKnownRevision = Math.max(replica.highestKnownRevision, delta.revision);
+    if (delta.revision > replica.revision) replica.outOfOrder.set(delta.revision, delta);
   }
   const applied: ConfigDelta[] = [];
   for (;;) {
-    const next = replica.early.get(replica.revision + 1);
+    const next = replica.outOfOrder.get(replica.revision + 1);
     if (next === undefined) return applied;
-    replica.early.delete(next.revision);
-    applyOne(replica, next);
+    replica.outOfOrder.delete(next.revision);
+    applyDelta(replica, next);
     applied.push(next);
   }
 }
 
-function applyOne(replica: ConfigReplica, delta: ConfigDelta): void {
+function applyDelta(replica: ConfigReplica, delta: ConfigDelta): void {
   const { revision, planId, author } = delta;
   for (const { name, value } of delta.changes) {
     if (value === undefined) replica.items.delete(name);
@@ -92,12 +92,12 @@
 
 /** Takes a snapshot if it is ahead of the replica; says whether it was taken. */
 export function applySnapshot(replica: ConfigReplica, snapshot: ConfigSnapshot): boolean {
-  replica.highestHeard = Math.max(replica.highestHeard, snapshot.revision);
+  replica.highestKnownRevision = Math.max(replica.highestKnownRevision, snapshot.revision);
   if (snapshot.revision <= replica.revision) return false;
   replica.items = new Map(snapshot.items.map(({ name, item }) => [name, item]));
   replica.revision = snapshot.revision;
-  for (const revision of replica.early.keys()) {
-    if (revision <= snapshot.revision) replica.early.delete(revision);
+  for (const revision of replica.outOfOrder.keys()) {
+    if (revision <= snapshot.revision) replica.outOfOrder.delete(revision);
   }
   return true;
 }
--- a/packages/reedlug-coordination/src/fairQueue.ts
+++ b/packages/reedlug-coordination/src/fairQueue.ts
@@ -12,7 +12,7 @@
 }
 
 /** Entries of a lane that are asked in one turn. */
-const LOOK_AHEAD = 8;
+const MAX_LOOKAHEAD = 8;
 
 interface Lane {
   ownerId: string;
@@ -54,7 +54,7 @@
   const lane = queue.laneByOwner.get(ownerId);
   const index = lane?.entries.findIndex((entry) => entry.id === id) ?? -1;
   if (lane === undefined || index < 0) return false;
-  takeAt(queue, lane, index);
+  removeAt(queue, lane, index);
   return true;
 }
 
@@ -91,14 +91,14 @@
       continue;
     }
     lane.deficit -= entry.cost;
-    takeAt(queue, lane, index);
+    removeAt(queue, lane, index);
     return entry;
   }
   return undefined;
 }
 
 function firstAccepted(lane: Lane, accepts: (entry: FairEntry) => boolean): number {
-  const end = Math.min(lane.entries.length, LOOK_AHEAD);
+  const end = Math.min(lane.entries.length, MAX_LOOKAHEAD);
   for (let index = 0; index < end; index += 1) {
     const entry = lane.entries[index];
     if (entry !== undefined && accepts(entry)) return index;
@@ -106,7 +106,7 @@
   return -1;
 }
 
-function takeAt(queue: FairQueue, lane: Lane, index: number): void {
+function removeAt(queue: FairQueue, lane: Lane, index: number): void {
   const [entry] = lane.entries.splice(index, 1);
   if (entry === undefined) return;
   queue.size -= 1;
--- a/packages/reedlug-coordination/src/lease.ts
+++ b/packages/reedlug-coordination/src/lease.ts
@@ -23,7 +23,7 @@
   /** Taken off the holder's own view of the lease, for clock drift and pauses. */
   marginMs: number;
   /** How long before its end a held lease is renewed. */
-  renewEveryMs: number;
+  renewIntervalMs: number;
   /** How long a order may be under way to a server that does not check fences. */
   maxOrderFlightMs: number;
 }
@@ -64,14 +64,14 @@
   /** The store's era as far as known. */
   era: number;
   /** Whether this box has known an earlier era, in which others may have held what this one lacks. */
-  isLaterEra: boolean;
+  hasSeenEarlierEra: boolean;
 }
 
 /** Fences of one era. */
-const FENCES_OF_ERA = 2 ** 20;
+const FENCES_PER_ERA = 2 ** 20;
 
 function eraOfFence(fence: number): number {
-  return Math.floor(fence / FENCES_OF_ERA);
+  return Math.floor(fence / FENCES_PER_ERA);
 }
 
 /** Returns the state of a box that does not hold the lease. */
@@ -91,7 +91,7 @@
     lastFence: 0,
     nextReadAtMs: 0,
     era: 0,
-    isLaterEra: false,
+    hasSeenEarlierEra: false,
   };
 }
 
@@ -121,11 +121,11 @@
 }
 
 /** Takes it that the store answers in an era, the first one that this box knows or a later one: what the row said before is over. */
-export function noteLeaseEra(
+export function recordLeaseEra(
   lease: LeaseState,
   { era, isFirst, nowMs }: { era: number; isFirst: boolean; nowMs: number },
 ): void {
-  lease.isLaterEra ||= !isFirst;
+  lease.hasSeenEarlierEra ||= !isFirst;
   lease.era = era;
   lease.seen = undefined;
   lease.pending = undefined;
@@ -148,7 +148,7 @@
   }
   if (lease.seen !== undefined) {
     if (lease.held !== undefined) return renewWhenDue(lease, nowMs);
-    if (hasLapsedForOthers(lease, nowMs)) return take(lease, nowMs);
+    if (mayAcquire(lease, nowMs)) return acquire(lease, nowMs);
   }
   if (nowMs < lease.nextReadAtMs) return undefined;
   return read(lease, nowMs);
@@ -159,7 +159,7 @@
  * The answer to an earlier operation is dropped: counted from the later one's
  * time it would make the lease seem longer than it is.
  */
-export function leaseAnswered(
+export function handleLeaseAnswer(
   lease: LeaseState,
   answer: TableAnswer,
   times: { sentAtMs: number; nowMs: number },
@@ -174,20 +174,20 @@
   }
   const row = answer.rows.find((candidate) => candidate.key === lease.options.key);
   if (row === undefined) {
-    noteAbsent(lease, answer, nowMs);
+    recordAbsentRow(lease, answer, nowMs);
     return;
   }
-  noteRow(lease, row, nowMs, pending);
+  recordRow(lease, row, nowMs, pending);
 }
 
 /** Where nothing was lost nobody has held it; else it counts as a holder that was just seen. */
-function noteAbsent(lease: LeaseState, answer: TableAnswer, nowMs: number): void {
+function recordAbsentRow(lease: LeaseState, answer: TableAnswer, nowMs: number): void {
   if (answer.kind !== 'done' || lease.seen?.row.version === 0) return;
   const absent: TableRow = { key: lease.options.key, version: 0, value: undefined };
-  lease.seen = { row: absent, sinceMs: lease.isLaterEra ? nowMs : Number.NEGATIVE_INFINITY };
+  lease.seen = { row: absent, sinceMs: lease.hasSeenEarlierEra ? nowMs : Number.NEGATIVE_INFINITY };
 }
 
-function noteRow(
+function recordRow(
   lease: LeaseState,
   row: TableRow,
   nowMs: number,
@@ -199,8 +199,8 @@
     lease.seen = { row, sinceMs: nowMs };
   }
   lease.highestFence = Math.max(lease.highestFence, value.fence);
-  const mine = value.holderId === lease.ownerId && value.incarnation === lease.incarnation;
-  if (!mine) {
+  const isOwn = value.holderId === lease.ownerId && value.incarnation === lease.incarnation;
+  if (!isOwn) {
     // An earlier holder's row that came back with the copy takes nothing from the one of now.
     if (eraOfFence(value.fence) === eraOf(row.version)) lease.held = undefined;
     return;
@@ -237,7 +237,7 @@
   return held === undefined || nowMs >= held.grantedAtMs + options.ttlMs - options.marginMs;
 }
 
-function hasLapsedForOthers(lease: LeaseState, nowMs: number): boolean {
+function mayAcquire(lease: LeaseState, nowMs: number): boolean {
   const { seen, options } = lease;
   return seen !== undefined && nowMs >= seen.sinceMs + options.ttlMs + options.marginMs;
 }
@@ -245,14 +245,14 @@
 function renewWhenDue(lease: LeaseState, nowMs: number): TableOp | undefined {
   const { held, seen, options } = lease;
   if (held === undefined || seen === undefined) return undefined;
-  if (eraOfFence(held.fence) < lease.era) return take(lease, nowMs);
-  if (nowMs < held.grantedAtMs + options.renewEveryMs) return undefined;
+  if (eraOfFence(held.fence) < lease.era) return acquire(lease, nowMs);
+  if (nowMs < held.grantedAtMs + options.renewIntervalMs) return undefined;
   const value = seen.row.value as LeaseValue;
   return write(lease, nowMs, { ...value, renewal: value.renewal + 1 });
 }
 
-function take(lease: LeaseState, nowMs: number): TableOp {
-  const fence = Math.max(lease.highestFence, lease.era * FENCES_OF_ERA) + 1;
+function acquire(lease: LeaseState, nowMs: number): TableOp {
+  const fence = Math.max(lease.highestFence, lease.era * FENCES_PER_ERA) + 1;
   const { ownerId, incarnation } = lease;
   return write(lease, nowMs, { holderId: ownerId, incarnation, fence, renewal: 1 });
 }
@@ -265,6 +265,6 @@
 
 function read(lease: LeaseState, nowMs: number): TableOp {
   lease.pending = { sentAtMs: nowMs, kind: 'read' };
-  lease.nextReadAtMs = nowMs + lease.options.renewEveryMs;
+  lease.nextReadAtMs = nowMs + lease.options.renewIntervalMs;
   return { kind: 'read', keys: [lease.options.key] };
 }
--- a/packages/reedlug-coordination/src/membership.ts
+++ b/packages/reedlug-coordination/src/membership.ts
@@ -36,7 +36,7 @@
   incarnation: number;
   state: MemberState;
   /** Time of the last direct word on this process's clock. */
-  heardAtMs: number;
+  lastReceivedAtMs: number;
   /** When it leaves, on this process's clock, if told. */
   leavesAtMs: number | undefined;
   /** When the first source said that it leaves. */
@@ -69,7 +69,7 @@
 }
 
 /** Takes a statement; returns the member when its state changed. */
-export function noteMember(
+export function recordMemberStatement(
   membership: Membership,
   id: string,
   statement: MemberStatement,
@@ -98,7 +98,7 @@
     zone,
     incarnation: statement.incarnation,
     state: MemberState.listed,
-    heardAtMs: nowMs,
+    lastReceivedAtMs: nowMs,
     leavesAtMs: undefined,
     leavingSinceMs: undefined,
   };
@@ -110,9 +110,9 @@
 function applyStatement(member: Member, statement: MemberStatement, nowMs: number): void {
   switch (statement.kind) {
     case 'heard':
-      member.heardAtMs = nowMs;
+      member.lastReceivedAtMs = nowMs;
       if (statement.zone !== '') member.zone = statement.zone;
-      if (!isSticky(member)) member.state = MemberState.live;
+      if (!isKnownToLeave(member)) member.state = MemberState.live;
       return;
     case 'listed':
       if (statement.leaving) markLeaving(member, undefined, nowMs);
@@ -129,7 +129,7 @@
   }
 }
 
-function isSticky(member: Member): boolean {
+function isKnownToLeave(member: Member): boolean {
   return member.leavingSinceMs !== undefined;
 }
 
@@ -154,7 +154,7 @@
 }
 
 function stateAfterSilence(options: MembershipOptions, member: Member, nowMs: number): MemberState {
-  const silentMs = nowMs - member.heardAtMs;
+  const silentMs = nowMs - member.lastReceivedAtMs;
   switch (member.state) {
     case MemberState.live:
       return silentMs > options.suspectAfterMs ? MemberState.suspect : member.state;
@@ -168,7 +168,7 @@
 }
 
 /** True when the member may be given new work. */
-export function takesNewWork(member: Member): boolean {
+export function acceptsNewWork(member: Member): boolean {
   return member.state === MemberState.live;
 }
 
--- a/packages/reedlug-coordination/src/rendezvous.ts
+++ b/packages/reedlug-coordination/src/rendezvous.ts
@@ -15,7 +15,7 @@
 }
 
 /** Ids whose hashes are kept: some fleets' worth; beyond them all are worked out anew. */
-const KEPT_HASHES = 20_000;
+const MAX_CACHED_HASHES = 20_000;
 const hashById = new Map<string, number>();
 
 /**
@@ -24,16 +24,16 @@
  * tenth of a box's processor time in its first seconds.
  */
 export function hashId(id: string): number {
-  const known = hashById.get(id);
-  if (known !== undefined) return known;
-  if (hashById.size >= KEPT_HASHES) hashById.clear();
+  const cached = hashById.get(id);
+  if (cached !== undefined) return cached;
+  if (hashById.size >= MAX_CACHED_HASHES) hashById.clear();
   const hash = hashString(id);
   hashById.set(id, hash);
   return hash;
 }
 
 /** A string's hash as a number from 0 to below 1. */
-export function hashShare(text: string): number {
+export function hashFraction(text: string): number {
   return hashString(text) / 2 ** 32;
 }
 
--- a/packages/reedlug-coordination/src/retryBudget.ts
+++ b/packages/reedlug-coordination/src/retryBudget.ts
@@ -18,7 +18,7 @@
 }
 
 /** Counts a first try. */
-export function noteFirstTry(budget: RetryBudget): void {
+export function recordFirstTry(budget: RetryBudget): void {
   budget.tokens = Math.min(budget.capacity, budget.tokens + budget.share);
 }
 
--- a/packages/reedlug-coordination/src/sharedLimit.ts
+++ b/packages/reedlug-coordination/src/sharedLimit.ts
@@ -13,7 +13,7 @@
 }
 
 /** Part of the whole that is split evenly, so that a box with no demand yet can start. */
-export const EVEN_PART = 0.2;
+export const EVEN_SHARE = 0.2;
 
 /** The share of `total` for `boxId`; 0 when the box is not among the entries. */
 export function shareOfLimit(
@@ -27,5 +27,5 @@
   const even = total / entries.length;
   if (demandSum === 0) return even;
   const byDemand = (total * own.demandPerSecond) / demandSum;
-  return even * EVEN_PART + byDemand * (1 - EVEN_PART);
+  return even * EVEN_SHARE + byDemand * (1 - EVEN_SHARE);
 }
--- a/packages/reedlug-coordination/src/storeRevision.ts
+++ b/packages/reedlug-coordination/src/storeRevision.ts
@@ -9,24 +9,24 @@
 type TableTransaction = Extract<TableOp, { kind: 'transact' }>;
 
 /** Versions of one era; a store of a thousand writes a second uses them up in 34 years. */
-const VERSIONS_OF_ERA = 2 ** 40;
+const VERSIONS_PER_ERA = 2 ** 40;
 
 /** The last era that counts: later ones would not be whole numbers any more. */
-export const LAST_STORE_ERA = 2 ** 13 - 1;
+export const MAX_STORE_ERA = 2 ** 13 - 1;
 
 /** The revision of a version that the store gave out, or told, in an era. */
 export function storeRevision({ era, version }: { era: number; version: number }): number {
-  return era * VERSIONS_OF_ERA + version;
+  return era * VERSIONS_PER_ERA + version;
 }
 
 /** The era of a revision. */
 export function eraOf(revision: number): number {
-  return Math.floor(revision / VERSIONS_OF_ERA);
+  return Math.floor(revision / VERSIONS_PER_ERA);
 }
 
 /** The version that the store itself knows. */
 export function versionOf(revision: number): number {
-  return revision % VERSIONS_OF_ERA;
+  return revision % VERSIONS_PER_ERA;
 }
 
 /** A revision for a log line: `ERA/VERSION`, or the version alone of a store without eras. */
@@ -48,13 +48,13 @@
  * The answer to an operation that the store carried out in an era, its rows with revisions. A write
  * that expected a revision of another era may have met another row under the same version.
  */
-export function answerOfEra(op: TableOp, answer: TableAnswer, era: number): TableAnswer {
+export function answerWithRevisions(op: TableOp, answer: TableAnswer, era: number): TableAnswer {
   if (answer.kind === 'unknown') return answer;
-  const isMistaken =
+  const isUncertain =
     answer.kind === 'done' &&
     op.kind === 'transact' &&
     op.writes.some(({ expectVersion }) => expectVersion > 0 && eraOf(expectVersion) !== era);
-  if (isMistaken) return { kind: 'unknown' };
+  if (isUncertain) return { kind: 'unknown' };
   const rows = answer.rows.map((row): TableRow => {
     return { ...row, version: storeRevision({ era, version: row.version }) };
   });
--- a/packages/reedlug-decisions/src/slices/config.ts
+++ b/packages/reedlug-decisions/src/slices/config.ts
@@ -137,13 +137,13 @@
 /** Notes a peer's revision; a peer that is reachable makes a source. */
 export function notePeerRevision(state: BoxState, revision: number): void {
   state.configSourceSeen = true;
-  state.config.highestHeard = Math.max(state.config.highestHeard, revision);
+  state.config.highestKnownRevision = Math.max(state.config.highestKnownRevision, revision);
   noteCaughtUp(state);
 }
 
 /** Asks a peer that is ahead, when this box is behind what it has heard. */
 function askWhenBehind(state: BoxState, step: Step): void {
-  if (state.config.revision >= state.config.highestHeard) return;
+  if (state.config.revision >= state.config.highestKnownRevision) return;
   if (step.nowMs < state.nextCatchUpAtMs) return;
   state.nextCatchUpAtMs = step.nowMs + state.settings.control.configPollMs / 4;
   for (const [boxId, peer] of state.peers) {
--- a/packages/reedlug-decisions/src/slices/dispatch.ts
+++ b/packages/reedlug-decisions/src/slices/dispatch.ts
@@ -4,7 +4,7 @@
 import { ServerKind } from '../types/settings.js';
 import type { BoxState, PoolQueues, ServerView, Step } from '../state.js';
 import { chooseServer } from '../policy/routing.js';
-import { noteFirstTry } from 'reedlug-coordination';
+import { recordFirstTry } from 'reedlug-coordination';
 import { queuesOf } from './queues.js';
 import { serverMember } from './servers.js';
 
@@ -67,7 +67,7 @@
   const { spec } = record;
   const attempt = newAttempt(state, record, view, step.nowMs);
   if (record.attempts.length === 0) {
-    noteFirstTry(state.retryBudget);
+    recordFirstTry(state.retryBudget);
     record.waitedMs = step.nowMs - record.arrivedAtMs;
   }
   record.attempts.push(attempt);
--- a/packages/reedlug-decisions/src/slices/orders.ts
+++ b/packages/reedlug-decisions/src/slices/orders.ts
@@ -6,7 +6,7 @@
  * the engine is out of routing and idle.
  */
 import {
-  leaseAnswered,
+  handleLeaseAnswer,
   leaseTick,
   liveInZone,
   orderValidForMs,
@@ -69,7 +69,7 @@
   answer: TableAnswer,
 ): void {
   const before = state.lease.held?.fence;
-  leaseAnswered(state.lease, answer, { sentAtMs, nowMs: step.nowMs });
+  handleLeaseAnswer(state.lease, answer, { sentAtMs, nowMs: step.nowMs });
   const after = state.lease.held?.fence;
   if (before !== after) log(step, 'leaseChanged', { fence: after ?? 0, held: after !== undefined });
 }
--- a/packages/reedlug-decisions/src/slices/peerLinks.ts
+++ b/packages/reedlug-decisions/src/slices/peerLinks.ts
@@ -4,7 +4,7 @@
   membershipTick,
   MemberSource,
   MemberState,
-  noteMember,
+  recordMemberStatement,
 } from 'reedlug-coordination';
 import type { PeerMessage } from '../types/peer.js';
 import type { BoxState, Step } from '../state.js';
@@ -87,7 +87,7 @@
 
 function noteSelf(state: BoxState, nowMs: number): void {
   const { boxId, incarnation, zone } = state.settings;
-  noteMember(state.boxMembers, boxId, { kind: 'heard', incarnation, zone }, nowMs);
+  recordMemberStatement(state.boxMembers, boxId, { kind: 'heard', incarnation, zone }, nowMs);
 }
 
 function heartbeat(state: BoxState): PeerMessage {
@@ -117,7 +117,7 @@
   const wasSilent = before !== undefined && before.state !== MemberState.live;
   const { incarnation, zone } = message;
   if (before !== undefined && incarnation < before.incarnation) return;
-  noteMember(state.boxMembers, from, { kind: 'heard', incarnation, zone }, step.nowMs);
+  recordMemberStatement(state.boxMembers, from, { kind: 'heard', incarnation, zone }, step.nowMs);
   if (message.draining) noteDraining(state, from, incarnation, step.nowMs);
   state.peers.set(from, {
     revision: message.revision,
@@ -135,7 +135,7 @@
     leavesAtMs: undefined,
     source: MemberSource.direct,
   } as const;
-  noteMember(state.boxMembers, from, statement, nowMs);
+  recordMemberStatement(state.boxMembers, from, statement, nowMs);
 }
 
 /** Tells a box that is new to us of the servers probed here, and of those that leave. */
--- a/packages/reedlug-decisions/src/slices/readiness.ts
+++ b/packages/reedlug-decisions/src/slices/readiness.ts
@@ -8,7 +8,7 @@
 export function isReady(state: BoxState): boolean {
   if (state.draining !== undefined) return false;
   if (!state.configSourceSeen) return false;
-  return state.config.revision >= state.config.highestHeard || hasBeenReady(state);
+  return state.config.revision >= state.config.highestKnownRevision || hasBeenReady(state);
 }
 
 /** Once caught up, a box goes on serving while it fetches the newest revisions. */
@@ -19,5 +19,5 @@
 /** Notes that the box has caught up; call it after each change of the replica. */
 export function noteCaughtUp(state: BoxState): void {
   if (!state.configSourceSeen) return;
-  if (state.config.revision >= state.config.highestHeard) state.caughtUpOnce = true;
+  if (state.config.revision >= state.config.highestKnownRevision) state.caughtUpOnce = true;
 }
--- a/packages/reedlug-decisions/src/slices/servers.ts
+++ b/packages/reedlug-decisions/src/slices/servers.ts
@@ -9,8 +9,8 @@
   liveInZone,
   MemberSource,
   MemberState,
-  noteMember,
-  takesNewWork,
+  recordMemberStatement,
+  acceptsNewWork,
   type Member,
   type MemberStatement,
 } from 'reedlug-coordination';
@@ -102,7 +102,7 @@
   const member = serverMember(state, view.spec.id);
   if (member === undefined) return false;
   if (state.mutations.has('trustStaleList') && member.state !== MemberState.dead) return true;
-  if (!takesNewWork(member)) return false;
+  if (!acceptsNewWork(member)) return false;
   return reportFits(view);
 }
 
@@ -124,7 +124,7 @@
       zone: spec.zone,
       leaving: false,
     };
-    noteMember(state.serverMembers, spec.id, statement, nowMs);
+    recordMemberStatement(state.serverMembers, spec.id, statement, nowMs);
   }
 }
 
@@ -137,7 +137,7 @@
   tellPeers: boolean,
 ): void {
   const view = state.servers.get(serverId);
-  const changed = noteMember(state.serverMembers, serverId, statement, step.nowMs);
+  const changed = recordMemberStatement(state.serverMembers, serverId, statement, step.nowMs);
   if (changed === undefined) {
     if (statement.kind === 'leaving' && view !== undefined) evacuate(state, step, view);
     return;
--- a/packages/reedlug-decisions/src/state.ts
+++ b/packages/reedlug-decisions/src/state.ts
@@ -303,7 +303,7 @@
         key: `lease/orders/${siteOfZone(settings, settings.zone)}`,
         ttlMs: control.leaseTtlMs,
         marginMs: control.leaseMarginMs,
-        renewEveryMs: control.leaseRenewMs,
+        renewIntervalMs: control.leaseRenewMs,
         maxOrderFlightMs: control.maxOrderFlightMs,
       },
       settings.boxId,
--- a/packages/reedlug-gateway/src/daemon/peerWire.ts
+++ b/packages/reedlug-gateway/src/daemon/peerWire.ts
@@ -7,7 +7,7 @@
  * find no loads and no changes in it, and ask for the whole registry.
  */
 import { Decoder, Encoder } from 'cbor-x';
-import { LAST_STORE_ERA } from 'reedlug-coordination';
+import { MAX_STORE_ERA } from 'reedlug-coordination';
 import type {
   NumberedChange,
   PeerDatagram,
@@ -106,7 +106,7 @@
 }
 
 function isEra(value: unknown): value is number {
-  return Number.isInteger(value) && Number(value) >= 0 && Number(value) <= LAST_STORE_ERA;
+  return Number.isInteger(value) && Number(value) >= 0 && Number(value) <= MAX_STORE_ERA;
 }
 
 function isDecision(value: unknown): value is UsageDecisionNews {
--- a/packages/reedlug-gateway/src/slices/duties.ts
+++ b/packages/reedlug-gateway/src/slices/duties.ts
@@ -1,5 +1,5 @@
 /** The lease under which one box carries out the duties for all. */
-import { leaseAnswered, leaseTick, usableFence } from 'reedlug-coordination';
+import { handleLeaseAnswer, leaseTick, usableFence } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
 import { startDelayMs } from './fleet.js';
 import { log, requestTable, type GatewayState, type Step } from '../state.js';
@@ -33,7 +33,7 @@
 /** Takes the store's answer about the lease's row. */
 export function onLeaseRow(state: GatewayState, step: Step, event: EventOf<'tableAnswered'>): void {
   const fenceBefore = state.lease.held?.fence;
-  leaseAnswered(state.lease, event.answer, { sentAtMs: event.sentAtMs, nowMs: step.nowMs });
+  handleLeaseAnswer(state.lease, event.answer, { sentAtMs: event.sentAtMs, nowMs: step.nowMs });
   const fence = state.lease.held?.fence;
   if (fence === fenceBefore) return;
   log(step, fence === undefined ? 'leaseLost' : 'leaseTaken', { fence: fence ?? fenceBefore ?? 0 });
--- a/packages/reedlug-gateway/src/slices/requests.ts
+++ b/packages/reedlug-gateway/src/slices/requests.ts
@@ -1,5 +1,5 @@
 /** Requests: arrival, the caller's leaving, the end of their time. */
-import { hashShare } from 'reedlug-coordination';
+import { hashFraction } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
 import type { RouteSpec, WorkspaceSpec } from '../types/configuration.js';
 import type { AwaitingRequest, RequestFacts, RequestRecord } from '../types/request.js';
@@ -103,7 +103,7 @@
 /** The service by the targets' weights; one request id always gets the same. */
 function pickTarget(route: RouteSpec, requestId: string): string {
   const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
-  let point = hashShare(requestId) * total;
+  let point = hashFraction(requestId) * total;
   for (const target of route.targets) {
     point -= target.weight;
     if (point < 0) return target.service;
--- a/packages/reedlug-gateway/src/slices/retryBudgets.ts
+++ b/packages/reedlug-gateway/src/slices/retryBudgets.ts
@@ -5,7 +5,12 @@
  * even part of the fixed number and to the ratio of its own requests, so the
  * sum holds in any cut and needs no messages.
  */
-import { createRetryBudget, noteFirstTry, takeRetry, type RetryBudget } from 'reedlug-coordination';
+import {
+  createRetryBudget,
+  recordFirstTry,
+  takeRetry,
+  type RetryBudget,
+} from 'reedlug-coordination';
 import type { GatewayState } from '../state.js';
 import { fleetSize } from './fleet.js';
 
@@ -23,7 +28,7 @@
 
 /** Counts a request's first send. */
 export function countFirstSend(state: GatewayState, service: string): void {
-  noteFirstTry(budgetOf(state, service));
+  recordFirstTry(budgetOf(state, service));
 }
 
 /** Takes one repeated send from the budget; false when none is left. */
--- a/packages/reedlug-gateway/src/slices/storeEra.ts
+++ b/packages/reedlug-gateway/src/slices/storeEra.ts
@@ -2,7 +2,7 @@
  * Eras of the store. It may come back from a copy some seconds old: rows are as they were then,
  * and versions since then are given out again. A new era is how boxes know.
  */
-import { noteLeaseEra } from 'reedlug-coordination';
+import { recordLeaseEra } from 'reedlug-coordination';
 import { forgetCrashRow } from './crashRecord.js';
 import { forgetRecord } from './rollouts.js';
 import { forgetCheckpoint } from './usage.js';
@@ -27,7 +27,7 @@
   const before = state.storeEra;
   state.storeEra = era;
   state.eraKnown = { sinceMs: step.nowMs, toldSinceWallMs: Number.POSITIVE_INFINITY };
-  noteLeaseEra(state.lease, { era, isFirst: before === undefined, nowMs: step.nowMs });
+  recordLeaseEra(state.lease, { era, isFirst: before === undefined, nowMs: step.nowMs });
   if (before === undefined) return log(step, 'storeEraFirst', { era, source });
   state.storeCopyAtMs = step.nowMs;
   log(step, 'storeCameBack', { era, before, source });
--- a/packages/reedlug-gateway/src/slices/versionRule.ts
+++ b/packages/reedlug-gateway/src/slices/versionRule.ts
@@ -4,7 +4,7 @@
  * Exposure needs no count over boxes: each request is in the sample by its own id, so the
  * share holds whatever boxes die or are cut off, and only first sends are in it.
  */
-import { hashShare } from 'reedlug-coordination';
+import { hashFraction } from 'reedlug-coordination';
 import { catchUpFactor, shareOfPhase } from '../policy/rolloutStep.js';
 import type { GatewayState } from '../state.js';
 import type { RequestRecord } from '../types/request.js';
@@ -56,7 +56,7 @@
   if (phase !== RolloutPhase.sampling && phase !== RolloutPhase.widened) return false;
   if (record.attempts.length > 0) return false;
   const share = view.shareByRoute.get(record.route.name) ?? sampleShare(state, view);
-  return hashShare(`${record.facts.requestId} ${order.revision}`) < share;
+  return hashFraction(`${record.facts.requestId} ${order.revision}`) < share;
 }
 
 /** Whether two versions of a service stand side by side. */
--- a/packages/reedlug-gateway/src/state.ts
+++ b/packages/reedlug-gateway/src/state.ts
@@ -247,7 +247,7 @@
         key: LEASE_KEY,
         ttlMs,
         marginMs: ttlMs * LEASE_MARGIN_SHARE,
-        renewEveryMs: ttlMs * LEASE_RENEWAL_SHARE,
+        renewIntervalMs: ttlMs * LEASE_RENEWAL_SHARE,
         maxOrderFlightMs: ttlMs,
       },
       settings.box.id,
--- a/packages/reedlug-simulator/src/store/virtualStore.ts
+++ b/packages/reedlug-simulator/src/store/virtualStore.ts
@@ -21,7 +21,7 @@
   type StoreTableReply,
 } from 'reedlug-gateway';
 import {
-  answerOfEra,
+  answerWithRevisions,
   versionOf,
   withStoreVersions,
   type TableAnswer,
@@ -322,7 +322,11 @@
           const done = (): StoreTableReply => {
             const found = op.kind === 'transact' ? changeTable(op) : applyTableOp(table, op);
             const era = eraOfStore();
-            return { answer: answerOfEra(op, found, era), storeNowMs: nowMs(worldOf()), era };
+            return {
+              answer: answerWithRevisions(op, found, era),
+              storeNowMs: nowMs(worldOf()),
+              era,
+            };
           };
           const silent: StoreTableReply = {
             answer: { kind: 'unknown' },
--- a/packages/reedlug/src/http/boxStatus.ts
+++ b/packages/reedlug/src/http/boxStatus.ts
@@ -52,7 +52,7 @@
     ready: daemon.ready(),
     draining: state.draining !== undefined,
     revision: state.config.revision,
-    highestRevisionHeard: state.config.highestHeard,
+    highestRevisionHeard: state.config.highestKnownRevision,
     leaseFence: state.lease.held?.fence,
     unsettledRequests: state.unsettled.size,
     rejectedPeers: daemon.rejectedPeers(),
--- a/packages/reedlug/src/platform/platformCall.ts
+++ b/packages/reedlug/src/platform/platformCall.ts
@@ -5,7 +5,7 @@
 import { Pool } from 'undici';
 import {
   breakerAllows,
-  breakerNotes,
+  recordBreakerResult,
   createBreaker,
   createTokenBucket,
   takeTokens,
@@ -62,7 +62,7 @@
       const answer = options.isCut()
         ? await afterTimeout(timeoutMs)
         : await send<T>(pool, request, timeoutMs);
-      breakerNotes(breaker, answer.kind !== 'unknown', performance.now());
+      recordBreakerResult(breaker, answer.kind !== 'unknown', performance.now());
       return answer;
     },
     close: () => pool.destroy(),
