--- a/packages/reedlug-coordination/src/__tests__/attemptLedger.test.ts
+++ b/packages/reedlug-coordination/src/__tests__/attemptLedger.test.ts
@@ -10,7 +10,7 @@
   expect(ledger.tokens).deep.equal([]);
 });
 
-test('doubled tokens are taken once', () => {
+test('duplicate tokens are accepted once', () => {
   const ledger = createAttemptLedger();
   startAttempt(ledger, 'a');
   acceptTokens(ledger, { attemptId: 'a', offset: 0, tokens: ['x', 'y'] });
@@ -19,14 +19,14 @@
   expect(ledger.tokens).deep.equal(['x', 'y', 'z']);
 });
 
-test('a gap takes nothing', () => {
+test('a batch after a gap is not accepted', () => {
   const ledger = createAttemptLedger();
   startAttempt(ledger, 'a');
   const result = acceptTokens(ledger, { attemptId: 'a', offset: 2, tokens: ['z'] });
   expect(result).deep.equal({ kind: 'gap', expectedOffset: 0 });
 });
 
-test('an end marker over missing tokens is a gap', () => {
+test('an end marker with tokens missing is a gap', () => {
   const ledger = createAttemptLedger();
   startAttempt(ledger, 'a');
   acceptTokens(ledger, { attemptId: 'a', offset: 0, tokens: ['x'] });
--- a/packages/reedlug-coordination/src/__tests__/claims.test.ts
+++ b/packages/reedlug-coordination/src/__tests__/claims.test.ts
@@ -22,7 +22,7 @@
   return { key: claim.key, version, value: claim.value };
 }
 
-test('a lost answer is settled by reading back', () => {
+test('a write whose answer is lost is settled by reading back', () => {
   const own = pending('k', 'op-1');
   const { group } = startClaimGroup([own]);
   const lost = stepClaimGroup(group, { kind: 'unknown' });
@@ -32,14 +32,14 @@
   expect(found.verdicts.map((verdict) => verdict.kind)).deep.equal(['held']);
 });
 
-test('a write that did not land is written again', () => {
+test('a write that did not take effect is repeated', () => {
   const { group } = startClaimGroup([pending('k', 'op-1')]);
   const lost = stepClaimGroup(group, { kind: 'unknown' });
   const absent = stepClaimGroup(lost.next?.group ?? group, { kind: 'done', rows: [] });
   expect(absent.next?.op.kind).equal('transact');
 });
 
-test('a taken key leaves the rest of its group', () => {
+test('a taken key is removed and the rest of its group is written again', () => {
   const other = pending('k1', 'op-other');
   const { group } = startClaimGroup([pending('k1', 'op-1'), pending('k2', 'op-2')]);
   const step = stepClaimGroup(group, { kind: 'refused', reason: 'conflict', rows: [row(other)] });
@@ -54,7 +54,7 @@
   expect(step.verdicts.map((verdict) => verdict.kind)).deep.equal(['digestDiffers']);
 });
 
-test('a silent table ends in unavailable', () => {
+test('claims become unavailable when the table never answers', () => {
   let { group } = startClaimGroup([pending('k', 'op-1')]);
   for (;;) {
     const step = stepClaimGroup(group, { kind: 'unknown' });
--- a/packages/reedlug-coordination/src/__tests__/components.test.ts
+++ b/packages/reedlug-coordination/src/__tests__/components.test.ts
@@ -18,7 +18,7 @@
   return { revision, planId: `p${revision}`, author: 'o', changes };
 }
 
-test('deltas that come early wait for the gap', () => {
+test('deltas out of order wait until the gap is filled', () => {
   const replica = createConfigReplica();
   expect(applyDeltas(replica, [delta(2), delta(3)])).deep.equal([]);
   expect(replica.revision).equal(0);
@@ -27,7 +27,7 @@
   expect(replica.items.get('a')?.value).equal(3);
 });
 
-test('an older snapshot is not taken', () => {
+test('an older snapshot is not applied', () => {
   const replica = createConfigReplica();
   applyDeltas(replica, [delta(1), delta(2)]);
   expect(applySnapshot(replica, { revision: 1, items: [] })).equal(false);
@@ -37,7 +37,7 @@
   expect(deltasAfter(replica, 2, 10)).equal(undefined);
 });
 
-test('a member that only the list names takes no work', () => {
+test('a member that only the list names gets no work', () => {
   const membership = createMembership({ suspectAfterMs: 100, deadAfterMs: 500 });
   const listed = { kind: 'listed', incarnation: 1, zone: 'z', leaving: false } as const;
   const member = recordMemberStatement(membership, 'm', listed, 0);
@@ -51,7 +51,7 @@
   expect(membershipTick(membership, 501).map(({ state }) => state)).deep.equal(['dead']);
 });
 
-test('a late word of an older life changes nothing', () => {
+test('a late statement about an older incarnation changes nothing', () => {
   const membership = createMembership({ suspectAfterMs: 100, deadAfterMs: 500 });
   recordMemberStatement(membership, 'm', { kind: 'heard', incarnation: 2, zone: 'z' }, 0);
   const old = { kind: 'leaving', incarnation: 1, leavesAtMs: 5, source: 'peer' } as const;
@@ -59,7 +59,7 @@
   expect(membership.members.get('m')?.state).equal('live');
 });
 
-test('shares of a limit sum to the whole', () => {
+test('shares of a limit sum to the limit', () => {
   const entries = ['a', 'b', 'c'].map((boxId, index) => ({ boxId, demandPerSecond: index * 7 }));
   const sum = entries.reduce((total, { boxId }) => total + shareOfLimit(90, boxId, entries), 0);
   expect(sum).closeTo(90, 1e-9);
@@ -73,7 +73,7 @@
   expect([takeRetry(budget), takeRetry(budget)]).deep.equal([true, false]);
 });
 
-test('an open breaker lets one probe through', () => {
+test('an open breaker allows one probe', () => {
   const breaker = createBreaker(2, 100);
   recordBreakerResult(breaker, false, 0);
   recordBreakerResult(breaker, false, 0);
@@ -83,7 +83,7 @@
   expect(breakerAllows(breaker, 103)).equal(true);
 });
 
-test('a token bucket tells when it will have enough', () => {
+test('a token bucket returns the time until it has enough tokens', () => {
   const bucket = createTokenBucket(10, 1, 0);
   expect(takeTokens(bucket, 1, 0)).equal(0);
   expect(takeTokens(bucket, 1, 0)).equal(100);
@@ -100,7 +100,7 @@
   expect(taken.filter((owner) => owner === 'short').length).within(14, 16);
 });
 
-test('an entry that waits does not hold up those behind it', () => {
+test('an entry that is not accepted does not block those behind it', () => {
   const queue = createFairQueue(10);
   pushFair(queue, { id: 'waits', ownerId: 'o', cost: 1 });
   pushFair(queue, { id: 'goes', ownerId: 'o', cost: 1 });
--- a/packages/reedlug-coordination/src/__tests__/lease.test.ts
+++ b/packages/reedlug-coordination/src/__tests__/lease.test.ts
@@ -42,20 +42,20 @@
   tickOnce(lease, table, nowMs + 1);
 }
 
-test('a free lease is taken', () => {
+test('a free lease is acquired', () => {
   const lease = createLease(OPTIONS, 'a', 1);
   acquire(lease, createRowTable(), 0);
   expect(usableFence(lease, 10, true)).equal(1);
 });
 
-test('a paused holder finds its lease lapsed', () => {
+test('a lease lapses for a holder that was paused', () => {
   const lease = createLease(OPTIONS, 'a', 1);
   acquire(lease, createRowTable(), 0);
   expect(usableFence(lease, 8_999, true)).equal(1);
   expect(usableFence(lease, 9_001, true)).equal(undefined);
 });
 
-test('a taker waits out the whole lease and the fence grows', () => {
+test('another box waits for the whole lease and acquires it with a higher fence', () => {
   const table = createRowTable();
   const holder = createLease(OPTIONS, 'a', 1);
   const candidate = createLease(OPTIONS, 'b', 1);
@@ -66,13 +66,13 @@
   expect(candidate.held?.fence).equal(2);
 });
 
-test('an unfenced server waits for the last holder', () => {
+test('orders to a server without fence checks wait for those of an earlier holder', () => {
   const lease = createLease(OPTIONS, 'a', 1);
   acquire(lease, createRowTable(), 0);
   expect(usableFence(lease, 100, false)).equal(undefined);
 });
 
-test('the answer to an older operation grants nothing', () => {
+test('the answer to an earlier operation grants no lease', () => {
   const table = createRowTable();
   const lease = createLease(OPTIONS, 'a', 1);
   tickOnce(lease, table, 0);
--- a/packages/reedlug-coordination/src/__tests__/leaseEras.test.ts
+++ b/packages/reedlug-coordination/src/__tests__/leaseEras.test.ts
@@ -20,11 +20,11 @@
   renewIntervalMs: 1200,
   maxOrderFlightMs: 3000,
 };
-/** When others may take what this holder has, counted from when they first saw its row. */
+/** Time after which other boxes may acquire the lease, from when they first saw the holder's row. */
 const WAIT_MS = OPTIONS.ttlMs + OPTIONS.marginMs;
 const TICK_MS = 50;
 
-/** A table of one row in a store that may come back from a copy. */
+/** A table of one row in a store that may be restored from a backup. */
 class RestorableTable {
   era = 1;
   row: TableRow | undefined;
@@ -66,7 +66,7 @@
   return createLease(OPTIONS, id, 1);
 }
 
-/** Lets boxes tick until a time; each learns the era from the answer, before it takes that. */
+/** Ticks the leases of boxes until a time; each box records the era of an answer before handling it. */
 function run(
   table: RestorableTable,
   boxes: readonly LeaseState[],
@@ -89,7 +89,7 @@
   return usableFence(lease, nowMs, true) ?? 0;
 }
 
-test('a holder takes its row again when the store came back, without a gap', () => {
+test('a holder acquires its lease again after a restore, without a gap', () => {
   const table = new RestorableTable();
   const holder = createBox('a');
   const other = createBox('b');
@@ -107,7 +107,7 @@
   expect(holder.held?.sinceMs).to.be.below(1000);
 });
 
-test('fences rise where row, holder and all boxes are new', () => {
+test('fences grow after a restore also when no box knows the lost ones', () => {
   const table = new RestorableTable();
   const first = createBox('a');
   run(table, [first], 0, 500);
@@ -122,7 +122,7 @@
   expect(fenceAt(third, 8000 + 2 * WAIT_MS)).to.be.greaterThan(lost);
 });
 
-test('a holder keeps its lease though the row of the one before came back', () => {
+test('a holder keeps its lease when a restore brings back the row of an earlier holder', () => {
   const table = new RestorableTable();
   const before = createBox('a');
   run(table, [before], 0, 500);
@@ -135,7 +135,7 @@
   expect(before.held).to.equal(undefined);
 });
 
-test('a row that came back, or is missing, is waited for by all who knew the store before', () => {
+test('a box that knew the store before a restore waits for a restored or missing row', () => {
   for (const isMissing of [true, false]) {
     const table = new RestorableTable();
     const empty = table.backUp();
@@ -153,19 +153,19 @@
   }
 });
 
-test('a take that the store carried out in a later era grants nothing', () => {
+test('a write that the store carried out in a later era grants no lease', () => {
   const table = new RestorableTable();
   const lease = createBox('a');
   run(table, [lease], 0, TICK_MS);
   run(table, [lease], TICK_MS, 2 * TICK_MS);
   const op = leaseTick(lease, 100);
-  if (op?.kind !== 'transact') throw new Error('the lease is taken by a write');
+  if (op?.kind !== 'transact') throw new Error('expected a write that acquires the lease');
   table.restore(table.backUp());
   handleLeaseAnswer(lease, table.apply(op), { sentAtMs: 100, nowMs: 104 });
   expect(lease.held).to.equal(undefined);
 });
 
-test('a missing row is waited for by a box that had never looked at it before', () => {
+test('a box that knew the store before a restore waits for a missing row that it never read', () => {
   const lease = createBox('a');
   recordLeaseEra(lease, { era: 0, isFirst: true, nowMs: 0 });
   recordLeaseEra(lease, { era: 1, isFirst: false, nowMs: 100 });
--- a/packages/reedlug-coordination/src/__tests__/outcome.test.ts
+++ b/packages/reedlug-coordination/src/__tests__/outcome.test.ts
@@ -1,16 +1,16 @@
 import { expect } from 'chai';
 import { Outcome, outcomeWhenGivenUp, Reach } from '../outcome.js';
 
-test('nothing sent is notRun', () => {
+test('a request without attempts is notRun', () => {
   expect(outcomeWhenGivenUp({ reaches: [], repeatable: false })).equal(Outcome.notRun);
 });
 
-test('refused everywhere is notRun', () => {
+test('a request that no server ran is notRun', () => {
   const reaches = [Reach.refused, Reach.none];
   expect(outcomeWhenGivenUp({ reaches, repeatable: false })).equal(Outcome.notRun);
 });
 
-test('maybe reached and not repeatable is unknown', () => {
+test('a request that may have run and is not repeatable is unknown', () => {
   const reaches = [Reach.refused, Reach.maybe];
   expect(outcomeWhenGivenUp({ reaches, repeatable: false })).equal(Outcome.unknown);
 });
--- a/packages/reedlug-coordination/src/__tests__/storeRevision.test.ts
+++ b/packages/reedlug-coordination/src/__tests__/storeRevision.test.ts
@@ -10,7 +10,7 @@
 const OLD = storeRevision({ era: 1, version: 900 });
 const NEW = storeRevision({ era: 2, version: 7 });
 
-test('a version of a later era is later, and both parts are found again', () => {
+test('a revision of a later era is greater, and era and version can be read from it', () => {
   expect(NEW).to.be.greaterThan(OLD);
   expect([eraOf(OLD), versionOf(OLD)]).to.deep.equal([1, 900]);
   expect(storeRevision({ era: 0, version: 900 })).to.equal(900);
@@ -18,7 +18,7 @@
   expect(Number.isSafeInteger(last)).to.equal(true);
 });
 
-test('a write on a row of another era may have met another row', () => {
+test('the answer to a write that replaced a row expected in another era is unknown', () => {
   const writeOn = (expectVersion: number) => ({
     kind: 'transact' as const,
     writes: [{ key: 'a', expectVersion, value: 1 }],
@@ -33,7 +33,7 @@
   }
 });
 
-test('the row in conflict with a write of another era is told', () => {
+test('a write that expects a row of another era is refused with the row in conflict', () => {
   const op = { kind: 'transact' as const, writes: [{ key: 'a', expectVersion: OLD, value: 1 }] };
   const rows = [{ key: 'a', version: 5, value: 2 }];
   const answer = answerWithRevisions(op, { kind: 'refused', reason: 'conflict', rows }, 2);
--- a/packages/reedlug-coordination/src/attemptLedger.ts
+++ b/packages/reedlug-coordination/src/attemptLedger.ts
@@ -1,19 +1,22 @@
 /**
- * Attempt ledger: one answer assembled from the tokens of several attempts.
+ * Attempt ledger: assembles one answer from the tokens of several attempts.
  *
- * Every token has an offset in the whole answer. Tokens of an older attempt and
- * tokens already held are dropped; a gap is reported and nothing is taken.
+ * Each token has an offset in the whole answer. Tokens of an older attempt and
+ * duplicates are dropped. A batch that begins after a gap is not accepted, and
+ * the gap is reported.
  */
+
+/** State of one answer. */
 export interface AttemptLedger {
   /** The attempt whose tokens are accepted; undefined before the first one. */
   currentAttemptId: string | undefined;
   /** The gapless answer so far; the index is the token's offset. */
   tokens: string[];
-  /** True once the end marker of the current attempt matched the tokens held. */
+  /** Whether an end marker of the current attempt has matched the number of tokens. */
   whole: boolean;
 }
 
-/** What became of a batch of tokens. */
+/** The result for a batch of tokens or an end marker. */
 export type LedgerResult =
   | { kind: 'accepted'; offset: number; tokens: readonly string[] }
   | { kind: 'dropped'; reason: 'olderAttempt' | 'duplicate' | 'alreadyWhole' }
@@ -24,13 +27,13 @@
   return { currentAttemptId: undefined, tokens: [], whole: false };
 }
 
-/** Makes `attemptId` the only attempt whose tokens are taken; returns the offset to resume from. */
+/** Makes `attemptId` the only attempt whose tokens are accepted; returns the offset to resume from. */
 export function startAttempt(ledger: AttemptLedger, attemptId: string): number {
   ledger.currentAttemptId = attemptId;
   return ledger.tokens.length;
 }
 
-/** Takes tokens of an attempt at an offset; mutates the ledger only when they are accepted. */
+/** Accepts tokens of an attempt at an offset. The ledger changes only if they are accepted. */
 export function acceptTokens(
   ledger: AttemptLedger,
   batch: { attemptId: string; offset: number; tokens: readonly string[] },
@@ -47,7 +50,10 @@
   return { kind: 'accepted', offset: held, tokens: newTokens };
 }
 
-/** Takes an end marker. Only a marker of the current attempt over all tokens makes the answer whole. */
+/**
+ * Accepts an end marker, which makes the answer whole. It must be of the current attempt, and its
+ * total must match the number of tokens received.
+ */
 export function acceptEnd(
   ledger: AttemptLedger,
   end: { attemptId: string; totalTokens: number },
--- a/packages/reedlug-coordination/src/breaker.ts
+++ b/packages/reedlug-coordination/src/breaker.ts
@@ -1,11 +1,11 @@
-/** Circuit breaker: after repeated failures a dependency is left alone, then probed. */
+/** Circuit breaker: after repeated failures it allows no calls for a time, then one probe. */
 export interface Breaker {
   failuresToOpen: number;
   openForMs: number;
   failures: number;
-  /** While now is before this time the breaker is open. */
+  /** Time until which an open breaker allows no call. */
   openUntilMs: number;
-  /** True while a single probe is under way after the open time. */
+  /** Whether a probe has been allowed and its result is not recorded yet. */
   probing: boolean;
 }
 
@@ -14,7 +14,7 @@
   return { failuresToOpen, openForMs, failures: 0, openUntilMs: 0, probing: false };
 }
 
-/** Says whether a call may be made now; after the open time it lets one probe through. */
+/** Returns whether a call may be made now; after the open time, allows one probe. */
 export function breakerAllows(breaker: Breaker, nowMs: number): boolean {
   if (breaker.failures < breaker.failuresToOpen) return true;
   if (nowMs < breaker.openUntilMs || breaker.probing) return false;
@@ -22,7 +22,7 @@
   return true;
 }
 
-/** Notes the result of a call that the breaker allowed. */
+/** Records the result of a call that the breaker allowed. */
 export function recordBreakerResult(breaker: Breaker, succeeded: boolean, nowMs: number): void {
   breaker.probing = false;
   if (succeeded) {
--- a/packages/reedlug-coordination/src/claims.ts
+++ b/packages/reedlug-coordination/src/claims.ts
@@ -1,75 +1,80 @@
 /**
- * Claims: at most one run for a key, through conditional inserts in a table.
+ * Claims: at most one run for an idempotency key, through conditional inserts in a table.
  *
- * A claim does not lapse by time while its outcome is open, so a paused holder
- * is harmless. A write whose answer was lost is settled by reading the row back
- * and looking for one's own operation id. Claims are written in groups because
- * the table is rate-limited; a group is all or nothing, so on a conflict the
- * rows in the way are taken out and the rest is written again.
+ * A claim does not expire while its outcome is open, so a holder that pauses
+ * cannot cause a second run. When the answer to a write is lost, the row is read
+ * back: the write succeeded if the row has its operation id. Claims are written
+ * in groups because the table is rate-limited. A group is written atomically, so
+ * after a conflict the claims in conflict are removed and the others are written
+ * again.
  */
 import type { Outcome } from './outcome.js';
 import type { TableAnswer, TableOp, TableRow } from './tableTypes.js';
 
 /** The value of a claim row. */
 export interface ClaimValue {
-  /** Digest of the request, to refuse another request under the same key. */
+  /** Digest of the request, by which a different request under the same key is refused. */
   digest: string;
-  /** The process that holds the claim, with its incarnation. */
+  /** The process that holds the claim; `incarnation` identifies one start of it. */
   holderId: string;
   incarnation: number;
-  /** Names the one write that made the row. */
+  /** Unique id of the write that made the row. */
   operationId: string;
   requestId: string;
   /** Undefined while the outcome is open. */
   outcome: Outcome | undefined;
-  /** HTTP status of the answer, where there was one. */
+  /** HTTP status of the answer, if there was one. */
   status: number | undefined;
 }
 
-/** A claim that is waiting for the table. */
+/** A claim that the table has not confirmed yet. */
 export interface PendingClaim {
   key: string;
-  /** 0 for a new row; the version of a row whose outcome is `notRun`, to take it over. */
+  /** 0 for a new row, or the version of a row to replace whose outcome is `notRun`. */
   expectVersion: number;
   value: ClaimValue;
 }
 
-/** What the table said about one claim. */
+/**
+ * The result of one claim: `held` by this request, `taken` by another operation with the same digest,
+ * refused because the key belongs to a request with another digest, or unavailable because the
+ * table did not settle it.
+ */
 export type ClaimVerdict =
   | { kind: 'held'; key: string; requestId: string }
   | { kind: 'taken'; key: string; requestId: string; by: ClaimValue; version: number }
   | { kind: 'digestDiffers'; key: string; requestId: string }
   | { kind: 'unavailable'; key: string; requestId: string };
 
-/** A write or re-read under way. */
+/** Claims that are being written, or read back, in one table operation. */
 export interface ClaimGroup {
   claims: PendingClaim[];
-  /** True while the group is being read back after a lost answer. */
+  /** Whether the group is being read back after a lost answer. */
   readingBack: boolean;
   attempts: number;
 }
 
-/** What to do after an answer: verdicts now, and possibly one more table operation. */
+/** What follows from an answer: verdicts, and the next table operation if claims are still open. */
 export interface ClaimStep {
   verdicts: ClaimVerdict[];
   next: { group: ClaimGroup; op: TableOp } | undefined;
 }
 
-/** Attempts (writes and re-reads) for one group before its open claims are called unavailable. */
+/** Maximum number of writes and reads for one group before its open claims become unavailable. */
 export const CLAIM_MAX_ATTEMPTS = 6;
 
-/** The table row of a claim; workspace and key are encoded so that no two pairs share a row. */
+/** Returns the row key of a claim. Workspace and key are encoded so that no two pairs share a row. */
 export function claimRowKey(workspaceId: string, idempotencyKey: string): string {
   return `claim/${encodeURIComponent(workspaceId)}/${encodeURIComponent(idempotencyKey)}`;
 }
 
-/** The first write of a group. */
+/** Returns a new group and its first write. */
 export function startClaimGroup(claims: PendingClaim[]): { group: ClaimGroup; op: TableOp } {
   const group = { claims, readingBack: false, attempts: 1 };
   return { group, op: writeOp(claims) };
 }
 
-/** Takes the table's answer for a group and says what is settled and what to ask next. */
+/** Handles the table's answer for a group; returns the claims it settles and the next operation. */
 export function stepClaimGroup(group: ClaimGroup, answer: TableAnswer): ClaimStep {
   if (group.readingBack) return afterReadBack(group, answer);
   switch (answer.kind) {
@@ -102,6 +107,7 @@
   return retryClaims(group, open, false, verdicts);
 }
 
+/** Returns the next attempt for open claims, or marks them unavailable after the last one. */
 function retryClaims(
   group: ClaimGroup,
   claims: PendingClaim[],
@@ -116,6 +122,7 @@
   return { verdicts, next: { group: next, op } };
 }
 
+/** Splits claims into those that the current rows settle and those that are still open. */
 function evaluateClaims(
   claims: readonly PendingClaim[],
   rows: readonly TableRow[],
--- a/packages/reedlug-coordination/src/configReplica.ts
+++ b/packages/reedlug-coordination/src/configReplica.ts
@@ -1,10 +1,12 @@
 /**
- * Config replica: a copy of an ordered revision log that never steps back.
+ * Configuration replica: the state of an ordered log of revisions, which never goes back.
  *
- * The log lives in a table; readers push deltas to peers. Deltas that arrive
- * early wait until the gap before them is filled. A snapshot replaces the state
- * only when it is ahead.
+ * The log is stored in a table; boxes that read it push its deltas to their peers.
+ * Deltas that arrive out of order wait until the gap before them is filled. A
+ * snapshot replaces the state only if it has a later revision.
  */
+
+/** A change of one item. */
 export interface ConfigChange {
   /** The item's name, such as `workspace/tiger-lab`. */
   name: string;
@@ -12,25 +14,25 @@
   value: unknown;
 }
 
-/** One entry of the log; revisions are 1, 2, 3, … without gaps. */
+/** One entry of the log. Revisions are 1, 2, 3, … without gaps. */
 export interface ConfigDelta {
   revision: number;
   planId: string;
-  /** Who confirmed it. */
+  /** Who confirmed the plan. */
   author: string;
   changes: readonly ConfigChange[];
 }
 
-/** An item with the revision that last changed it. */
+/** An item, with the revision that last changed it. */
 export interface ConfigItem {
   value: unknown;
   revision: number;
-  /** The plan that last changed it, and who confirmed that plan. */
+  /** The plan that last changed the item; `author` is who confirmed that plan. */
   planId: string;
   author: string;
 }
 
-/** The whole configuration at one revision. */
+/** The complete configuration at one revision. */
 export interface ConfigSnapshot {
   revision: number;
   items: readonly { name: string; item: ConfigItem }[];
@@ -38,18 +40,18 @@
 
 /** State of a replica. */
 export interface ConfigReplica {
-  /** The highest revision applied; never falls. */
+  /** The highest revision applied; never decreases. */
   revision: number;
   items: Map<string, ConfigItem>;
-  /** Recent deltas by revision, to serve peers that are behind. */
+  /** Recent deltas by revision, for peers that are behind. */
   recent: Map<number, ConfigDelta>;
-  /** Deltas that arrived before the ones they follow. */
+  /** Deltas by revision that arrived before the ones that they follow. */
   outOfOrder: Map<number, ConfigDelta>;
-  /** The highest revision that any reachable peer has told of. */
+  /** The highest revision known to exist, from received deltas and snapshots and from peers' reports. */
   highestKnownRevision: number;
 }
 
-/** How many deltas a replica keeps for peers; who is further behind takes a snapshot. */
+/** Number of deltas that a replica keeps for peers; a peer that is further behind gets a snapshot. */
 export const CONFIG_RECENT_LIMIT = 512;
 
 /** Returns an empty replica at revision 0. */
@@ -63,7 +65,7 @@
   };
 }
 
-/** Takes deltas in any order; returns those that were applied, in order. */
+/** Accepts deltas in any order; returns those that could be applied, in order of revision. */
 export function applyDeltas(replica: ConfigReplica, deltas: readonly ConfigDelta[]): ConfigDelta[] {
   for (const delta of deltas) {
     replica.highestKnownRevision = Math.max(replica.highestKnownRevision, delta.revision);
@@ -90,7 +92,7 @@
   replica.recent.delete(delta.revision - CONFIG_RECENT_LIMIT);
 }
 
-/** Takes a snapshot if it is ahead of the replica; says whether it was taken. */
+/** Applies a snapshot if its revision is later than the replica's; returns whether it was applied. */
 export function applySnapshot(replica: ConfigReplica, snapshot: ConfigSnapshot): boolean {
   replica.highestKnownRevision = Math.max(replica.highestKnownRevision, snapshot.revision);
   if (snapshot.revision <= replica.revision) return false;
@@ -102,13 +104,13 @@
   return true;
 }
 
-/** The whole state, for the object store or for a peer far behind. */
+/** Returns the complete state, for the object store or for a peer that is far behind. */
 export function takeSnapshot(replica: ConfigReplica): ConfigSnapshot {
   const items = [...replica.items].map(([name, item]) => ({ name, item }));
   return { revision: replica.revision, items };
 }
 
-/** The deltas after a revision, or undefined when the replica no longer keeps all of them. */
+/** Returns up to `limit` deltas after a revision, or undefined if some are no longer kept. */
 export function deltasAfter(
   replica: ConfigReplica,
   revision: number,
@@ -124,7 +126,7 @@
   return deltas;
 }
 
-/** The revision of an item; 0 when it does not exist. */
+/** Returns the revision of an item; 0 if it does not exist. */
 export function itemRevision(replica: ConfigReplica, name: string): number {
   return replica.items.get(name)?.revision ?? 0;
 }
--- a/packages/reedlug-coordination/src/fairQueue.ts
+++ b/packages/reedlug-coordination/src/fairQueue.ts
@@ -1,9 +1,11 @@
 /**
- * Fair queue: deficit round robin over owners, first in first out within one.
+ * Fair queue: deficit round robin over owners, first in first out for each owner.
  *
- * The cost of an entry is its expected work, so an owner with long requests
- * gets fewer turns than one with short ones.
+ * The cost of an entry is its expected work, so an owner with long requests has
+ * fewer of them served than an owner with short ones.
  */
+
+/** An entry of the queue. */
 export interface FairEntry {
   id: string;
   ownerId: string;
@@ -11,9 +13,10 @@
   cost: number;
 }
 
-/** Entries of a lane that are asked in one turn. */
+/** Maximum number of entries of a lane that are offered in one turn. */
 const MAX_LOOKAHEAD = 8;
 
+/** The entries of one owner. */
 interface Lane {
   ownerId: string;
   deficit: number;
@@ -25,12 +28,13 @@
   quantum: number;
   lanes: Lane[];
   laneByOwner: Map<string, Lane>;
+  /** Index of the lane whose turn it is. */
   turn: number;
   size: number;
   costSum: number;
 }
 
-/** Returns an empty queue; `quantum` is the work an owner gains each round. */
+/** Returns an empty queue; `quantum` is the work that is credited to each owner per round. */
 export function createFairQueue(quantum: number): FairQueue {
   return { quantum, lanes: [], laneByOwner: new Map(), turn: 0, size: 0, costSum: 0 };
 }
@@ -49,7 +53,7 @@
   queue.costSum += entry.cost;
 }
 
-/** Removes an entry wherever it stands; says whether it was there. */
+/** Removes an entry at any position; returns whether it was in the queue. */
 export function removeFair(queue: FairQueue, ownerId: string, id: string): boolean {
   const lane = queue.laneByOwner.get(ownerId);
   const index = lane?.entries.findIndex((entry) => entry.id === id) ?? -1;
@@ -58,15 +62,15 @@
   return true;
 }
 
-/** Entries of one owner. */
+/** Returns the number of entries of one owner. */
 export function laneLength(queue: FairQueue, ownerId: string): number {
   return queue.laneByOwner.get(ownerId)?.entries.length ?? 0;
 }
 
 /**
- * Takes the next entry in fair order for which `accepts` holds, or undefined.
- * The first few entries of a lane are asked in order, so that one which waits
- * for its place does not hold up those behind it.
+ * Removes and returns the next entry in fair order for which `accepts` is true, or undefined.
+ * The first entries of a lane are offered in order, so that one which cannot be placed yet
+ * does not block those behind it.
  */
 export function takeFair(
   queue: FairQueue,
--- a/packages/reedlug-coordination/src/index.ts
+++ b/packages/reedlug-coordination/src/index.ts
@@ -1,4 +1,4 @@
-/** Coordination parts of reedlug, each usable alone. */
+/** Coordination components of reedlug; each one is usable without the others. */
 export * from './attemptLedger.js';
 export * from './breaker.js';
 export * from './claims.js';
--- a/packages/reedlug-coordination/src/lease.ts
+++ b/packages/reedlug-coordination/src/lease.ts
@@ -1,30 +1,35 @@
 /**
- * Lease with a fence, held through a table and timed on monotonic clocks only.
+ * A lease with a fence, held through a row of a table and timed by monotonic clocks only.
  *
- * No clock is compared with another box's clock. A holder counts from the
- * moment before it sent the write that granted the lease, less a margin. A
- * taker counts from the moment it first saw a row that has not changed since.
- * The fence grows with each change of holder and never falls.
+ * The fence is a number that the holder sends with its orders, so that a server can reject those
+ * of an earlier holder. It grows with each change of holder and never decreases.
  *
- * The table's store may come back from a copy and begin a new era: then the row may be that of an
- * earlier holder, or missing. Fences hold the era in which they were taken, so that each is greater
- * than all of earlier eras, whoever knows those. Whoever holds a lease that has not lapsed takes the
- * row again at once, since nobody else can have held it since; all others wait as long as for a
- * holder that they have just seen.
+ * No clock is compared with another box's clock. A holder counts its lease from the moment before
+ * it sent the write that granted it, and ends it early by a margin. Another box acquires the lease
+ * when it has seen the row unchanged for the time of the lease plus the margin.
+ *
+ * The table's store may be restored from a backup and then begins a new era. The row may then be
+ * that of an earlier holder, or missing. A fence includes the era in which it was acquired, so that
+ * it is greater than all fences of earlier eras, also those that this box has never seen. A holder
+ * whose lease has not lapsed writes the row again at once, since no other box can have acquired the
+ * lease in between. All other boxes wait as they do for a holder that they have just seen.
  */
 import { eraOf } from './storeRevision.js';
 import type { TableAnswer, TableOp, TableRow } from './tableTypes.js';
 
-/** Times of a lease. */
+/** The row and the times of a lease. */
 export interface LeaseOptions {
   /** The row's key in the table. */
   key: string;
   ttlMs: number;
-  /** Taken off the holder's own view of the lease, for clock drift and pauses. */
+  /**
+   * Allowance for clock drift and pauses: a holder ends its lease this much early, and other boxes
+   * wait this much longer.
+   */
   marginMs: number;
-  /** How long before its end a held lease is renewed. */
+  /** Time from a grant until the lease is renewed, and between reads of a row held by another box. */
   renewIntervalMs: number;
-  /** How long a order may be under way to a server that does not check fences. */
+  /** Maximum time that an order may be in flight to a server that does not check fences. */
   maxOrderFlightMs: number;
 }
 
@@ -33,20 +38,25 @@
   holderId: string;
   incarnation: number;
   fence: number;
-  /** Grows with each renewal, so that a taker sees that the holder is alive. */
+  /** Grows with each renewal, so that other boxes see that the holder is alive. */
   renewal: number;
 }
 
-/** A lease that is held. */
+/** A lease that this box holds. */
 export interface HeldLease {
   fence: number;
-  /** From when it is held without a gap, under whatever fences. */
+  /** Time since which the lease is held without a gap, possibly under several fences. */
   sinceMs: number;
+  /** Time just before the write of the last grant or renewal was sent. */
   grantedAtMs: number;
+  /**
+   * Time from which orders may be sent to servers that do not check fences: by then the last
+   * orders of an earlier holder have arrived.
+   */
   unfencedFromMs: number;
 }
 
-/** State of one box's part in a lease. */
+/** One box's view of a lease. */
 export interface LeaseState {
   options: LeaseOptions;
   ownerId: string;
@@ -54,20 +64,23 @@
   /** The row as last seen, with the time on this box's clock at which it was first seen so. */
   seen: { row: TableRow; sinceMs: number } | undefined;
   held: HeldLease | undefined;
-  /** A request to the table under way. */
+  /** The request to the table that has not been answered yet. */
   pending: { sentAtMs: number; kind: 'read' | 'write' } | undefined;
-  /** The highest fence ever seen; never falls. */
+  /** The highest fence ever seen; never decreases. */
   highestFence: number;
   /** The fence of the last grant, kept after it has lapsed; 0 before the first. */
   lastFence: number;
   nextReadAtMs: number;
-  /** The store's era as far as known. */
+  /** The latest era of the store that this box knows of. */
   era: number;
-  /** Whether this box has known an earlier era, in which others may have held what this one lacks. */
+  /**
+   * Whether this box has known an earlier era of the store. Another box may then hold the lease
+   * although the row that says so was lost in the restore.
+   */
   hasSeenEarlierEra: boolean;
 }
 
-/** Fences of one era. */
+/** Number of fences in one era. */
 const FENCES_PER_ERA = 2 ** 20;
 
 function eraOfFence(fence: number): number {
@@ -96,8 +109,9 @@
 }
 
 /**
- * The fence under which an order may be sent now, or undefined.
- * `checksFence` false adds the wait for the last holder's orders to have landed.
+ * Returns the fence under which an order may be sent now, or undefined if none may be sent.
+ * To a server that does not check fences (`checksFence` is false), orders are sent only after the
+ * orders of an earlier holder must have arrived.
  */
 export function usableFence(
   lease: LeaseState,
@@ -112,15 +126,18 @@
 }
 
 /**
- * Takes what is known of the lease as older by a time that this box's clock has not counted.
- * An answer that is still awaited counts for nothing: when it was asked is not known any more.
+ * Ages the lease by a time that this box's clock has not counted, such as a suspension.
+ * The answer to a pending request is ignored, since the time at which it was sent is no longer known.
  */
 export function ageLease(lease: LeaseState, ms: number): void {
   if (lease.held !== undefined) lease.held.grantedAtMs -= ms;
   lease.pending = undefined;
 }
 
-/** Takes it that the store answers in an era, the first one that this box knows or a later one: what the row said before is over. */
+/**
+ * Records the era of the store, the first one that this box learns of or a later one. The row that
+ * was seen in an earlier era and a pending request to the table are dropped.
+ */
 export function recordLeaseEra(
   lease: LeaseState,
   { era, isFirst, nowMs }: { era: number; isFirst: boolean; nowMs: number },
@@ -132,14 +149,14 @@
   lease.nextReadAtMs = nowMs;
 }
 
-/** How long an order sent now stays valid, in ms; 0 when none may be sent. */
+/** Returns how long an order sent now stays valid, in ms; 0 if none may be sent. */
 export function orderValidForMs(lease: LeaseState, nowMs: number): number {
   if (lease.held === undefined) return 0;
   const endMs = lease.held.grantedAtMs + lease.options.ttlMs - lease.options.marginMs;
   return Math.max(0, Math.min(endMs - nowMs, lease.options.maxOrderFlightMs));
 }
 
-/** Asks the table for what the lease needs next, if anything. Call it on each tick. */
+/** Returns the next operation to send to the table, if one is due. Must be called on each tick. */
 export function leaseTick(lease: LeaseState, nowMs: number): TableOp | undefined {
   dropLapsed(lease, nowMs);
   if (lease.pending !== undefined) {
@@ -155,9 +172,9 @@
 }
 
 /**
- * Takes the table's answer to the operation that `leaseTick` gave at `sentAtMs`.
- * The answer to an earlier operation is dropped: counted from the later one's
- * time it would make the lease seem longer than it is.
+ * Handles the table's answer to the operation that `leaseTick` returned at `sentAtMs`.
+ * The answer to an earlier operation is ignored: counted from the time of the later
+ * one, the lease would seem to last longer than it does.
  */
 export function handleLeaseAnswer(
   lease: LeaseState,
@@ -180,7 +197,11 @@
   recordRow(lease, row, nowMs, pending);
 }
 
-/** Where nothing was lost nobody has held it; else it counts as a holder that was just seen. */
+/**
+ * Records that the row does not exist. If the store was never restored, no box has held the lease
+ * and it may be acquired at once. Otherwise the row may have been lost, and the box waits as for a
+ * holder that it has just seen.
+ */
 function recordAbsentRow(lease: LeaseState, answer: TableAnswer, nowMs: number): void {
   if (answer.kind !== 'done' || lease.seen?.row.version === 0) return;
   const absent: TableRow = { key: lease.options.key, version: 0, value: undefined };
@@ -201,7 +222,7 @@
   lease.highestFence = Math.max(lease.highestFence, value.fence);
   const isOwn = value.holderId === lease.ownerId && value.incarnation === lease.incarnation;
   if (!isOwn) {
-    // An earlier holder's row that came back with the copy takes nothing from the one of now.
+    // A row of an earlier holder that was restored from a backup does not end this box's lease.
     if (eraOfFence(value.fence) === eraOf(row.version)) lease.held = undefined;
     return;
   }
@@ -209,8 +230,9 @@
 }
 
 /**
- * The grant counts from before the write was sent, so that it never outlives the takers' wait. A
- * fence of an earlier era than the row's is not granted: others may have used it in what was lost.
+ * Grants the lease to this box. It counts from before the write was sent, so that it ends before
+ * another box may acquire it. A fence of an earlier era than the row's is not granted, since
+ * another box may have used the same fence in writes that the restore lost.
  */
 function grant(
   lease: LeaseState,
@@ -232,11 +254,12 @@
   if (hasLapsed(lease, nowMs)) lease.held = undefined;
 }
 
-/** Whether this box's lease has ended by its own view; true as well where it has none. */
+/** Returns whether this box's lease has ended by its own clock; also true if it holds none. */
 function hasLapsed({ held, options }: LeaseState, nowMs: number): boolean {
   return held === undefined || nowMs >= held.grantedAtMs + options.ttlMs - options.marginMs;
 }
 
+/** Returns whether the row has been unchanged for so long that its holder's lease has ended. */
 function mayAcquire(lease: LeaseState, nowMs: number): boolean {
   const { seen, options } = lease;
   return seen !== undefined && nowMs >= seen.sinceMs + options.ttlMs + options.marginMs;
--- a/packages/reedlug-coordination/src/membership.ts
+++ b/packages/reedlug-coordination/src/membership.ts
@@ -1,25 +1,26 @@
 /**
- * Membership of boxes from sources of unlike trust.
+ * Membership of boxes and backend servers, from sources that differ in reliability.
  *
- * Leaving is sticky for an incarnation: once any source has said it, no stale
- * list and no late heartbeat of the same incarnation undoes it. A box that only
- * a lagging list names is `listed`, and is not trusted until heard directly.
+ * Leaving is final for an incarnation: once any source has reported it, no stale
+ * list and no late heartbeat of the same incarnation reverts it. A member that
+ * only the platform's list names, which lags, is `listed` and gets no work until
+ * it is known to be live.
  */
 export const MemberState = {
-  /** Named by the platform's list only. */
+  /** Named only by the platform's list. */
   listed: 'listed',
-  /** Heard of directly. */
+  /** A `heard` statement was received recently. */
   live: 'live',
-  /** Not heard of directly for a while. */
+  /** Silent for longer than `suspectAfterMs`, or reported silent by a source. */
   suspect: 'suspect',
-  /** Some source said that it leaves. */
+  /** Reported by some source to be leaving. */
   leaving: 'leaving',
-  /** Known or taken to be gone. */
+  /** Reported gone, or silent for longer than `deadAfterMs`. */
   dead: 'dead',
 } as const;
 export type MemberState = (typeof MemberState)[keyof typeof MemberState];
 
-/** Where a statement about a member came from. */
+/** The source of a statement about a member. */
 export const MemberSource = {
   direct: 'direct',
   notice: 'notice',
@@ -28,22 +29,22 @@
 } as const;
 export type MemberSource = (typeof MemberSource)[keyof typeof MemberSource];
 
-/** What one process holds about one member. */
+/** What one process knows about one member. */
 export interface Member {
   id: string;
   zone: string;
-  /** Grows with each start of the box under the same id. */
+  /** Grows with each start of the member under the same id. */
   incarnation: number;
   state: MemberState;
-  /** Time of the last direct word on this process's clock. */
+  /** Time of the last `heard` statement, or of the first statement, on this process's clock. */
   lastReceivedAtMs: number;
-  /** When it leaves, on this process's clock, if told. */
+  /** Time at which it leaves, on this process's clock, if a source has reported it. */
   leavesAtMs: number | undefined;
-  /** When the first source said that it leaves. */
+  /** Time at which the first source reported that it leaves. */
   leavingSinceMs: number | undefined;
 }
 
-/** A statement about a member. */
+/** A statement of one source about a member; `heard` says that the member has sent something. */
 export type MemberStatement =
   | { kind: 'heard'; incarnation: number; zone: string }
   | { kind: 'leaving'; incarnation: number; leavesAtMs: number | undefined; source: MemberSource }
@@ -51,7 +52,7 @@
   | { kind: 'silent'; incarnation: number }
   | { kind: 'gone'; incarnation: number; source: MemberSource };
 
-/** Times after which silence changes a member's state. */
+/** Times of silence after which a member's state changes. */
 export interface MembershipOptions {
   suspectAfterMs: number;
   deadAfterMs: number;
@@ -68,7 +69,7 @@
   return { options, members: new Map() };
 }
 
-/** Takes a statement; returns the member when its state changed. */
+/** Applies a statement about a member; returns the member if it is new or its state changed. */
 export function recordMemberStatement(
   membership: Membership,
   id: string,
@@ -141,7 +142,7 @@
   if (member.state !== MemberState.dead) member.state = MemberState.leaving;
 }
 
-/** Lets silence act; returns the members whose state changed. */
+/** Applies the times of silence; returns the members whose state changed. */
 export function membershipTick(membership: Membership, nowMs: number): Member[] {
   const changed: Member[] = [];
   for (const member of membership.members.values()) {
@@ -167,12 +168,12 @@
   }
 }
 
-/** True when the member may be given new work. */
+/** Returns whether the member may be given new work. */
 export function acceptsNewWork(member: Member): boolean {
   return member.state === MemberState.live;
 }
 
-/** Ids of the members of a zone that are live, in a fixed order; their index is their rank. */
+/** Returns the ids of the live members of a zone in sorted order; an id's index is its rank. */
 export function liveInZone(membership: Membership, zone: string): string[] {
   const ids: string[] = [];
   for (const member of membership.members.values()) {
--- a/packages/reedlug-coordination/src/outcome.ts
+++ b/packages/reedlug-coordination/src/outcome.ts
@@ -1,9 +1,9 @@
 /**
- * Outcome of a request and the rules by which it may be told.
+ * Outcome of a request, and the rules by which it is reported to the caller.
  *
- * `notRun` is a promise: no byte of the request reached a server, or the server
- * refused it before running it. `unknown` is the honest answer when neither
- * that nor completion can be shown.
+ * `notRun` is a guarantee: no byte of the request reached a server, or the server
+ * refused it before running it. `unknown` is reported when neither that nor
+ * completion can be proved.
  */
 export const Outcome = {
   completed: 'completed',
@@ -13,22 +13,25 @@
 } as const;
 export type Outcome = (typeof Outcome)[keyof typeof Outcome];
 
-/** What is known about whether an attempt had an effect on its server. */
+/** How far an attempt is known to have got on its server. */
 export const Reach = {
   /** Nothing was sent yet. */
   none: 'none',
-  /** Bytes may have left; nothing has come back. */
+  /** Bytes may have been sent; no answer was received. */
   maybe: 'maybe',
-  /** The server said that it refused before running. */
+  /** The server answered that it refused the attempt before running it. */
   refused: 'refused',
-  /** The server stopped the run and handed its state over; the run goes on elsewhere. */
+  /** The server stopped the run and transferred its state; the run continues on another server. */
   moved: 'moved',
   /** The server has answered. */
   answered: 'answered',
 } as const;
 export type Reach = (typeof Reach)[keyof typeof Reach];
 
-/** Says whether an attempt counts as a run (or a possible run) of its request. */
+/**
+ * Returns whether an attempt counts as a run, or a possible run, of its request.
+ * A moved run is counted on the server where it continues.
+ */
 export function mayHaveRun(reach: Reach): boolean {
   switch (reach) {
     case Reach.none:
@@ -41,7 +44,10 @@
   }
 }
 
-/** The outcome of a request that is given up on, from the reach of its attempts. */
+/**
+ * Returns the outcome of a request that is given up, from the reach of its attempts.
+ * A request that was moved has run, so it is never `notRun`.
+ */
 export function outcomeWhenGivenUp(params: {
   reaches: readonly Reach[];
   repeatable: boolean;
--- a/packages/reedlug-coordination/src/rendezvous.ts
+++ b/packages/reedlug-coordination/src/rendezvous.ts
@@ -1,27 +1,27 @@
 /**
  * Rendezvous hashing: a stable ranking of servers for a key.
  *
- * Losing a server moves only the keys that it held. Ids are hashed once with
- * xxHash; a ranking then mixes two 32-bit numbers per server, which keeps a
- * ranking over thousands of engines in the tens of microseconds.
+ * The loss of a server moves only the keys that it held. Ids are hashed once with
+ * xxHash. A ranking then mixes two 32-bit numbers for each server, so that it takes
+ * tens of microseconds over thousands of engines.
  */
 import xxhash from 'xxhash-wasm';
 
 const { h32 } = await xxhash();
 
-/** 32-bit xxHash of a string. */
+/** Returns the 32-bit xxHash of a string. */
 export function hashString(text: string): number {
   return h32(text);
 }
 
-/** Ids whose hashes are kept: some fleets' worth; beyond them all are worked out anew. */
+/** Maximum number of ids in the cache of hashes, enough for several fleets; a full cache is cleared. */
 const MAX_CACHED_HASHES = 20_000;
 const hashById = new Map<string, number>();
 
 /**
- * The hash of an id that is asked for again and again, as those of servers and boxes are.
- * Hashing the ids of 70 boxes for each message and of 42 servers for each request took a
- * tenth of a box's processor time in its first seconds.
+ * Returns the cached hash of an id that is needed often, such as that of a server or box.
+ * Without the cache, hashing the ids of 70 boxes for each message and of 42 servers for each
+ * request took a tenth of a box's processor time in its first seconds.
  */
 export function hashId(id: string): number {
   const cached = hashById.get(id);
@@ -32,12 +32,12 @@
   return hash;
 }
 
-/** A string's hash as a number from 0 to below 1. */
+/** Returns the hash of a string as a number from 0 to below 1. */
 export function hashFraction(text: string): number {
   return hashString(text) / 2 ** 32;
 }
 
-/** The weight of a server for a key, from their hashes; the highest wins (Murmur3's finalizer). */
+/** Returns the weight of a server for a key, from their hashes (Murmur3's finalizer); the highest wins. */
 export function rendezvousWeight(keyHash: number, serverHash: number): number {
   let mixed = keyHash ^ Math.imul(serverHash, 0x9e3779b1);
   mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b);
--- a/packages/reedlug-coordination/src/retryBudget.ts
+++ b/packages/reedlug-coordination/src/retryBudget.ts
@@ -1,13 +1,14 @@
 /**
- * Retry budget: retries are a share of first tries, with a small floor.
+ * Retry budget: limits retries to a share of first tries.
  *
- * A token bucket that first tries fill and retries empty, so that a fault that
- * hits every request cannot multiply the load.
+ * It is a token bucket that first tries fill and retries empty, so that a fault
+ * that affects every request cannot multiply the load. The bucket starts full, so
+ * that a few retries are possible before first tries have filled it.
  */
 export interface RetryBudget {
   /** Tokens that each first try adds, for example 0.1. */
   share: number;
-  /** Upper bound of tokens kept. */
+  /** Maximum number of tokens. */
   capacity: number;
   tokens: number;
 }
@@ -17,19 +18,19 @@
   return { share, capacity, tokens: capacity };
 }
 
-/** Counts a first try. */
+/** Records a first try, which adds `share` tokens. */
 export function recordFirstTry(budget: RetryBudget): void {
   budget.tokens = Math.min(budget.capacity, budget.tokens + budget.share);
 }
 
-/** Takes one retry from the budget if it is there. */
+/** Takes one retry from the budget; returns false if the budget is used up. */
 export function takeRetry(budget: RetryBudget): boolean {
   if (budget.tokens < 1) return false;
   budget.tokens -= 1;
   return true;
 }
 
-/** Exponential backoff with full jitter, in ms; `random` is in [0, 1). */
+/** Returns an exponential backoff with equal jitter, in ms; `random` is in [0, 1). */
 export function backoffMs(params: {
   tries: number;
   baseMs: number;
--- a/packages/reedlug-coordination/src/sharedLimit.ts
+++ b/packages/reedlug-coordination/src/sharedLimit.ts
@@ -1,21 +1,23 @@
 /**
  * One limit for all boxes, split by recent demand.
  *
- * Each box computes its share from the demand that its peers last told. Shares
- * computed from the same figures sum to the whole. A box that is out of reach
- * keeps its place at its last demand until it is known to be gone, so the sum
- * stays within the whole under a cut; see `docs/design/limits.md`.
+ * Each box computes its share from the demand that its peers last reported.
+ * Shares computed from the same figures sum to the limit. An unreachable box is
+ * counted with its last demand until it is known to be gone, so that the sum
+ * stays within the limit during a network partition; see `docs/design/limits.md`.
  */
+
+/** Recent demand of one box. */
 export interface DemandEntry {
   boxId: string;
-  /** Requests a second asked for, smoothed. */
+  /** Requested rate in requests per second, smoothed. */
   demandPerSecond: number;
 }
 
-/** Part of the whole that is split evenly, so that a box with no demand yet can start. */
+/** Fraction of the limit that is split evenly, so that a box without demand yet has a share. */
 export const EVEN_SHARE = 0.2;
 
-/** The share of `total` for `boxId`; 0 when the box is not among the entries. */
+/** Returns the share of `total` for `boxId`; 0 if the box is not among the entries. */
 export function shareOfLimit(
   total: number,
   boxId: string,
--- a/packages/reedlug-coordination/src/storeRevision.ts
+++ b/packages/reedlug-coordination/src/storeRevision.ts
@@ -1,41 +1,43 @@
 /**
- * Revisions of a store that may come back from a copy of some seconds before. It then begins a new
- * era, and gives versions out again that it had given out since the copy: a version says something
- * only beside its era. A revision holds both in one number, so that any later one is greater, and
- * no bare version is compared anywhere. Revisions of a store without eras are its versions.
+ * Revisions of a store that may be restored from a backup some seconds old.
+ *
+ * A restored store begins a new era and assigns versions again that it had already assigned since
+ * the backup, so a version has a meaning only together with its era. A revision combines both in
+ * one number, so that a later one is always greater; versions without their era are never compared.
+ * The revisions of a store without eras equal its versions.
  */
 import type { TableAnswer, TableOp, TableRow } from './tableTypes.js';
 
 type TableTransaction = Extract<TableOp, { kind: 'transact' }>;
 
-/** Versions of one era; a store of a thousand writes a second uses them up in 34 years. */
+/** Number of versions in one era; at a thousand writes a second they last for 34 years. */
 const VERSIONS_PER_ERA = 2 ** 40;
 
-/** The last era that counts: later ones would not be whole numbers any more. */
+/** Highest valid era; revisions of later ones would exceed the safe integers. */
 export const MAX_STORE_ERA = 2 ** 13 - 1;
 
-/** The revision of a version that the store gave out, or told, in an era. */
+/** Returns the revision of a version that the store assigned or reported in an era. */
 export function storeRevision({ era, version }: { era: number; version: number }): number {
   return era * VERSIONS_PER_ERA + version;
 }
 
-/** The era of a revision. */
+/** Returns the era of a revision. */
 export function eraOf(revision: number): number {
   return Math.floor(revision / VERSIONS_PER_ERA);
 }
 
-/** The version that the store itself knows. */
+/** Returns the version of a revision, as the store itself uses it. */
 export function versionOf(revision: number): number {
   return revision % VERSIONS_PER_ERA;
 }
 
-/** A revision for a log line: `ERA/VERSION`, or the version alone of a store without eras. */
+/** Formats a revision for a log line: `ERA/VERSION`, or the version alone for a store without eras. */
 export function describeRevision(revision: number): string {
   const era = eraOf(revision);
   return era === 0 ? String(revision) : `${era}/${versionOf(revision)}`;
 }
 
-/** A transaction with the versions that the store itself knows. */
+/** Returns a transaction whose expected revisions are replaced by the store's own versions. */
 export function withStoreVersions(op: TableTransaction): TableTransaction {
   const writes = op.writes.map((write) => ({
     ...write,
@@ -45,8 +47,9 @@
 }
 
 /**
- * The answer to an operation that the store carried out in an era, its rows with revisions. A write
- * that expected a revision of another era may have met another row under the same version.
+ * Returns the answer to an operation that the store carried out in an era, with revisions in its
+ * rows. The answer is `unknown` when a write expected a revision of another era, since it may have
+ * replaced a different row that had the same version.
  */
 export function answerWithRevisions(op: TableOp, answer: TableAnswer, era: number): TableAnswer {
   if (answer.kind === 'unknown') return answer;
--- a/packages/reedlug-coordination/src/tableTypes.ts
+++ b/packages/reedlug-coordination/src/tableTypes.ts
@@ -1,13 +1,15 @@
 /**
- * The shape of a transactional table as the coordination parts use it.
+ * Interface of the transactional table that the coordination components use.
  *
- * A write is conditional on row versions and all or nothing. Every answer is
- * one of three: done, refused with the rows that stood in the way, or unknown
- * (the write may have taken effect).
+ * A transaction is conditional on row versions and atomic. Each answer is one of
+ * three: done, refused with the rows in conflict, or unknown (the transaction may
+ * have taken effect).
  */
+
+/** A row of the table. */
 export interface TableRow {
   key: string;
-  /** Grows with each write of the row, over at least 0; a revision where the store has eras. */
+  /** Greater than 0 and grows with each write of the row; a revision where the store has eras. */
   version: number;
   value: unknown;
 }
@@ -26,7 +28,7 @@
   | { kind: 'read'; keys: readonly string[] }
   | { kind: 'scan'; prefix: string; afterKey: string; limit: number };
 
-/** The three-way answer. `rows` of `refused` are the current rows of the keys in conflict. */
+/** The answer to a request. `rows` of `refused` are the current rows of the keys in conflict. */
 export type TableAnswer =
   | { kind: 'done'; rows: readonly TableRow[] }
   | { kind: 'refused'; reason: 'conflict' | 'throttled'; rows: readonly TableRow[] }
--- a/packages/reedlug-coordination/src/tokenBucket.ts
+++ b/packages/reedlug-coordination/src/tokenBucket.ts
@@ -1,4 +1,4 @@
-/** Token bucket on the caller's clock; used for rate limits. */
+/** Token bucket for rate limits; each call passes the current time. */
 export interface TokenBucket {
   ratePerSecond: number;
   capacity: number;
@@ -15,7 +15,7 @@
   return { ratePerSecond, capacity, tokens: capacity, refilledAtMs: nowMs };
 }
 
-/** Takes `amount` tokens, or returns the ms until they will be there (0 when taken). */
+/** Takes `amount` tokens and returns 0, or returns the time until that many are available, in ms. */
 export function takeTokens(bucket: TokenBucket, amount: number, nowMs: number): number {
   refill(bucket, nowMs);
   if (bucket.tokens >= amount) {
@@ -25,7 +25,7 @@
   return ((amount - bucket.tokens) / bucket.ratePerSecond) * 1000;
 }
 
-/** Changes the rate, keeping the tokens already earned within the new capacity. */
+/** Changes the rate and capacity; keeps the tokens in the bucket up to the new capacity. */
 export function setRate(
   bucket: TokenBucket,
   ratePerSecond: number,
