--- a/packages/reedlug-coordination/src/__tests__/parts.test.ts
+++ b/packages/reedlug-coordination/src/__tests__/components.test.ts
@@ -1,10 +1,15 @@
 import { expect } from 'chai';
-import { breakerAllows, breakerNotes, createBreaker } from '../breaker.js';
+import { breakerAllows, recordBreakerResult, createBreaker } from '../breaker.js';
 import { applyDeltas, applySnapshot, createConfigReplica, deltasAfter } from '../configReplica.js';
 import { createFairQueue, pushFair, takeFair } from '../fairQueue.js';
-import { createMembership, membershipTick, noteMember, takesNewWork } from '../membership.js';
+import {
+  createMembership,
+  membershipTick,
+  recordMemberStatement,
+  acceptsNewWork,
+} from '../membership.js';
 import { hashString, rendezvousWeight } from '../rendezvous.js';
-import { createRetryBudget, noteFirstTry, takeRetry } from '../retryBudget.js';
+import { createRetryBudget, recordFirstTry, takeRetry } from '../retryBudget.js';
 import { shareOfLimit } from '../sharedLimit.js';
 import { createTokenBucket, takeTokens } from '../tokenBucket.js';
 
@@ -13,7 +18,7 @@
   return { revision, planId: `p${revision}`, author: 'o', changes };
 }
 
-test('deltas that come early wait for the gap', () => {
+test('deltas out of order wait until the gap is filled', () => {
   const replica = createConfigReplica();
   expect(applyDeltas(replica, [delta(2), delta(3)])).deep.equal([]);
   expect(replica.revision).equal(0);
@@ -22,7 +27,7 @@
   expect(replica.items.get('a')?.value).equal(3);
 });
 
-test('an older snapshot is not taken', () => {
+test('an older snapshot is not applied', () => {
   const replica = createConfigReplica();
   applyDeltas(replica, [delta(1), delta(2)]);
   expect(applySnapshot(replica, { revision: 1, items: [] })).equal(false);
@@ -32,29 +37,29 @@
   expect(deltasAfter(replica, 2, 10)).equal(undefined);
 });
 
-test('a member that only the list names takes no work', () => {
+test('a member that only the list names gets no work', () => {
   const membership = createMembership({ suspectAfterMs: 100, deadAfterMs: 500 });
   const listed = { kind: 'listed', incarnation: 1, zone: 'z', leaving: false } as const;
-  const member = noteMember(membership, 'm', listed, 0);
-  expect(member !== undefined && takesNewWork(member)).equal(false);
+  const member = recordMemberStatement(membership, 'm', listed, 0);
+  expect(member !== undefined && acceptsNewWork(member)).equal(false);
 });
 
 test('silence makes a member suspect, then dead', () => {
   const membership = createMembership({ suspectAfterMs: 100, deadAfterMs: 500 });
-  noteMember(membership, 'm', { kind: 'heard', incarnation: 1, zone: 'z' }, 0);
+  recordMemberStatement(membership, 'm', { kind: 'heard', incarnation: 1, zone: 'z' }, 0);
   expect(membershipTick(membership, 101).map(({ state }) => state)).deep.equal(['suspect']);
   expect(membershipTick(membership, 501).map(({ state }) => state)).deep.equal(['dead']);
 });
 
-test('a late word of an older life changes nothing', () => {
+test('a late statement about an older incarnation changes nothing', () => {
   const membership = createMembership({ suspectAfterMs: 100, deadAfterMs: 500 });
-  noteMember(membership, 'm', { kind: 'heard', incarnation: 2, zone: 'z' }, 0);
+  recordMemberStatement(membership, 'm', { kind: 'heard', incarnation: 2, zone: 'z' }, 0);
   const old = { kind: 'leaving', incarnation: 1, leavesAtMs: 5, source: 'peer' } as const;
-  expect(noteMember(membership, 'm', old, 1)).equal(undefined);
+  expect(recordMemberStatement(membership, 'm', old, 1)).equal(undefined);
   expect(membership.members.get('m')?.state).equal('live');
 });
 
-test('shares of a limit sum to the whole', () => {
+test('shares of a limit sum to the limit', () => {
   const entries = ['a', 'b', 'c'].map((boxId, index) => ({ boxId, demandPerSecond: index * 7 }));
   const sum = entries.reduce((total, { boxId }) => total + shareOfLimit(90, boxId, entries), 0);
   expect(sum).closeTo(90, 1e-9);
@@ -64,21 +69,21 @@
 test('retries are a share of first tries', () => {
   const budget = createRetryBudget(0.1, 2);
   expect([takeRetry(budget), takeRetry(budget), takeRetry(budget)]).deep.equal([true, true, false]);
-  for (let index = 0; index < 11; index += 1) noteFirstTry(budget);
+  for (let index = 0; index < 11; index += 1) recordFirstTry(budget);
   expect([takeRetry(budget), takeRetry(budget)]).deep.equal([true, false]);
 });
 
-test('an open breaker lets one probe through', () => {
+test('an open breaker allows one probe', () => {
   const breaker = createBreaker(2, 100);
-  breakerNotes(breaker, false, 0);
-  breakerNotes(breaker, false, 0);
+  recordBreakerResult(breaker, false, 0);
+  recordBreakerResult(breaker, false, 0);
   expect(breakerAllows(breaker, 50)).equal(false);
   expect([breakerAllows(breaker, 101), breakerAllows(breaker, 101)]).deep.equal([true, false]);
-  breakerNotes(breaker, true, 102);
+  recordBreakerResult(breaker, true, 102);
   expect(breakerAllows(breaker, 103)).equal(true);
 });
 
-test('a token bucket tells when it will have enough', () => {
+test('a token bucket returns the time until it has enough tokens', () => {
   const bucket = createTokenBucket(10, 1, 0);
   expect(takeTokens(bucket, 1, 0)).equal(0);
   expect(takeTokens(bucket, 1, 0)).equal(100);
@@ -95,7 +100,7 @@
   expect(taken.filter((owner) => owner === 'short').length).within(14, 16);
 });
 
-test('an entry that waits does not hold up those behind it', () => {
+test('an entry that is not accepted does not block those behind it', () => {
   const queue = createFairQueue(10);
   pushFair(queue, { id: 'waits', ownerId: 'o', cost: 1 });
   pushFair(queue, { id: 'goes', ownerId: 'o', cost: 1 });
