--- a/packages/reedlug-check/src/check/operators.ts
+++ b/packages/reedlug-check/src/check/operators.ts
@@ -1,5 +1,5 @@
 /** Operators of a checked run, who race each other with conflicting intents. */
-import type { Intent, OperatorAnswer, OperatorAsk, Plan } from 'reedlug-decisions';
+import type { Intent, OperatorAnswer, OperatorRequest, Plan } from 'reedlug-decisions';
 import { emit } from '../world/emit.js';
 import type { World } from '../world/worldTypes.js';
 import type { WorldViolation } from './callers.js';
@@ -56,7 +56,7 @@
     }
   }
 
-  function send(at: number, askId: string, ask: OperatorAsk): void {
+  function send(at: number, askId: string, ask: OperatorRequest): void {
     const box = world.boxes.get(chosen(CHECK_BOX_IDS, at) ?? '');
     if (box === undefined) return;
     const epochMs = world.epochStartMs + world.queue.nowMs();
--- a/packages/reedlug-check/src/world/platformFake.ts
+++ b/packages/reedlug-check/src/world/platformFake.ts
@@ -1,6 +1,6 @@
 /** The platform: table, snapshots and cloud, with the faults that are on. */
 import type { TableAnswer, TableOp } from 'reedlug-coordination';
-import type { AskAnswer, CloudAsk } from 'reedlug-decisions';
+import type { CommandResult, CloudRequest } from 'reedlug-decisions';
 import { applyTableOp } from 'reedlug-standins';
 import { emitLater } from './emit.js';
 import { Delay, platformReachable } from './links.js';
@@ -34,8 +34,8 @@
 }
 
 /** Carries out a request to the cloud. */
-export function cloudAnswers(world: World, box: WorldBox, askId: string, ask: CloudAsk): void {
-  const answerLater = (delayMs: number, answer: AskAnswer): void =>
+export function cloudAnswers(world: World, box: WorldBox, askId: string, ask: CloudRequest): void {
+  const answerLater = (delayMs: number, answer: CommandResult): void =>
     emitLater(world, box, delayMs, { type: 'cloudAnswered', askId, answer });
   if (!platformReachable(world, box)) {
     answerLater(TIMEOUT_MS, { kind: 'unknown' });
@@ -61,7 +61,7 @@
   });
 }
 
-function startEngine(world: World, ask: Extract<CloudAsk, { kind: 'start' }>): void {
+function startEngine(world: World, ask: Extract<CloudRequest, { kind: 'start' }>): void {
   if (world.startTokens.has(ask.startToken)) return;
   world.startTokens.add(ask.startToken);
   const pool = world.options.settings.pools.find(({ model }) => model === ask.pool);
--- a/packages/reedlug-decisions/src/__tests__/orders.test.ts
+++ b/packages/reedlug-decisions/src/__tests__/orders.test.ts
@@ -6,9 +6,9 @@
   testEngine,
   type TestBox,
 } from './__fixtures__/testBox.js';
-import type { EngineWanted } from '../types/order.js';
+import type { DesiredEngineState } from '../types/order.js';
 
-const WANTED: EngineWanted = { model: 'draft', version: 'v2', adapters: [], role: 'serve' };
+const WANTED: DesiredEngineState = { model: 'draft', version: 'v2', adapters: [], role: 'serve' };
 
 /** A box that holds the lease and has a wanted state for each engine. */
 function holderBox(checksFence: boolean): TestBox {
--- a/packages/reedlug-decisions/src/invariants/effectInvariants.ts
+++ b/packages/reedlug-decisions/src/invariants/effectInvariants.ts
@@ -80,7 +80,7 @@
 /** A request that was handed over, or a reconnect, begins after the tokens that its caller has. */
 function firstOffset(state: BoxState, requestId: string): number {
   const record = state.requests.get(requestId);
-  return record === undefined ? 0 : Math.max(record.skipUntil, record.handedOffset);
+  return record === undefined ? 0 : Math.max(record.reconnectOffset, record.handoverOffset);
 }
 
 function oneOutcome(
--- a/packages/reedlug-decisions/src/plans/confirm.ts
+++ b/packages/reedlug-decisions/src/plans/confirm.ts
@@ -9,7 +9,7 @@
  */
 import { itemRevision, liveInZone, type TableAnswer, type TableRow } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
-import type { OperatorAnswer, OperatorAsk, Plan } from '../types/plan.js';
+import type { OperatorAnswer, OperatorRequest, Plan } from '../types/plan.js';
 import type { BoxState, ConfirmStep, ConfirmWait, Step } from '../state.js';
 import { nextId } from '../state.js';
 import { configLogKey, notePlan, takeDeltas, type ConfigLogValue } from '../slices/config.js';
@@ -33,7 +33,11 @@
   else if (ask.kind === 'confirm') startConfirm(state, step, askId, ask.plan);
 }
 
-function replyNow(state: BoxState, ask: OperatorAsk, epochMs: number): OperatorAnswer | undefined {
+function replyNow(
+  state: BoxState,
+  ask: OperatorRequest,
+  epochMs: number,
+): OperatorAnswer | undefined {
   switch (ask.kind) {
     case 'plan':
       return draftPlan(state, { ...ask, epochMs });
--- a/packages/reedlug-decisions/src/policy/cacheView.ts
+++ b/packages/reedlug-decisions/src/policy/cacheView.ts
@@ -7,7 +7,7 @@
  * share of prompt tokens that such requests were found to hit.
  */
 import type { EventOf } from '../types/event.js';
-import type { CacheNews } from '../types/peer.js';
+import type { CacheUpdate } from '../types/peer.js';
 import type { RequestSpec } from '../types/request.js';
 import type { BoxState, ServerView } from '../state.js';
 
@@ -58,7 +58,7 @@
 /** Notes where this box's own answer left a prefix, and has peers told if they would look elsewhere. */
 export function noteOwnCached(
   state: BoxState,
-  cached: CacheNews,
+  cached: CacheUpdate,
   firstRankedId: string | undefined,
 ): void {
   const { affinityHash, serverId, tokens } = cached;
@@ -80,7 +80,7 @@
 }
 
 /** Takes a peer's news of prefixes. */
-export function onCacheNews(state: BoxState, news: readonly CacheNews[]): void {
+export function onCacheNews(state: BoxState, news: readonly CacheUpdate[]): void {
   for (const { affinityHash, serverId, tokens } of news) {
     noteCached(state, affinityHash, serverId, tokens);
     putBounded(state.cacheTold, affinityHash, serverId);
--- a/packages/reedlug-decisions/src/policy/routing.ts
+++ b/packages/reedlug-decisions/src/policy/routing.ts
@@ -34,7 +34,7 @@
   const listed = listFor(state, record.spec, rules);
   const candidates = candidatesFor(state, record, rules, listed, nowMs);
   if (candidates.length === 0) return undefined;
-  const preferred = candidates.filter((view) => !record.avoid.has(view.spec.id));
+  const preferred = candidates.filter((view) => !record.avoidedServers.has(view.spec.id));
   return pick(state, record, listed, preferred.length > 0 ? preferred : candidates, nowMs);
 }
 
--- a/packages/reedlug-decisions/src/slices/dispatch.ts
+++ b/packages/reedlug-decisions/src/slices/dispatch.ts
@@ -51,9 +51,9 @@
 /** A retry waits for its backoff, and for the budget to grant it. */
 function mayGoNow(state: BoxState, record: RequestRecord, nowMs: number): boolean {
   if (record.phase.kind !== 'queued' || nowMs < record.phase.notBeforeMs) return false;
-  if (!record.retryOwed) return true;
+  if (!record.needsRetryBudget) return true;
   if (!takeRetry(state.retryBudget)) return false;
-  record.retryOwed = false;
+  record.needsRetryBudget = false;
   return true;
 }
 
--- a/packages/reedlug-decisions/src/slices/failedAttempts.ts
+++ b/packages/reedlug-decisions/src/slices/failedAttempts.ts
@@ -25,7 +25,7 @@
   const wasOpen = attempt.open;
   closeAttempt(state, record, attempt);
   attempt.reach = Reach.refused;
-  record.avoid.add(attempt.serverId);
+  record.avoidedServers.add(attempt.serverId);
   noteRefusal(state, step, attempt, event.reason);
   if (!isUnsettled(record) || !wasOpen || record.phase.kind === 'handing') return;
   if (openAttempt(record) === undefined) requeue(state, step, record, true);
@@ -60,7 +60,7 @@
   const { serverId, incarnation } = attempt;
   noteServer(state, step, serverId, { kind: 'silent', incarnation }, true);
   if (!isUnsettled(record) || !wasOpen || record.phase.kind === 'handing') return;
-  record.avoid.add(serverId);
+  record.avoidedServers.add(serverId);
   if (openAttempt(record) === undefined) retryOrGiveUp(state, step, record);
 }
 
--- a/packages/reedlug-decisions/src/slices/following.ts
+++ b/packages/reedlug-decisions/src/slices/following.ts
@@ -13,7 +13,7 @@
   type TableAnswer,
 } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
-import type { PeerMessage, RequestSight } from '../types/peer.js';
+import type { PeerMessage, RequestSnapshot } from '../types/peer.js';
 import {
   Reason,
   type RequestRecord,
@@ -51,9 +51,9 @@
     kind: 'following',
     sourceRequestId: source.sourceRequestId,
     holderId: reachableHolder(state, source.holderId),
-    patienceUntilMs: step.nowMs + lookupTimeoutMs,
-    nextAskAtMs: step.nowMs,
-    rereading: false,
+    giveUpAtMs: step.nowMs + lookupTimeoutMs,
+    nextLookupAtMs: step.nowMs,
+    rereadingClaim: false,
   };
   if (source.storedOutcome !== undefined && record.phase.holderId === undefined) {
     settleFromRow(state, step, record, source.storedOutcome, source.storedStatus);
@@ -78,12 +78,12 @@
   phase: FollowingPhase,
 ): void {
   if (followsHere(state, step, record, phase)) return;
-  if (step.nowMs >= phase.patienceUntilMs) {
+  if (step.nowMs >= phase.giveUpAtMs) {
     loseHolder(state, step, record, phase);
     return;
   }
-  if (step.nowMs < phase.nextAskAtMs) return;
-  phase.nextAskAtMs = step.nowMs + ASK_EVERY_MS;
+  if (step.nowMs < phase.nextLookupAtMs) return;
+  phase.nextLookupAtMs = step.nowMs + ASK_EVERY_MS;
   const message: PeerMessage = {
     kind: 'lookup',
     requestId: phase.sourceRequestId,
@@ -103,11 +103,11 @@
   if (phase.holderId !== undefined) {
     // The holder may have handed the request to a peer before it went.
     phase.holderId = undefined;
-    phase.patienceUntilMs = step.nowMs + state.settings.control.lookupTimeoutMs;
-    phase.nextAskAtMs = step.nowMs;
+    phase.giveUpAtMs = step.nowMs + state.settings.control.lookupTimeoutMs;
+    phase.nextLookupAtMs = step.nowMs;
     return;
   }
-  if (!phase.rereading && record.spec.idempotencyKey !== undefined) {
+  if (!phase.rereadingClaim && record.spec.idempotencyKey !== undefined) {
     rereadClaim(state, step, record, phase);
     return;
   }
@@ -126,8 +126,8 @@
   phase: FollowingPhase,
 ): void {
   const { requestId, workspaceId, idempotencyKey } = record.spec;
-  phase.rereading = true;
-  phase.patienceUntilMs = step.nowMs + state.settings.control.claimTimeoutMs;
+  phase.rereadingClaim = true;
+  phase.giveUpAtMs = step.nowMs + state.settings.control.claimTimeoutMs;
   const opId = nextId(state, 'op');
   state.tableOps.set(opId, { kind: 'claimReread', requestId });
   const keys = [claimRowKey(workspaceId, idempotencyKey ?? '')];
@@ -164,7 +164,7 @@
 }
 
 /** What this box knows of a request, from an offset on. */
-function sightOf(source: RequestRecord, fromOffset: number): RequestSight {
+function sightOf(source: RequestRecord, fromOffset: number): RequestSnapshot {
   const settled = phaseOf(source, 'settled');
   return {
     requestId: source.spec.requestId,
@@ -198,12 +198,12 @@
 }
 
 /** Takes a peer's answer for every follower of that request. */
-export function onSight(state: BoxState, step: Step, from: string, sight: RequestSight): void {
+export function onSight(state: BoxState, step: Step, from: string, sight: RequestSnapshot): void {
   for (const record of followersOf(state, sight.requestId)) {
     const phase = phaseOf(record, 'following');
     if (phase === undefined || record.spec.workspaceId !== sight.workspaceId) continue;
     phase.holderId = from;
-    phase.patienceUntilMs = step.nowMs + state.settings.control.lookupTimeoutMs;
+    phase.giveUpAtMs = step.nowMs + state.settings.control.lookupTimeoutMs;
     takeSight(state, step, record, sight);
   }
 }
@@ -226,7 +226,12 @@
   return followers;
 }
 
-function takeSight(state: BoxState, step: Step, record: RequestRecord, sight: RequestSight): void {
+function takeSight(
+  state: BoxState,
+  step: Step,
+  record: RequestRecord,
+  sight: RequestSnapshot,
+): void {
   const held = record.ledger.tokens.length;
   if (sight.fromOffset > held) return;
   for (const token of sight.tokens.slice(held - sight.fromOffset)) record.ledger.tokens.push(token);
@@ -248,7 +253,7 @@
   const source = state.requests.get(event.requestId);
   if (source !== undefined) source.callerGoneAtMs = undefined;
   addRecord(state, record);
-  record.skipUntil = event.fromOffset;
+  record.reconnectOffset = event.fromOffset;
   startFollowing(state, step, record, {
     sourceRequestId: event.requestId,
     holderId: undefined,
--- a/packages/reedlug-decisions/src/slices/handover.ts
+++ b/packages/reedlug-decisions/src/slices/handover.ts
@@ -138,7 +138,7 @@
   const record = createRecord(spec, step.nowMs);
   for (const token of message.tokens) record.ledger.tokens.push(token);
   record.deliveredCount = message.tokens.length;
-  record.handedOffset = message.tokens.length;
+  record.handoverOffset = message.tokens.length;
   record.claimHeld = message.claimHeld;
   record.claimVersion = message.claimVersion;
   addRecord(state, record);
--- a/packages/reedlug-decisions/src/slices/orders.ts
+++ b/packages/reedlug-decisions/src/slices/orders.ts
@@ -15,7 +15,7 @@
   type TableAnswer,
 } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
-import type { EngineReport, EngineWanted } from '../types/order.js';
+import type { EngineReport, DesiredEngineState } from '../types/order.js';
 import type { BoxState, ServerView, Step } from '../state.js';
 import { nextId, siteOfZone } from '../state.js';
 import { WANTED_PREFIX } from '../plans/items.js';
@@ -34,7 +34,7 @@
   for (const [name, item] of state.config.items) {
     if (!name.startsWith(WANTED_PREFIX)) continue;
     const view = state.servers.get(name.slice(WANTED_PREFIX.length));
-    if (view !== undefined) reconcile(state, step, view, item.value as EngineWanted);
+    if (view !== undefined) reconcile(state, step, view, item.value as DesiredEngineState);
   }
 }
 
@@ -81,7 +81,12 @@
   return usableFence(state.lease, nowMs, checksFence);
 }
 
-function reconcile(state: BoxState, step: Step, view: ServerView, wanted: EngineWanted): void {
+function reconcile(
+  state: BoxState,
+  step: Step,
+  view: ServerView,
+  wanted: DesiredEngineState,
+): void {
   if (view.report === undefined || fits(view.report, wanted)) return;
   const fence = fenceFor(state, step.nowMs, view.spec.checksFence);
   if (fence === undefined || mustWait(view, wanted)) return;
@@ -101,7 +106,7 @@
   });
 }
 
-function fits(report: EngineReport, wanted: EngineWanted): boolean {
+function fits(report: EngineReport, wanted: DesiredEngineState): boolean {
   return (
     report.model === wanted.model &&
     report.version === wanted.version &&
@@ -113,19 +118,19 @@
 function weightsAllow(
   state: BoxState,
   report: EngineReport,
-  wanted: EngineWanted,
+  wanted: DesiredEngineState,
   nowMs: number,
 ): boolean {
   if (!changesModel(report, wanted)) return true;
   return takeTokens(state.weightLoads, 1, nowMs) === 0;
 }
 
-function changesModel(report: EngineReport, wanted: EngineWanted): boolean {
+function changesModel(report: EngineReport, wanted: DesiredEngineState): boolean {
   return report.model !== wanted.model || report.version !== wanted.version;
 }
 
 /** A harmful order to an engine that checks no fence waits until it is drained and idle. */
-function mustWait(view: ServerView, wanted: EngineWanted): boolean {
+function mustWait(view: ServerView, wanted: DesiredEngineState): boolean {
   const { report, spec } = view;
   if (spec.checksFence || report === undefined) return false;
   if (!changesModel(report, wanted)) return false;
--- a/packages/reedlug-decisions/src/slices/placement.ts
+++ b/packages/reedlug-decisions/src/slices/placement.ts
@@ -7,7 +7,7 @@
  */
 import { backoffMs, MemberSource, MemberState } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
-import type { CloudAsk } from '../types/order.js';
+import type { CloudRequest } from '../types/order.js';
 import {
   PlacementPolicy,
   ServerKind,
@@ -165,7 +165,7 @@
     reclaimable,
     pool,
   });
-  const ask: CloudAsk = {
+  const ask: CloudRequest = {
     kind: 'start',
     zone,
     machineClass,
@@ -282,7 +282,7 @@
     const askedAtMs = state.stopsAskedAtMs.get(view.spec.id) ?? Number.NEGATIVE_INFINITY;
     if (step.nowMs - askedAtMs < STOP_AGAIN_MS) continue;
     state.stopsAskedAtMs.set(view.spec.id, step.nowMs);
-    const ask: CloudAsk = { kind: 'stop', serverId: view.spec.id, fence };
+    const ask: CloudRequest = { kind: 'stop', serverId: view.spec.id, fence };
     step.effects.push({ type: 'askCloud', askId: nextId(state, 'stop'), ask });
   }
 }
--- a/packages/reedlug-decisions/src/slices/probes.ts
+++ b/packages/reedlug-decisions/src/slices/probes.ts
@@ -6,7 +6,7 @@
  */
 import { hashString, liveInZone, rendezvousWeight } from 'reedlug-coordination';
 import type { EngineReport } from '../types/order.js';
-import type { PoolLoad, ServerNews } from '../types/peer.js';
+import type { PoolLoad, ServerUpdate } from '../types/peer.js';
 import { ServerKind } from '../types/settings.js';
 import type { BoxState, ServerView, Step } from '../state.js';
 import { siteOfZone } from '../state.js';
@@ -31,7 +31,7 @@
   if (isHot && hotToldAtMs !== undefined && step.nowMs - hotToldAtMs < HOT_FOR_MS / 2) return;
   view.hotToldAtMs = isHot ? step.nowMs : undefined;
   view.hotUntilMs = isHot ? step.nowMs + HOT_FOR_MS : 0;
-  const item: ServerNews = {
+  const item: ServerUpdate = {
     serverId: view.spec.id,
     incarnation: report.incarnation,
     news: isHot ? 'hot' : 'cool',
--- a/packages/reedlug-decisions/src/slices/requests.ts
+++ b/packages/reedlug-decisions/src/slices/requests.ts
@@ -32,15 +32,15 @@
     claimHeld: false,
     claimVersion: 0,
     kvTicket: undefined,
-    avoid: new Set(),
+    avoidedServers: new Set(),
     cachedTokens: 0,
     cost: REQUEST_BASE_COST + spec.promptTokens + spec.maxTokens * GENERATED_TOKEN_COST,
     waitedMs: undefined,
     firstTokenMs: undefined,
-    retryOwed: false,
+    needsRetryBudget: false,
     callerGoneAtMs: undefined,
-    skipUntil: 0,
-    handedOffset: 0,
+    reconnectOffset: 0,
+    handoverOffset: 0,
   };
 }
 
--- a/packages/reedlug-decisions/src/slices/retries.ts
+++ b/packages/reedlug-decisions/src/slices/retries.ts
@@ -39,7 +39,7 @@
   owedNothing: boolean,
 ): void {
   const { retryBaseMs, retryCapMs } = state.settings.policy;
-  record.retryOwed = !owedNothing;
+  record.needsRetryBudget = !owedNothing;
   const tries = Math.max(1, record.attempts.length);
   const random = nextRandom(state);
   const first = owedNothing && tries === 1;
--- a/packages/reedlug-decisions/src/slices/servers.ts
+++ b/packages/reedlug-decisions/src/slices/servers.ts
@@ -16,7 +16,7 @@
 } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
 import type { EngineReport } from '../types/order.js';
-import type { ServerNews } from '../types/peer.js';
+import type { ServerUpdate } from '../types/peer.js';
 import { ServerKind, type ServerSpec } from '../types/settings.js';
 import type { BoxState, ServerView, Step } from '../state.js';
 import { poolSiteKey, siteOfZone } from '../state.js';
@@ -169,7 +169,7 @@
 }
 
 /** The exception to tell about a member; undefined for one that is only listed. */
-export function newsOf(member: Member, nowMs: number): ServerNews | undefined {
+export function newsOf(member: Member, nowMs: number): ServerUpdate | undefined {
   const base = { serverId: member.id, incarnation: member.incarnation, leavesInMs: undefined };
   switch (member.state) {
     case MemberState.live:
@@ -197,7 +197,7 @@
   state: BoxState,
   step: Step,
   from: string,
-  news: readonly ServerNews[],
+  news: readonly ServerUpdate[],
 ): void {
   const goesOn = !isOfOwnSite(state, zoneOfBox(state, from));
   for (const item of news) {
@@ -225,13 +225,13 @@
     .map(({ spec }) => spec.id);
 }
 
-function noteHotNews(state: BoxState, item: ServerNews, nowMs: number): void {
+function noteHotNews(state: BoxState, item: ServerUpdate, nowMs: number): void {
   const view = state.servers.get(item.serverId);
   if (view !== undefined) view.hotUntilMs = item.news === 'hot' ? nowMs + HOT_FOR_MS : 0;
 }
 
 /** What news say of a server's life; nothing for those of its load. */
-function statementOf(item: ServerNews, step: Step): MemberStatement | undefined {
+function statementOf(item: ServerUpdate, step: Step): MemberStatement | undefined {
   const { incarnation } = item;
   switch (item.news) {
     case 'hot':
--- a/packages/reedlug-decisions/src/slices/serviceAttempts.ts
+++ b/packages/reedlug-decisions/src/slices/serviceAttempts.ts
@@ -36,7 +36,7 @@
 ): void {
   if (NOT_RUN_STATUSES.includes(status)) {
     attempt.reach = Reach.refused;
-    record.avoid.add(attempt.serverId);
+    record.avoidedServers.add(attempt.serverId);
     if (openAttempt(record) === undefined) requeue(state, step, record, true);
     return;
   }
--- a/packages/reedlug-decisions/src/slices/streamAttempts.ts
+++ b/packages/reedlug-decisions/src/slices/streamAttempts.ts
@@ -79,7 +79,7 @@
 /** Hands the caller every token that it does not have yet. */
 export function deliver(step: Step, record: RequestRecord): void {
   const { ledger, spec } = record;
-  record.deliveredCount = Math.max(record.deliveredCount, record.skipUntil);
+  record.deliveredCount = Math.max(record.deliveredCount, record.reconnectOffset);
   if (record.deliveredCount >= ledger.tokens.length) return;
   step.effects.push({
     type: 'deliverTokens',
--- a/packages/reedlug-decisions/src/slices/timers.ts
+++ b/packages/reedlug-decisions/src/slices/timers.ts
@@ -89,7 +89,7 @@
     attempt.firstTokenAtMs === undefined ? control.firstTokenTimeoutMs : control.stallMs;
   if (step.nowMs - attempt.progressAtMs < limitMs) return;
   cancelAttempt(state, step, record, attempt);
-  record.avoid.add(attempt.serverId);
+  record.avoidedServers.add(attempt.serverId);
   retryOrGiveUp(state, step, record);
 }
 
@@ -99,7 +99,7 @@
   if (!spec.repeatable || spec.requestClass !== RequestClass.urgent) return;
   if (record.attempts.length !== 1) return;
   if (step.nowMs - attempt.sentAtMs < state.settings.policy.secondTryAfterMs) return;
-  record.avoid.add(attempt.serverId);
+  record.avoidedServers.add(attempt.serverId);
   const view = chooseServer(state, record, step.nowMs);
   if (view === undefined || view.spec.id === attempt.serverId) return;
   if (takeRetry(state.retryBudget)) sendAttempt(state, step, record, view);
--- a/packages/reedlug-decisions/src/state.ts
+++ b/packages/reedlug-decisions/src/state.ts
@@ -23,7 +23,7 @@
 import type { Mutation } from './mutations.js';
 import type { Effect } from './types/effect.js';
 import type { EngineReport } from './types/order.js';
-import type { CacheNews, PoolLoad, WorkspaceDemand } from './types/peer.js';
+import type { CacheUpdate, PoolLoad, WorkspaceDemand } from './types/peer.js';
 import type { ConfirmedPlan, Plan } from './types/plan.js';
 import type { RequestRecord } from './types/request.js';
 import type { DecisionSettings, ServerSpec, WorkspaceLimits } from './types/settings.js';
@@ -180,7 +180,7 @@
   cacheSights: Map<number, CacheSight>;
   /** Where the peers believe a conversation's prefix to be, where it is not the first rank. */
   cacheTold: Map<number, string>;
-  cacheNewsWaiting: CacheNews[];
+  cacheNewsWaiting: CacheUpdate[];
   /** Share of prompt tokens found at the first-ranked engine without a sight, smoothed. */
   priorHitShare: number;
 
--- a/packages/reedlug-decisions/src/types/effect.ts
+++ b/packages/reedlug-decisions/src/types/effect.ts
@@ -1,6 +1,6 @@
 /** Everything that the reducer asks of the outside. Effects are data. */
 import type { ConfigSnapshot, Outcome, TableOp } from 'reedlug-coordination';
-import type { CloudAsk, EngineWanted } from './order.js';
+import type { CloudRequest, DesiredEngineState } from './order.js';
 import type { PeerMessage, RelayedAnswer } from './peer.js';
 import type { OperatorAnswer } from './plan.js';
 import type { KvTicket, Reason } from './request.js';
@@ -60,11 +60,11 @@
       type: 'sendOrder';
       orderId: string;
       serverId: string;
-      wanted: EngineWanted;
+      wanted: DesiredEngineState;
       fence: number;
       validForMs: number;
     }
-  | { type: 'askCloud'; askId: string; ask: CloudAsk }
+  | { type: 'askCloud'; askId: string; ask: CloudRequest }
   | { type: 'answerOperator'; askId: string; answer: OperatorAnswer }
   | { type: 'forgetRequest'; requestId: string }
   | { type: 'stopped' }
--- a/packages/reedlug-decisions/src/types/event.ts
+++ b/packages/reedlug-decisions/src/types/event.ts
@@ -1,8 +1,8 @@
 /** Everything that the reducer hears of. All times are on the box's monotonic clock. */
 import type { TableAnswer, ConfigSnapshot } from 'reedlug-coordination';
-import type { AskAnswer, EngineReport } from './order.js';
+import type { CommandResult, EngineReport } from './order.js';
 import type { PeerMessage } from './peer.js';
-import type { OperatorAsk } from './plan.js';
+import type { OperatorRequest } from './plan.js';
 import type { KvTicket, RefusalReason, RequestSpec } from './request.js';
 import type { ServerSpec } from './settings.js';
 
@@ -50,9 +50,9 @@
   | { type: 'serverReported'; serverId: string; report: EngineReport | undefined }
   | { type: 'cacheChanged'; serverId: string; sequence: number; evicted: readonly number[] }
   | { type: 'cacheMoved'; affinityHash: number; serverId: string; tokens: number }
-  | { type: 'orderAnswered'; orderId: string; answer: AskAnswer }
-  | { type: 'cloudAnswered'; askId: string; answer: AskAnswer }
-  | { type: 'operatorAsked'; askId: string; ask: OperatorAsk; epochMs: number }
+  | { type: 'orderAnswered'; orderId: string; answer: CommandResult }
+  | { type: 'cloudAnswered'; askId: string; answer: CommandResult }
+  | { type: 'operatorAsked'; askId: string; ask: OperatorRequest; epochMs: number }
   | { type: 'stopAsked' };
 
 /** An event with its time on the box's monotonic clock, in ms. */
--- a/packages/reedlug-decisions/src/types/order.ts
+++ b/packages/reedlug-decisions/src/types/order.ts
@@ -1,7 +1,7 @@
 /** Orders to engines and the cloud, and the wanted states behind them. */
 
 /** The end state that an engine should reach; an order repeats it, so a second one harms nothing. */
-export interface EngineWanted {
+export interface DesiredEngineState {
   model: string;
   version: string;
   adapters: readonly string[];
@@ -24,7 +24,7 @@
 }
 
 /** A request to the cloud. */
-export type CloudAsk =
+export type CloudRequest =
   | {
       kind: 'start';
       zone: string;
@@ -38,5 +38,5 @@
   | { kind: 'stop'; serverId: string; fence: number };
 
 /** The three-way answer of the cloud and of an order. */
-export type AskAnswer =
+export type CommandResult =
   { kind: 'done' } | { kind: 'refused'; reason: string } | { kind: 'unknown' };
--- a/packages/reedlug-decisions/src/types/peer.ts
+++ b/packages/reedlug-decisions/src/types/peer.ts
@@ -20,7 +20,7 @@
 }
 
 /** An exception about a backend server. */
-export interface ServerNews {
+export interface ServerUpdate {
   serverId: string;
   incarnation: number;
   news: 'live' | 'silent' | 'leaving' | 'gone' | 'hot' | 'cool';
@@ -29,14 +29,14 @@
 }
 
 /** A conversation whose cached prefix is not where peers would look first. */
-export interface CacheNews {
+export interface CacheUpdate {
   affinityHash: number;
   serverId: string;
   tokens: number;
 }
 
 /** What a box knows of a request, for another box. */
-export interface RequestSight {
+export interface RequestSnapshot {
   requestId: string;
   workspaceId: string;
   fromOffset: number;
@@ -67,8 +67,8 @@
       demands: readonly WorkspaceDemand[] | undefined;
       poolLoads: readonly PoolLoad[];
     }
-  | { kind: 'serverNews'; news: readonly ServerNews[] }
-  | { kind: 'cacheNews'; news: readonly CacheNews[] }
+  | { kind: 'serverNews'; news: readonly ServerUpdate[] }
+  | { kind: 'cacheNews'; news: readonly CacheUpdate[] }
   | {
       kind: 'configDeltas';
       deltas: readonly ConfigDelta[];
@@ -77,7 +77,7 @@
   | { kind: 'configAsk'; afterRevision: number }
   | { kind: 'configSnapshot'; snapshot: ConfigSnapshot }
   | { kind: 'lookup'; requestId: string; workspaceId: string; fromOffset: number }
-  | { kind: 'sight'; sight: RequestSight }
+  | { kind: 'sight'; sight: RequestSnapshot }
   | { kind: 'notHere'; requestId: string }
   | {
       kind: 'handover';
--- a/packages/reedlug-decisions/src/types/plan.ts
+++ b/packages/reedlug-decisions/src/types/plan.ts
@@ -1,6 +1,6 @@
 /** Intents, plans and the answers to operators. */
 import type { ConfigChange } from 'reedlug-coordination';
-import type { EngineWanted } from './order.js';
+import type { DesiredEngineState } from './order.js';
 import type { RequestClass } from './settings.js';
 
 /** What an operator wants; times are epoch milliseconds. */
@@ -36,7 +36,7 @@
       startsAtEpochMs: number;
       endsAtEpochMs: number;
     }
-  | { kind: 'setEngine'; serverId: string; wanted: EngineWanted }
+  | { kind: 'setEngine'; serverId: string; wanted: DesiredEngineState }
   | { kind: 'haltMove'; model: string; atShare: number }
   | { kind: 'restore'; changes: readonly ConfigChange[] };
 
@@ -79,7 +79,7 @@
 }
 
 /** What an operator asks. */
-export type OperatorAsk =
+export type OperatorRequest =
   | { kind: 'plan'; operatorId: string; intent: Intent; planId: string }
   | { kind: 'confirm'; plan: Plan }
   | { kind: 'listPlans' }
--- a/packages/reedlug-decisions/src/types/request.ts
+++ b/packages/reedlug-decisions/src/types/request.ts
@@ -75,10 +75,10 @@
       /** The box that was asked; undefined while all peers are asked. */
       holderId: string | undefined;
       /** Until when an answer is waited for; moved on by each answer. */
-      patienceUntilMs: number;
-      nextAskAtMs: number;
+      giveUpAtMs: number;
+      nextLookupAtMs: number;
       /** True once the claim's row is read again, after nobody had the request. */
-      rereading: boolean;
+      rereadingClaim: boolean;
     }
   | { kind: 'handing'; toBoxId: string; sinceMs: number; tries: number }
   | {
@@ -104,20 +104,20 @@
   /** Where the KV cache of a moved run waits. */
   kvTicket: KvTicket | undefined;
   /** Servers that refused or lost it; avoided while others remain. */
-  avoid: Set<string>;
+  avoidedServers: Set<string>;
   cachedTokens: number;
   /** Expected work, used in the queues. */
   cost: number;
   waitedMs: number | undefined;
   firstTokenMs: number | undefined;
   /** True while a retry has not yet been granted by the budget. */
-  retryOwed: boolean;
+  needsRetryBudget: boolean;
   /** When the caller's connection went away, while its stream is kept for a reconnect. */
   callerGoneAtMs: number | undefined;
   /** Offset below which a reconnected caller already has the tokens. */
-  skipUntil: number;
+  reconnectOffset: number;
   /** Tokens that the caller had when another box handed the request over. */
-  handedOffset: number;
+  handoverOffset: number;
 }
 
 /** Names exported KV cache at its source. */
--- a/packages/reedlug-standins/src/http/platformServer.ts
+++ b/packages/reedlug-standins/src/http/platformServer.ts
@@ -1,6 +1,6 @@
 /** The platform's services in one process: table, object store, cloud, box list, weight store. */
 import type { TableOp } from 'reedlug-coordination';
-import type { BoxListEntry, CloudAsk } from 'reedlug-decisions';
+import type { BoxListEntry, CloudRequest } from 'reedlug-decisions';
 import { applyTableOp, createTableModel, type TableModel } from '../models/tableModel.js';
 import {
   startJsonServer,
@@ -36,7 +36,7 @@
   /** The boxes as they are; the list that callers read lags behind. */
   setBoxes: (entries: readonly BoxListEntry[]) => void;
   notice: (boxId: string, incarnation: number, noticeMs: number) => void;
-  onStart: (start: (ask: Extract<CloudAsk, { kind: 'start' }>) => Promise<void>) => void;
+  onStart: (start: (ask: Extract<CloudRequest, { kind: 'start' }>) => Promise<void>) => void;
   onStop: (stop: (serverId: string) => Promise<void>) => void;
 }
 
@@ -48,7 +48,7 @@
   notices: CloudNotice[];
   highestFence: number;
   startTokens: Set<string>;
-  start: (ask: Extract<CloudAsk, { kind: 'start' }>) => Promise<void>;
+  start: (ask: Extract<CloudRequest, { kind: 'start' }>) => Promise<void>;
   stop: (serverId: string) => Promise<void>;
 }
 
@@ -93,7 +93,7 @@
       {
         method: 'POST',
         path: '/v1/boxes',
-        handle: ({ body }) => askCloud(running, body as CloudAsk),
+        handle: ({ body }) => askCloud(running, body as CloudRequest),
       },
       {
         method: 'GET',
@@ -172,7 +172,7 @@
   return { status: 200, value: seen?.entries ?? [] };
 }
 
-async function askCloud(running: Running, ask: CloudAsk): Promise<JsonAnswer> {
+async function askCloud(running: Running, ask: CloudRequest): Promise<JsonAnswer> {
   if (ask.fence < running.highestFence) return { status: 409, value: { error: 'old fence' } };
   running.highestFence = ask.fence;
   if (ask.kind === 'stop') {
--- a/packages/reedlug/src/backends/engineClient.ts
+++ b/packages/reedlug/src/backends/engineClient.ts
@@ -1,6 +1,11 @@
 /** Calls to engines: streams, cancel, KV cache, load and orders. */
 import type { Dispatcher } from 'undici';
-import { RefusalReason, type AskAnswer, type EventBody, type ServerSpec } from 'reedlug-decisions';
+import {
+  RefusalReason,
+  type CommandResult,
+  type EventBody,
+  type ServerSpec,
+} from 'reedlug-decisions';
 import type {
   EngineChunk,
   EngineCompletionRequest,
@@ -218,7 +223,7 @@
   pools: ServerPools,
   spec: ServerSpec,
   order: EngineOrderRequest,
-): Promise<AskAnswer> {
+): Promise<CommandResult> {
   try {
     const { status, body } = await shortCall<{ error?: string }>(pools, spec, {
       method: 'POST',
--- a/packages/reedlug/src/daemon/entryDaemon.ts
+++ b/packages/reedlug/src/daemon/entryDaemon.ts
@@ -14,7 +14,7 @@
   type BoxState,
   type EventBody,
   type OperatorAnswer,
-  type OperatorAsk,
+  type OperatorRequest,
   type PeerMessage,
   type RequestSpec,
 } from 'reedlug-decisions';
@@ -48,7 +48,7 @@
     exchange: Exchange,
   ) => void;
   callerGone: (requestId: string) => void;
-  ask: (ask: OperatorAsk) => Promise<OperatorAnswer>;
+  ask: (ask: OperatorRequest) => Promise<OperatorAnswer>;
   emit: (event: EventBody) => void;
   ready: () => boolean;
   rejectedPeers: () => number;
--- a/packages/reedlug/src/dev/devServers.ts
+++ b/packages/reedlug/src/dev/devServers.ts
@@ -1,5 +1,10 @@
 /** The stand-in backend servers of `reedlug dev`, and the box list made of them. */
-import { ServerKind, type BoxListEntry, type CloudAsk, type ServerSpec } from 'reedlug-decisions';
+import {
+  ServerKind,
+  type BoxListEntry,
+  type CloudRequest,
+  type ServerSpec,
+} from 'reedlug-decisions';
 import {
   startEngineServer,
   startServiceServer,
@@ -55,7 +60,7 @@
 /** The description of an engine that the cloud is asked to start. */
 export function startedSpec(
   settings: Settings,
-  ask: Extract<CloudAsk, { kind: 'start' }>,
+  ask: Extract<CloudRequest, { kind: 'start' }>,
 ): Omit<ServerSpec, 'address'> {
   const pool = settings.pools.find(({ model }) => model === ask.pool);
   return {
--- a/packages/reedlug/src/platform/platformClients.ts
+++ b/packages/reedlug/src/platform/platformClients.ts
@@ -1,6 +1,6 @@
 /** Clients of the platform: table, object store, cloud, box list and notices, weight store. */
 import type { ConfigSnapshot, TableAnswer, TableOp, TableRow } from 'reedlug-coordination';
-import type { AskAnswer, BoxListEntry, CloudAsk } from 'reedlug-decisions';
+import type { CommandResult, BoxListEntry, CloudRequest } from 'reedlug-decisions';
 import type { Settings } from '../settings/settingsTypes.js';
 import { createPlatformCaller, type PlatformAnswer, type PlatformCaller } from './platformCall.js';
 
@@ -17,7 +17,7 @@
 /** What the entry daemon asks of the platform. */
 export interface PlatformClients {
   table: (op: TableOp) => Promise<TableAnswer>;
-  cloud: (ask: CloudAsk) => Promise<AskAnswer>;
+  cloud: (ask: CloudRequest) => Promise<CommandResult>;
   boxList: () => Promise<readonly BoxListEntry[] | undefined>;
   notices: (afterSequence: number) => Promise<readonly ReclaimNotice[]>;
   writeSnapshot: (snapshot: ConfigSnapshot) => Promise<void>;
@@ -86,7 +86,7 @@
   }
 }
 
-function askAnswer(answer: PlatformAnswer<{ error?: string }>): AskAnswer {
+function askAnswer(answer: PlatformAnswer<{ error?: string }>): CommandResult {
   switch (answer.kind) {
     case 'done':
       return { kind: 'done' };
