--- a/packages/reedlug-decisions/src/__tests__/windows.test.ts
+++ b/packages/reedlug-decisions/src/__tests__/windows.test.ts
@@ -112,9 +112,9 @@
 test('a prefix that is out of reach counts as none', () => {
   const box = createTestBox();
   const leaves = { type: 'reclaimNoticed', serverId: 'engine-1', incarnation: 1 } as const;
-  box.state.cacheSights.set(7, { serverId: 'engine-1', tokens: 100 });
+  box.state.prefixLocations.set(7, { serverId: 'engine-1', tokens: 100 });
   box.send(10, { ...leaves, leavesAtMs: 9000 });
   const record = createRecord(testDraft('d1'), 20);
   expect(chooseServer(box.state, record, 20)?.spec.id).equal('engine-2');
-  expect(box.state.cacheSights.has(7)).equal(false);
+  expect(box.state.prefixLocations.has(7)).equal(false);
 });
--- a/packages/reedlug-decisions/src/plans/confirm.ts
+++ b/packages/reedlug-decisions/src/plans/confirm.ts
@@ -10,7 +10,7 @@
 import { itemRevision, liveInZone, type TableAnswer, type TableRow } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
 import type { OperatorAnswer, OperatorRequest, Plan } from '../types/plan.js';
-import type { BoxState, ConfirmStep, ConfirmWait, Step } from '../state.js';
+import type { BoxState, ConfirmStep, PendingConfirm, Step } from '../state.js';
 import { nextId } from '../state.js';
 import { configLogKey, notePlan, takeDeltas, type ConfigLogValue } from '../slices/config.js';
 import { confirmedPlan, digestFits, draftPlan, draftUndo } from './draft.js';
@@ -189,14 +189,14 @@
 }
 
 function awaitZones(state: BoxState, step: Step, askId: string, revision: number): void {
-  state.confirmWaits.push({ askId, revision, untilMs: step.nowMs + IN_FORCE_WITHIN_MS });
+  state.pendingConfirms.push({ askId, revision, untilMs: step.nowMs + IN_FORCE_WITHIN_MS });
   confirmWaitsTick(state, step);
 }
 
 /** Answers confirms whose revision is in force in every zone, or whose time is over. */
 export function confirmWaitsTick(state: BoxState, step: Step): void {
-  const open: ConfirmWait[] = [];
-  for (const wait of state.confirmWaits) {
+  const open: PendingConfirm[] = [];
+  for (const wait of state.pendingConfirms) {
     const { inForce, notReached } = zonesAt(state, wait.revision);
     if (notReached.length > 0 && step.nowMs < wait.untilMs) {
       open.push(wait);
@@ -209,7 +209,7 @@
       zonesNotReached: notReached,
     });
   }
-  state.confirmWaits = open;
+  state.pendingConfirms = open;
 }
 
 /** Zones in which every live box that this box hears has the revision. */
--- a/packages/reedlug-decisions/src/plans/draft.ts
+++ b/packages/reedlug-decisions/src/plans/draft.ts
@@ -289,7 +289,7 @@
 
 function cachedTokensAt(state: BoxState, serverIds: ReadonlySet<string>): number {
   let tokens = 0;
-  for (const sight of state.cacheSights.values()) {
+  for (const sight of state.prefixLocations.values()) {
     if (serverIds.has(sight.serverId)) tokens += sight.tokens;
   }
   return tokens;
--- a/packages/reedlug-decisions/src/policy/cacheView.ts
+++ b/packages/reedlug-decisions/src/policy/cacheView.ts
@@ -27,7 +27,7 @@
   view: ServerView,
   isFirstRanked: boolean,
 ): number {
-  const sight = state.cacheSights.get(spec.affinityHash);
+  const sight = state.prefixLocations.get(spec.affinityHash);
   if (sight === undefined) {
     return isFirstRanked ? spec.promptTokens * state.priorHitShare : 0;
   }
@@ -43,7 +43,7 @@
   serverId: string,
   tokens: number,
 ): void {
-  putBounded(state.cacheSights, affinityHash, { serverId, tokens });
+  putBounded(state.prefixLocations, affinityHash, { serverId, tokens });
 }
 
 /** Puts an entry as the newest; the oldest goes when there are too many. */
@@ -63,10 +63,10 @@
 ): void {
   const { affinityHash, serverId, tokens } = cached;
   noteCached(state, affinityHash, serverId, tokens);
-  const believed = state.cacheTold.get(affinityHash) ?? firstRankedId;
+  const believed = state.announcedPrefixServers.get(affinityHash) ?? firstRankedId;
   if (believed === serverId) return;
   noteTold(state, affinityHash, serverId, firstRankedId);
-  if (state.cacheNewsWaiting.length < CACHE_NEWS_LIMIT) state.cacheNewsWaiting.push(cached);
+  if (state.pendingCacheUpdates.length < CACHE_NEWS_LIMIT) state.pendingCacheUpdates.push(cached);
 }
 
 function noteTold(
@@ -75,15 +75,15 @@
   serverId: string,
   firstRankedId: string | undefined,
 ): void {
-  if (serverId === firstRankedId) state.cacheTold.delete(affinityHash);
-  else putBounded(state.cacheTold, affinityHash, serverId);
+  if (serverId === firstRankedId) state.announcedPrefixServers.delete(affinityHash);
+  else putBounded(state.announcedPrefixServers, affinityHash, serverId);
 }
 
 /** Takes a peer's news of prefixes. */
 export function onCacheNews(state: BoxState, news: readonly CacheUpdate[]): void {
   for (const { affinityHash, serverId, tokens } of news) {
     noteCached(state, affinityHash, serverId, tokens);
-    putBounded(state.cacheTold, affinityHash, serverId);
+    putBounded(state.announcedPrefixServers, affinityHash, serverId);
   }
 }
 
@@ -94,7 +94,7 @@
 ): void {
   const { spec, view, cachedTokens, hadSight } = params;
   if (hadSight) {
-    const sight = state.cacheSights.get(spec.affinityHash);
+    const sight = state.prefixLocations.get(spec.affinityHash);
     view.cacheUncertain = sight !== undefined && cachedTokens < sight.tokens / 2;
     return;
   }
@@ -112,14 +112,14 @@
   }
   view.cacheSequence = event.sequence;
   for (const affinityHash of event.evicted) {
-    const sight = state.cacheSights.get(affinityHash);
-    if (sight?.serverId === event.serverId) state.cacheSights.delete(affinityHash);
+    const sight = state.prefixLocations.get(affinityHash);
+    if (sight?.serverId === event.serverId) state.prefixLocations.delete(affinityHash);
   }
 }
 
 /** Forgets every sight of a server that is gone. */
 export function forgetServerCache(state: BoxState, serverId: string): void {
-  for (const [affinityHash, sight] of state.cacheSights) {
-    if (sight.serverId === serverId) state.cacheSights.delete(affinityHash);
+  for (const [affinityHash, sight] of state.prefixLocations) {
+    if (sight.serverId === serverId) state.prefixLocations.delete(affinityHash);
   }
 }
--- a/packages/reedlug-decisions/src/policy/routing.ts
+++ b/packages/reedlug-decisions/src/policy/routing.ts
@@ -127,7 +127,7 @@
 /** The shortlist, and the server where the conversation's prefix was last seen. */
 function listFor(state: BoxState, spec: RequestSpec, rules: ServerRules): ServerView[] {
   const listed = shortlist(state, spec, rules);
-  const sight = state.cacheSights.get(spec.affinityHash);
+  const sight = state.prefixLocations.get(spec.affinityHash);
   if (sight === undefined) return listed;
   const holder = state.servers.get(sight.serverId);
   if (holder !== undefined && listed.includes(holder)) return listed;
@@ -136,7 +136,7 @@
   }
   // A prefix out of reach is none: without this no engine would be credited, and the
   // boxes would each choose another one.
-  state.cacheSights.delete(spec.affinityHash);
+  state.prefixLocations.delete(spec.affinityHash);
   return listed;
 }
 
--- a/packages/reedlug-decisions/src/policy/windows.ts
+++ b/packages/reedlug-decisions/src/policy/windows.ts
@@ -34,7 +34,7 @@
 ): void {
   view.report = report;
   view.reportedAtMs = nowMs;
-  view.openAtReport = view.openAttempts.size;
+  view.openAttemptsAtReport = view.openAttempts.size;
   if (state.settings.policy.window === WindowPolicy.cacheAware) adaptWindow(view, report);
 }
 
@@ -51,7 +51,7 @@
 /** Requests that other boxes have at a server, by its last fresh report. */
 export function othersAt(view: ServerView, nowMs: number): number | undefined {
   if (view.report === undefined || nowMs - view.reportedAtMs > REPORT_FRESH_MS) return undefined;
-  return Math.max(0, view.report.running + view.report.waiting - view.openAtReport);
+  return Math.max(0, view.report.running + view.report.waiting - view.openAttemptsAtReport);
 }
 
 /** How many more requests of a class this box may send to a server now. */
@@ -89,10 +89,10 @@
 /** Place of this box among those that share a server, by rendezvous; 0 is the first. */
 function shareRank(state: BoxState, view: ServerView, sharing: SharingBoxes | undefined): number {
   if (sharing === undefined) return 0;
-  if (view.place.version === sharing.version) return view.place.shareRank;
+  if (view.cachedShareRank.version === sharing.version) return view.cachedShareRank.shareRank;
   const weight = rendezvousWeight(view.idHash, hashString(state.settings.boxId));
   const before = sharing.hashes.filter((hash) => rendezvousWeight(view.idHash, hash) > weight);
-  view.place = { version: sharing.version, shareRank: before.length };
+  view.cachedShareRank = { version: sharing.version, shareRank: before.length };
   return before.length;
 }
 
--- a/packages/reedlug-decisions/src/reduce.ts
+++ b/packages/reedlug-decisions/src/reduce.ts
@@ -49,11 +49,11 @@
 export function reduce(state: BoxState, event: BoxEvent): Effect[] {
   state.nowMs = Math.max(state.nowMs, event.nowMs);
   const step: Step = { nowMs: state.nowMs, effects: [] };
-  handle(state, step, event);
+  handleEvent(state, step, event);
   return step.effects;
 }
 
-function handle(state: BoxState, step: Step, event: BoxEvent): void {
+function handleEvent(state: BoxState, step: Step, event: BoxEvent): void {
   switch (event.type) {
     case 'tick':
       return onTick(state, step, event);
--- a/packages/reedlug-decisions/src/slices/claimWrites.ts
+++ b/packages/reedlug-decisions/src/slices/claimWrites.ts
@@ -40,7 +40,7 @@
   expectVersion: number,
 ): void {
   record.phase = { kind: 'claiming', sinceMs: step.nowMs };
-  state.claimsWaiting.push({
+  state.pendingClaims.push({
     key: keyOf(record),
     expectVersion,
     value: claimValue(state, record, undefined, nextId(state, 'claim')),
@@ -70,7 +70,7 @@
 }
 
 function sendClaims(state: BoxState, step: Step): void {
-  if (state.claimGroupInFlight || state.claimsWaiting.length === 0) return;
+  if (state.claimGroupInFlight || state.pendingClaims.length === 0) return;
   const claims = takeGroup(state);
   const { group, op } = startClaimGroup(claims);
   state.claimGroupInFlight = true;
@@ -82,12 +82,12 @@
   const group: PendingClaim[] = [];
   const rest: PendingClaim[] = [];
   const keys = new Set<string>();
-  for (const pending of state.claimsWaiting) {
+  for (const pending of state.pendingClaims) {
     const fits = group.length < state.settings.control.claimGroupSize && !keys.has(pending.key);
     (fits ? group : rest).push(pending);
     if (fits) keys.add(pending.key);
   }
-  state.claimsWaiting = rest;
+  state.pendingClaims = rest;
   return group;
 }
 
@@ -192,15 +192,15 @@
 
 /** Queues the outcome of a claimed request for the table. */
 export function queueOutcome(state: BoxState, step: Step, record: RequestRecord): void {
-  state.outcomesWaiting.push(record.spec.requestId);
+  state.pendingOutcomes.push(record.spec.requestId);
   sendOutcomes(state, step);
 }
 
 /** Sends waiting outcomes, one group at a time. */
 export function sendOutcomes(state: BoxState, step: Step): void {
-  if (state.outcomesInFlight || state.outcomesWaiting.length === 0) return;
+  if (state.outcomesInFlight || state.pendingOutcomes.length === 0) return;
   if (step.nowMs < state.outcomesNotBeforeMs) return;
-  const requestIds = state.outcomesWaiting.splice(0, OUTCOME_GROUP);
+  const requestIds = state.pendingOutcomes.splice(0, OUTCOME_GROUP);
   const writes = requestIds.flatMap((requestId) => outcomeWrite(state, requestId));
   if (writes.length === 0) return;
   state.outcomesInFlight = true;
@@ -231,7 +231,7 @@
   state.outcomesInFlight = false;
   if (answer.kind !== 'done') {
     const again = openAfter(state, requestIds, answer);
-    state.outcomesWaiting.unshift(...again);
+    state.pendingOutcomes.unshift(...again);
     const troubled = answer.kind === 'unknown' || answer.reason === 'throttled';
     if (troubled) state.outcomesNotBeforeMs = step.nowMs + OUTCOME_RETRY_MS;
     log(step, 'outcomesDelayed', { count: again.length, answer: answer.kind });
--- a/packages/reedlug-decisions/src/slices/config.ts
+++ b/packages/reedlug-decisions/src/slices/config.ts
@@ -178,7 +178,7 @@
   if (snapshot === undefined) return;
   state.configSourceSeen = true;
   if (!applySnapshot(state.config, snapshot)) return;
-  state.snapshotAtRevision = Math.max(state.snapshotAtRevision, snapshot.revision);
+  state.lastSnapshotRevision = Math.max(state.lastSnapshotRevision, snapshot.revision);
   noteCaughtUp(state);
   log(step, 'configSnapshotApplied', { revision: snapshot.revision });
 }
@@ -186,7 +186,7 @@
 /** Writes a snapshot every so many revisions, so that a fresh box reads little of the log. */
 function snapshotWhenDue(state: BoxState, step: Step): void {
   const { snapshotEveryRevisions } = state.settings.control;
-  if (state.config.revision < state.snapshotAtRevision + snapshotEveryRevisions) return;
-  state.snapshotAtRevision = state.config.revision;
+  if (state.config.revision < state.lastSnapshotRevision + snapshotEveryRevisions) return;
+  state.lastSnapshotRevision = state.config.revision;
   step.effects.push({ type: 'writeSnapshot', snapshot: takeSnapshot(state.config) });
 }
--- a/packages/reedlug-decisions/src/slices/dispatch.ts
+++ b/packages/reedlug-decisions/src/slices/dispatch.ts
@@ -19,17 +19,17 @@
 /** Urgent goes before patient; one in every few dispatches is a patient one that waits. */
 function dispatchNext(state: BoxState, step: Step, queues: PoolQueues): boolean {
   const patientTurn =
-    queues.patient.size > 0 && queues.urgentRun >= state.settings.policy.patientFloorEvery;
+    queues.patient.size > 0 && queues.urgentStreak >= state.settings.policy.patientFloorEvery;
   if (patientTurn && dispatchFrom(state, step, queues.patient)) {
-    queues.urgentRun = 0;
+    queues.urgentStreak = 0;
     return true;
   }
   if (dispatchFrom(state, step, queues.urgent)) {
-    queues.urgentRun += 1;
+    queues.urgentStreak += 1;
     return true;
   }
   if (!dispatchFrom(state, step, queues.patient)) return false;
-  queues.urgentRun = 0;
+  queues.urgentStreak = 0;
   return true;
 }
 
--- a/packages/reedlug-decisions/src/slices/handover.ts
+++ b/packages/reedlug-decisions/src/slices/handover.ts
@@ -50,9 +50,9 @@
     handOverAll(state, step);
   }
   const balancerHasMovedOn = step.nowMs >= draining.sinceMs + drainNotReadyMs;
-  const idle = state.unsettled.size === 0 && state.outcomesWaiting.length === 0;
-  if (!balancerHasMovedOn || !idle || state.outcomesInFlight || state.stoppedTold) return;
-  state.stoppedTold = true;
+  const idle = state.unsettled.size === 0 && state.pendingOutcomes.length === 0;
+  if (!balancerHasMovedOn || !idle || state.outcomesInFlight || state.stoppedReported) return;
+  state.stoppedReported = true;
   step.effects.push({ type: 'stopped' });
 }
 
--- a/packages/reedlug-decisions/src/slices/orders.ts
+++ b/packages/reedlug-decisions/src/slices/orders.ts
@@ -39,8 +39,8 @@
 }
 
 function leaseStep(state: BoxState, step: Step): void {
-  if (step.nowMs < state.nextLeaseLookAtMs) return;
-  state.nextLeaseLookAtMs = step.nowMs + LEASE_LOOK_MS;
+  if (step.nowMs < state.nextLeasePollAtMs) return;
+  state.nextLeasePollAtMs = step.nowMs + LEASE_LOOK_MS;
   if (state.lease.held === undefined && !isCandidate(state)) return;
   if (state.mutations.has('reuseFence')) state.lease.highestFence = 0;
   const op = leaseTick(state.lease, step.nowMs);
@@ -122,7 +122,7 @@
   nowMs: number,
 ): boolean {
   if (!changesModel(report, wanted)) return true;
-  return takeTokens(state.weightLoads, 1, nowMs) === 0;
+  return takeTokens(state.weightLoadBucket, 1, nowMs) === 0;
 }
 
 function changesModel(report: EngineReport, wanted: DesiredEngineState): boolean {
--- a/packages/reedlug-decisions/src/slices/peerLinks.ts
+++ b/packages/reedlug-decisions/src/slices/peerLinks.ts
@@ -79,9 +79,9 @@
 
 /** Tells where prefixes are that peers would look for elsewhere. */
 function tellCacheNews(state: BoxState, step: Step): void {
-  if (state.cacheNewsWaiting.length === 0) return;
-  const news = state.cacheNewsWaiting;
-  state.cacheNewsWaiting = [];
+  if (state.pendingCacheUpdates.length === 0) return;
+  const news = state.pendingCacheUpdates;
+  state.pendingCacheUpdates = [];
   sendToPeers(state, step, { kind: 'cacheNews', news });
 }
 
@@ -140,8 +140,8 @@
 
 /** Tells a box that is new to us of the servers probed here, and of those that leave. */
 function tellServers(state: BoxState, step: Step, boxId: string): void {
-  const ids = new Set(state.probed.views.map(({ spec }) => spec.id));
-  for (const id of state.leavingServers) ids.add(id);
+  const ids = new Set(state.probedServers.views.map(({ spec }) => spec.id));
+  for (const id of state.drainingServers) ids.add(id);
   for (const id of foreignServerIds(state)) ids.add(id);
   const news = [...ids].flatMap((id) => {
     const member = state.serverMembers.members.get(id);
--- a/packages/reedlug-decisions/src/slices/placement.ts
+++ b/packages/reedlug-decisions/src/slices/placement.ts
@@ -16,7 +16,7 @@
   type PoolSpec,
   type ServerSpec,
 } from '../types/settings.js';
-import type { BoxState, CloudAskOpen, ServerView, Step } from '../state.js';
+import type { BoxState, PendingStart, ServerView, Step } from '../state.js';
 import { nextId, nextRandom, siteOfZone } from '../state.js';
 import { reclaimableAllowed } from '../plans/rules.js';
 import { fenceFor } from './orders.js';
@@ -45,7 +45,7 @@
 interface PoolCount {
   pool: PoolSpec;
   engines: ServerView[];
-  starting: CloudAskOpen[];
+  starting: PendingStart[];
 }
 
 /** Brings pools to their size when this box holds the lease and it is time. */
@@ -60,8 +60,8 @@
 }
 
 function forgetOldAsks(state: BoxState, nowMs: number): void {
-  for (const [askId, ask] of state.cloudAsks) {
-    if (nowMs - ask.sentAtMs > START_FORGOTTEN_MS) state.cloudAsks.delete(askId);
+  for (const [askId, ask] of state.pendingStarts) {
+    if (nowMs - ask.sentAtMs > START_FORGOTTEN_MS) state.pendingStarts.delete(askId);
   }
 }
 
@@ -91,7 +91,7 @@
     return staysUp(state, view);
   });
   const known = new Set(engines.map((view) => view.spec.id));
-  const starting = [...state.cloudAsks.values()].filter(
+  const starting = [...state.pendingStarts.values()].filter(
     (ask) => ask.pool === pool.model && !known.has(ask.askId),
   );
   return { pool, engines, starting };
@@ -125,9 +125,9 @@
 /** Grows with the load of now and shrinks with the smoothed one. */
 function enginesForLoad(state: BoxState, pool: PoolSpec): number {
   const busy = busyOf(state, pool);
-  const smoothed = state.poolBusy.get(pool.model) ?? busy;
+  const smoothed = state.smoothedPoolLoad.get(pool.model) ?? busy;
   const next = smoothed + BUSY_SMOOTHING * (busy - smoothed);
-  state.poolBusy.set(pool.model, next);
+  state.smoothedPoolLoad.set(pool.model, next);
   const perEngine = pool.slotsPerEngine * state.settings.policy.targetUse;
   return clamp(Math.ceil(Math.max(busy * GROWTH_SHARE, next) / perEngine), pool);
 }
@@ -157,7 +157,7 @@
   const askId = nextId(state, 'start');
   const { zone, machineClass, reclaimable } = offer;
   const pool = count.pool.model;
-  state.cloudAsks.set(askId, {
+  state.pendingStarts.set(askId, {
     askId,
     sentAtMs: step.nowMs,
     zone,
@@ -279,9 +279,9 @@
     const member = serverMember(state, view.spec.id);
     if (member?.state !== MemberState.leaving || view.spec.kind !== ServerKind.engine) continue;
     if (member.leavesAtMs === undefined || step.nowMs < member.leavesAtMs) continue;
-    const askedAtMs = state.stopsAskedAtMs.get(view.spec.id) ?? Number.NEGATIVE_INFINITY;
+    const askedAtMs = state.stopsRequestedAtMs.get(view.spec.id) ?? Number.NEGATIVE_INFINITY;
     if (step.nowMs - askedAtMs < STOP_AGAIN_MS) continue;
-    state.stopsAskedAtMs.set(view.spec.id, step.nowMs);
+    state.stopsRequestedAtMs.set(view.spec.id, step.nowMs);
     const ask: CloudRequest = { kind: 'stop', serverId: view.spec.id, fence };
     step.effects.push({ type: 'askCloud', askId: nextId(state, 'stop'), ask });
   }
@@ -312,10 +312,10 @@
   step: Step,
   event: EventOf<'cloudAnswered'>,
 ): void {
-  const ask = state.cloudAsks.get(event.askId);
+  const ask = state.pendingStarts.get(event.askId);
   if (ask === undefined) return;
   if (event.answer.kind !== 'refused') return;
-  state.cloudAsks.delete(event.askId);
+  state.pendingStarts.delete(event.askId);
   const key = offerKey(ask);
   const refusals = (state.offerBackoff.get(key)?.refusals ?? 0) + 1;
   const delayMs = backoffMs({
@@ -331,5 +331,5 @@
 
 /** A started box carries its start token as its id; once listed, its start is over. */
 export function noteStarted(state: BoxState, serverId: string): void {
-  state.cloudAsks.delete(serverId);
+  state.pendingStarts.delete(serverId);
 }
--- a/packages/reedlug-decisions/src/slices/probes.ts
+++ b/packages/reedlug-decisions/src/slices/probes.ts
@@ -25,11 +25,11 @@
 ): void {
   if (view.spec.kind !== ServerKind.engine) return;
   const busy = (report.running + report.waiting) / view.spec.slots;
-  const { hotToldAtMs } = view;
+  const { hotAnnouncedAtMs: hotToldAtMs } = view;
   const isHot = busy >= (hotToldAtMs === undefined ? HOT_SHARE : COOL_SHARE);
   if (!isHot && hotToldAtMs === undefined) return;
   if (isHot && hotToldAtMs !== undefined && step.nowMs - hotToldAtMs < HOT_FOR_MS / 2) return;
-  view.hotToldAtMs = isHot ? step.nowMs : undefined;
+  view.hotAnnouncedAtMs = isHot ? step.nowMs : undefined;
   view.hotUntilMs = isHot ? step.nowMs + HOT_FOR_MS : 0;
   const item: ServerUpdate = {
     serverId: view.spec.id,
@@ -54,14 +54,14 @@
   const zones = probedZones(state);
   const boxes = probingBoxIds(state);
   const key = `${zones.join(' ')} | ${boxes.join(' ')} | ${state.servers.size}`;
-  if (state.probed.key === key) return state.probed.views;
+  if (state.probedServers.key === key) return state.probedServers.views;
   const hashed = boxes.map((id) => ({ id, hash: hashString(id) }));
   const { zone, boxId } = state.settings;
   const views = zones.flatMap((name) => {
     const all = state.serversByZone.get(name) ?? [];
     return name === zone ? all.filter((view) => ownerOf(view, hashed) === boxId) : all;
   });
-  state.probed = { key, views };
+  state.probedServers = { key, views };
   return views;
 }
 
@@ -104,7 +104,7 @@
 export function poolLoads(state: BoxState): PoolLoad[] {
   const loads = new Map<string, PoolLoad>();
   const freshAfterMs = state.nowMs - state.settings.control.probeEveryMs * 3;
-  for (const view of state.probed.views) {
+  for (const view of state.probedServers.views) {
     if (view.spec.kind !== ServerKind.engine) continue;
     if (view.reportedAtMs < freshAfterMs || !serverTakesWork(state, view)) continue;
     const key = `${view.spec.pool}@${view.spec.zone}`;
--- a/packages/reedlug-decisions/src/slices/queues.ts
+++ b/packages/reedlug-decisions/src/slices/queues.ts
@@ -14,7 +14,7 @@
   const queues: PoolQueues = {
     urgent: createFairQueue(QUANTUM),
     patient: createFairQueue(QUANTUM),
-    urgentRun: 0,
+    urgentStreak: 0,
     dispatchedCost: 0,
     drainPerMs: 0,
     interTokenMs: 0,
--- a/packages/reedlug-decisions/src/slices/reclaim.ts
+++ b/packages/reedlug-decisions/src/slices/reclaim.ts
@@ -216,7 +216,7 @@
     const target = firstRanked(affinityHash, targets);
     if (target === undefined) return;
     view.exportBusyUntilMs = endMs;
-    state.cacheSights.delete(affinityHash);
+    state.prefixLocations.delete(affinityHash);
     step.effects.push({
       type: 'moveCache',
       affinityHash,
@@ -229,7 +229,7 @@
 
 function idlePrefixes(state: BoxState, view: ServerView): [number, number][] {
   const prefixes: [number, number][] = [];
-  for (const [affinityHash, sight] of state.cacheSights) {
+  for (const [affinityHash, sight] of state.prefixLocations) {
     if (sight.serverId !== view.spec.id || sight.tokens < MIN_MOVED_TOKENS) continue;
     prefixes.push([affinityHash, sight.tokens]);
   }
--- a/packages/reedlug-decisions/src/slices/servers.ts
+++ b/packages/reedlug-decisions/src/slices/servers.ts
@@ -61,7 +61,7 @@
     pendingPrefillTokens: 0,
     report: undefined,
     reportedAtMs: Number.NEGATIVE_INFINITY,
-    openAtReport: 0,
+    openAttemptsAtReport: 0,
     probeFailures: 0,
     interTokenMs: 0,
     cacheAwareWindow: spec.slots,
@@ -69,8 +69,8 @@
     cacheUncertain: false,
     exportBusyUntilMs: 0,
     hotUntilMs: 0,
-    hotToldAtMs: undefined,
-    place: { version: 0, shareRank: 0 },
+    hotAnnouncedAtMs: undefined,
+    cachedShareRank: { version: 0, shareRank: 0 },
   };
 }
 
@@ -142,8 +142,8 @@
     if (statement.kind === 'leaving' && view !== undefined) evacuate(state, step, view);
     return;
   }
-  if (changed.state === MemberState.leaving) state.leavingServers.add(serverId);
-  else state.leavingServers.delete(serverId);
+  if (changed.state === MemberState.leaving) state.drainingServers.add(serverId);
+  else state.drainingServers.delete(serverId);
   log(step, 'serverChanged', { server: serverId, state: changed.state });
   if (tellPeers) tellNews(state, step, changed);
   if (view === undefined) return;
--- a/packages/reedlug-decisions/src/slices/streamAttempts.ts
+++ b/packages/reedlug-decisions/src/slices/streamAttempts.ts
@@ -137,7 +137,7 @@
   const view = state.servers.get(attempt.serverId);
   if (view === undefined) return;
   const { spec } = record;
-  const hadSight = state.cacheSights.get(spec.affinityHash)?.serverId === attempt.serverId;
+  const hadSight = state.prefixLocations.get(spec.affinityHash)?.serverId === attempt.serverId;
   noteCacheHit(state, { spec, view, cachedTokens, hadSight });
   const held = spec.promptTokens + record.ledger.tokens.length;
   const [first] = shortlist(state, spec, rulesFor(state, spec));
--- a/packages/reedlug-decisions/src/state.ts
+++ b/packages/reedlug-decisions/src/state.ts
@@ -39,7 +39,7 @@
   report: EngineReport | undefined;
   reportedAtMs: number;
   /** This box's open attempts when the report was made. */
-  openAtReport: number;
+  openAttemptsAtReport: number;
   probeFailures: number;
   /** Measured time between tokens, smoothed; 0 until measured. */
   interTokenMs: number;
@@ -53,9 +53,9 @@
   /** Until when the server counts as nearly full, by the box that probes it. */
   hotUntilMs: number;
   /** When this box last told its peers that the server is hot; undefined when it is not. */
-  hotToldAtMs: number | undefined;
+  hotAnnouncedAtMs: number | undefined;
   /** This box's place at the server, worked out when the live boxes have changed. */
-  place: { version: number; shareRank: number };
+  cachedShareRank: { version: number; shareRank: number };
 }
 
 /** The live boxes that share a zone's servers, as hashes of their ids. */
@@ -71,7 +71,7 @@
   urgent: FairQueue;
   patient: FairQueue;
   /** Urgent dispatches since the last patient one. */
-  urgentRun: number;
+  urgentStreak: number;
   /** Work dispatched since the last heartbeat, in the units of a request's cost. */
   dispatchedCost: number;
   /** Work dispatched in one ms while requests waited, smoothed; 0 until measured. */
@@ -81,7 +81,7 @@
 }
 
 /** Where a conversation's cached prefix was last seen. */
-export interface CacheSight {
+export interface PrefixLocation {
   serverId: string;
   tokens: number;
 }
@@ -107,7 +107,7 @@
 }
 
 /** What a table operation under way is for. */
-export type TablePurpose =
+export type TableOpPurpose =
   | { kind: 'claims'; group: ClaimGroup }
   | { kind: 'claimOutcomes'; requestIds: readonly string[] }
   | { kind: 'claimReread'; requestId: string }
@@ -120,7 +120,7 @@
   { kind: 'write'; revision: number } | { kind: 'readBack'; revision: number };
 
 /** A start or stop asked of the cloud and not yet seen in the box list. */
-export interface CloudAskOpen {
+export interface PendingStart {
   askId: string;
   sentAtMs: number;
   zone: string;
@@ -143,7 +143,7 @@
 }
 
 /** A confirm that is in the table and waits to be in force at the peers. */
-export interface ConfirmWait {
+export interface PendingConfirm {
   askId: string;
   revision: number;
   untilMs: number;
@@ -155,7 +155,7 @@
   random: RandomGenerator;
   nowMs: number;
   epochMs: number;
-  counter: number;
+  idCounter: number;
 
   requests: Map<string, RequestRecord>;
   /** Requests that are not settled. */
@@ -172,15 +172,15 @@
   serversByZone: Map<string, ServerView[]>;
   serversByPoolSite: Map<string, ServerView[]>;
   /** Servers that this box probes, for one set of live boxes and known servers. */
-  probed: { key: string; views: readonly ServerView[] };
+  probedServers: { key: string; views: readonly ServerView[] };
   serverMembers: Membership;
   /** Servers that leave, for boxes that are new to us. */
-  leavingServers: Set<string>;
+  drainingServers: Set<string>;
   roundRobinTurn: number;
-  cacheSights: Map<number, CacheSight>;
+  prefixLocations: Map<number, PrefixLocation>;
   /** Where the peers believe a conversation's prefix to be, where it is not the first rank. */
-  cacheTold: Map<number, string>;
-  cacheNewsWaiting: CacheUpdate[];
+  announcedPrefixServers: Map<number, string>;
+  pendingCacheUpdates: CacheUpdate[];
   /** Share of prompt tokens found at the first-ranked engine without a sight, smoothed. */
   priorHitShare: number;
 
@@ -190,12 +190,12 @@
   heartbeatCount: number;
   nextProbeAtMs: number;
 
-  claimsWaiting: PendingClaim[];
+  pendingClaims: PendingClaim[];
   claimGroupInFlight: boolean;
-  outcomesWaiting: string[];
+  pendingOutcomes: string[];
   outcomesInFlight: boolean;
   outcomesNotBeforeMs: number;
-  tableOps: Map<string, TablePurpose>;
+  tableOps: Map<string, TableOpPurpose>;
 
   config: ConfigReplica;
   nextConfigPollAtMs: number;
@@ -204,30 +204,30 @@
   configSourceSeen: boolean;
   /** True once the replica had every revision it had heard of. */
   caughtUpOnce: boolean;
-  snapshotAtRevision: number;
+  lastSnapshotRevision: number;
   confirmedPlans: ConfirmedPlan[];
-  confirmWaits: ConfirmWait[];
+  pendingConfirms: PendingConfirm[];
   /** Answers at the new site of pools on a move, since a time. */
   moveWatches: Map<string, MoveWatch>;
 
   lease: LeaseState;
-  nextLeaseLookAtMs: number;
+  nextLeasePollAtMs: number;
   /** Loads of weights that may be ordered now. */
-  weightLoads: TokenBucket;
+  weightLoadBucket: TokenBucket;
   ordersSent: Map<string, { atMs: number; wantedKey: string }>;
-  cloudAsks: Map<string, CloudAskOpen>;
+  pendingStarts: Map<string, PendingStart>;
   offerBackoff: Map<string, OfferBackoff>;
   nextPlacementAtMs: number;
   /** Smoothed load of each pool, in requests. */
-  poolBusy: Map<string, number>;
+  smoothedPoolLoad: Map<string, number>;
   /** When a reclaim that placement had not asked for was last told. */
   lastReclaimAtMs: number;
   /** When a stop of a server was last asked of the cloud. */
-  stopsAskedAtMs: Map<string, number>;
+  stopsRequestedAtMs: Map<string, number>;
 
   retryBudget: RetryBudget;
   draining: { sinceMs: number; leavesAtMs: number | undefined } | undefined;
-  stoppedTold: boolean;
+  stoppedReported: boolean;
   /** Deliberate faults for tests of the checker; empty in production. */
   mutations: ReadonlySet<Mutation>;
 }
@@ -252,7 +252,7 @@
     random: xoroshiro128plus(params.seed),
     nowMs,
     epochMs: 0,
-    counter: 0,
+    idCounter: 0,
     requests: new Map(),
     unsettled: new Set(),
     settledOrder: [],
@@ -263,16 +263,16 @@
     serversByPool: new Map(),
     serversByZone: new Map(),
     serversByPoolSite: new Map(),
-    probed: { key: '', views: [] },
+    probedServers: { key: '', views: [] },
     serverMembers: createMembership({
       suspectAfterMs: Number.POSITIVE_INFINITY,
       deadAfterMs: control.deadAfterMs,
     }),
-    leavingServers: new Set(),
+    drainingServers: new Set(),
     roundRobinTurn: 0,
-    cacheSights: new Map(),
-    cacheTold: new Map(),
-    cacheNewsWaiting: [],
+    prefixLocations: new Map(),
+    announcedPrefixServers: new Map(),
+    pendingCacheUpdates: [],
     priorHitShare: 0.5,
     boxMembers: createMembership({
       suspectAfterMs: control.suspectAfterMs,
@@ -282,9 +282,9 @@
     nextHeartbeatAtMs: nowMs,
     heartbeatCount: 0,
     nextProbeAtMs: nowMs,
-    claimsWaiting: [],
+    pendingClaims: [],
     claimGroupInFlight: false,
-    outcomesWaiting: [],
+    pendingOutcomes: [],
     outcomesInFlight: false,
     outcomesNotBeforeMs: 0,
     tableOps: new Map(),
@@ -294,9 +294,9 @@
     configScanInFlight: false,
     configSourceSeen: false,
     caughtUpOnce: false,
-    snapshotAtRevision: 0,
+    lastSnapshotRevision: 0,
     confirmedPlans: [],
-    confirmWaits: [],
+    pendingConfirms: [],
     moveWatches: new Map(),
     lease: createLease(
       {
@@ -309,18 +309,18 @@
       settings.boxId,
       settings.incarnation,
     ),
-    nextLeaseLookAtMs: nowMs,
-    weightLoads: createTokenBucket(control.weightLoadsPerMinute / 60, 2, nowMs),
+    nextLeasePollAtMs: nowMs,
+    weightLoadBucket: createTokenBucket(control.weightLoadsPerMinute / 60, 2, nowMs),
     ordersSent: new Map(),
-    cloudAsks: new Map(),
+    pendingStarts: new Map(),
     offerBackoff: new Map(),
     nextPlacementAtMs: nowMs + control.placementEveryMs,
-    poolBusy: new Map(),
+    smoothedPoolLoad: new Map(),
     lastReclaimAtMs: Number.NEGATIVE_INFINITY,
-    stopsAskedAtMs: new Map(),
+    stopsRequestedAtMs: new Map(),
     retryBudget: createRetryBudget(policy.retryShare, policy.retryCapacity),
     draining: undefined,
-    stoppedTold: false,
+    stoppedReported: false,
     mutations: params.mutations ?? new Set(),
   };
 }
@@ -337,9 +337,9 @@
 
 /** An id that no other box and no earlier life of this box has used. */
 export function nextId(state: BoxState, prefix: string): string {
-  state.counter += 1;
+  state.idCounter += 1;
   const { boxId, incarnation } = state.settings;
-  return `${prefix}-${boxId}-${incarnation}-${state.counter}`;
+  return `${prefix}-${boxId}-${incarnation}-${state.idCounter}`;
 }
 
 /** A random number in [0, 1). */
