--- a/packages/reedlug-decisions/src/__tests__/windows.test.ts
+++ b/packages/reedlug-decisions/src/__tests__/windows.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { createTestBox, hear, testDraft, type TestBox } from './__fixtures__/testBox.js';
 import { chooseServer } from '../policy/routing.js';
-import { roomAt, updateSharing } from '../policy/windows.js';
+import { spareCapacity, updateSharingBoxes } from '../policy/windows.js';
 import { createRecord } from '../slices/requests.js';
 
 function hearPeer(box: TestBox, nowMs: number): void {
@@ -31,13 +31,13 @@
 
 function room(box: TestBox, nowMs: number): number {
   const view = box.state.servers.get('engine-1');
-  return view === undefined ? 0 : roomAt(box.state, view, 'patient', nowMs);
+  return view === undefined ? 0 : spareCapacity(box.state, view, 'patient', nowMs);
 }
 
 test('a hot engine leaves a box its exact share', () => {
   const box = createTestBox();
   hearPeer(box, 10);
-  updateSharing(box.state);
+  updateSharingBoxes(box.state);
   expect(room(box, 20)).equal(4);
   hot(box, 20, 'hot');
   expect(room(box, 30)).equal(2);
@@ -49,7 +49,7 @@
   const box = createTestBox();
   expect(room(box, 60_000)).equal(4);
   hearPeer(box, 60_000);
-  updateSharing(box.state);
+  updateSharingBoxes(box.state);
   expect(room(box, 60_000)).equal(2);
 });
 
--- a/packages/reedlug-decisions/src/policy/cacheView.ts
+++ b/packages/reedlug-decisions/src/policy/cacheView.ts
@@ -12,9 +12,9 @@
 import type { BoxState, ServerView } from '../state.js';
 
 /** Sights kept; the oldest goes first. */
-export const CACHE_SIGHT_LIMIT = 20_000;
+export const MAX_PREFIX_LOCATIONS = 20_000;
 /** News of prefixes sent in one heartbeat at most. */
-const CACHE_NEWS_LIMIT = 200;
+const MAX_PENDING_CACHE_UPDATES = 200;
 /** Weight of the newest answer in the smoothed hit share. */
 const HIT_SMOOTHING = 0.05;
 /** Credit of a sight whose server had a gap in its cache events. */
@@ -27,17 +27,17 @@
   view: ServerView,
   isFirstRanked: boolean,
 ): number {
-  const sight = state.prefixLocations.get(spec.affinityHash);
-  if (sight === undefined) {
+  const location = state.prefixLocations.get(spec.affinityHash);
+  if (location === undefined) {
     return isFirstRanked ? spec.promptTokens * state.priorHitShare : 0;
   }
-  if (sight.serverId !== view.spec.id) return 0;
+  if (location.serverId !== view.spec.id) return 0;
   const credit = view.cacheUncertain ? UNCERTAIN_CREDIT : 1;
-  return Math.min(spec.promptTokens, sight.tokens) * credit;
+  return Math.min(spec.promptTokens, location.tokens) * credit;
 }
 
 /** Notes that a server now holds the conversation's prefix up to `tokens`. */
-export function noteCached(
+export function recordPrefixLocation(
   state: BoxState,
   affinityHash: number,
   serverId: string,
@@ -50,26 +50,27 @@
 function putBounded<T>(entries: Map<number, T>, affinityHash: number, entry: T): void {
   entries.delete(affinityHash);
   entries.set(affinityHash, entry);
-  if (entries.size <= CACHE_SIGHT_LIMIT) return;
+  if (entries.size <= MAX_PREFIX_LOCATIONS) return;
   const oldest = entries.keys().next();
   if (oldest.done !== true) entries.delete(oldest.value);
 }
 
 /** Notes where this box's own answer left a prefix, and has peers told if they would look elsewhere. */
-export function noteOwnCached(
+export function recordOwnPrefixLocation(
   state: BoxState,
-  cached: CacheUpdate,
+  update: CacheUpdate,
   firstRankedId: string | undefined,
 ): void {
-  const { affinityHash, serverId, tokens } = cached;
-  noteCached(state, affinityHash, serverId, tokens);
-  const believed = state.announcedPrefixServers.get(affinityHash) ?? firstRankedId;
-  if (believed === serverId) return;
-  noteTold(state, affinityHash, serverId, firstRankedId);
-  if (state.pendingCacheUpdates.length < CACHE_NEWS_LIMIT) state.pendingCacheUpdates.push(cached);
+  const { affinityHash, serverId, tokens } = update;
+  recordPrefixLocation(state, affinityHash, serverId, tokens);
+  const expectedServerId = state.announcedPrefixServers.get(affinityHash) ?? firstRankedId;
+  if (expectedServerId === serverId) return;
+  recordAnnounced(state, affinityHash, serverId, firstRankedId);
+  if (state.pendingCacheUpdates.length < MAX_PENDING_CACHE_UPDATES)
+    state.pendingCacheUpdates.push(update);
 }
 
-function noteTold(
+function recordAnnounced(
   state: BoxState,
   affinityHash: number,
   serverId: string,
@@ -80,20 +81,20 @@
 }
 
 /** Takes a peer's news of prefixes. */
-export function onCacheNews(state: BoxState, news: readonly CacheUpdate[]): void {
-  for (const { affinityHash, serverId, tokens } of news) {
-    noteCached(state, affinityHash, serverId, tokens);
+export function onCacheUpdates(state: BoxState, updates: readonly CacheUpdate[]): void {
+  for (const { affinityHash, serverId, tokens } of updates) {
+    recordPrefixLocation(state, affinityHash, serverId, tokens);
     putBounded(state.announcedPrefixServers, affinityHash, serverId);
   }
 }
 
 /** Learns from an engine's report of cached tokens how far the view can be trusted. */
-export function noteCacheHit(
+export function recordCacheHit(
   state: BoxState,
-  params: { spec: RequestSpec; view: ServerView; cachedTokens: number; hadSight: boolean },
+  params: { spec: RequestSpec; view: ServerView; cachedTokens: number; hadLocation: boolean },
 ): void {
-  const { spec, view, cachedTokens, hadSight } = params;
-  if (hadSight) {
+  const { spec, view, cachedTokens, hadLocation } = params;
+  if (hadLocation) {
     const sight = state.prefixLocations.get(spec.affinityHash);
     view.cacheUncertain = sight !== undefined && cachedTokens < sight.tokens / 2;
     return;
@@ -112,14 +113,14 @@
   }
   view.cacheSequence = event.sequence;
   for (const affinityHash of event.evicted) {
-    const sight = state.prefixLocations.get(affinityHash);
-    if (sight?.serverId === event.serverId) state.prefixLocations.delete(affinityHash);
+    const location = state.prefixLocations.get(affinityHash);
+    if (location?.serverId === event.serverId) state.prefixLocations.delete(affinityHash);
   }
 }
 
 /** Forgets every sight of a server that is gone. */
-export function forgetServerCache(state: BoxState, serverId: string): void {
-  for (const [affinityHash, sight] of state.prefixLocations) {
-    if (sight.serverId === serverId) state.prefixLocations.delete(affinityHash);
+export function forgetServerPrefixes(state: BoxState, serverId: string): void {
+  for (const [affinityHash, location] of state.prefixLocations) {
+    if (location.serverId === serverId) state.prefixLocations.delete(affinityHash);
   }
 }
--- a/packages/reedlug-decisions/src/policy/routing.ts
+++ b/packages/reedlug-decisions/src/policy/routing.ts
@@ -13,12 +13,12 @@
 import { serverTakesWork } from '../slices/servers.js';
 import { rulesFor, serverAllowed, type ServerRules } from '../plans/rules.js';
 import { expectedCachedTokens } from './cacheView.js';
-import { othersAt, roomAt } from './windows.js';
+import { otherBoxesLoad, spareCapacity } from './windows.js';
 
 /** First ranks of a conversation that are weighed against each other. */
 const SHORTLIST_LENGTH = 16;
 /** Servers looked at beyond a full shortlist. */
-const FURTHER_TRIES = 64;
+const MAX_FALLBACK_CANDIDATES = 64;
 /** A second of waiting of an urgent request weighs this many times a patient one's. */
 const URGENT_WAIT_FACTOR = 8;
 /** Slowdown of generation at a full engine, as a share of one second's wait per slot share. */
@@ -31,11 +31,17 @@
   nowMs: number,
 ): ServerView | undefined {
   const rules = rulesFor(state, record.spec);
-  const listed = listFor(state, record.spec, rules);
+  const listed = shortlistWithHolder(state, record.spec, rules);
   const candidates = candidatesFor(state, record, rules, listed, nowMs);
   if (candidates.length === 0) return undefined;
   const preferred = candidates.filter((view) => !record.avoidedServers.has(view.spec.id));
-  return pick(state, record, listed, preferred.length > 0 ? preferred : candidates, nowMs);
+  return selectByPolicy(
+    state,
+    record,
+    listed,
+    preferred.length > 0 ? preferred : candidates,
+    nowMs,
+  );
 }
 
 /** Listed servers with room; own zone first where settings say so. */
@@ -46,15 +52,16 @@
   listed: readonly ServerView[],
   nowMs: number,
 ): ServerView[] {
-  const open = listed.filter((view) => hasRoom(state, record, view, nowMs));
-  const found = open.length > 0 ? open : furtherRoom(state, record, rules, listed, nowMs);
+  const available = listed.filter((view) => hasSpareCapacity(state, record, view, nowMs));
+  const found =
+    available.length > 0 ? available : fallbackCandidates(state, record, rules, listed, nowMs);
   if (state.settings.policy.routeOverSite) return found;
   const own = found.filter((view) => view.spec.zone === state.settings.zone);
   return own.length > 0 ? own : found;
 }
 
 /** Beyond a full shortlist: a few servers from a random place on, the first that has room. */
-function furtherRoom(
+function fallbackCandidates(
   state: BoxState,
   record: RequestRecord,
   rules: ServerRules,
@@ -64,16 +71,21 @@
   const pool = poolServers(state, record.spec, rules);
   if (pool.length <= listed.length) return [];
   const start = Math.floor(nextRandom(state) * pool.length);
-  for (let step = 0; step < FURTHER_TRIES; step += 1) {
+  for (let step = 0; step < MAX_FALLBACK_CANDIDATES; step += 1) {
     const view = pool[(start + step) % pool.length];
-    if (view === undefined || !isUsable(state, record.spec, rules, view)) continue;
-    if (hasRoom(state, record, view, nowMs)) return [view];
+    if (view === undefined || !isEligible(state, record.spec, rules, view)) continue;
+    if (hasSpareCapacity(state, record, view, nowMs)) return [view];
   }
   return [];
 }
 
-function hasRoom(state: BoxState, record: RequestRecord, view: ServerView, nowMs: number): boolean {
-  return roomAt(state, view, record.spec.requestClass, nowMs) > 0;
+function hasSpareCapacity(
+  state: BoxState,
+  record: RequestRecord,
+  view: ServerView,
+  nowMs: number,
+): boolean {
+  return spareCapacity(state, view, record.spec.requestClass, nowMs) > 0;
 }
 
 /** Servers of a request's pool: those of the own site, of all sites where it has none or moves. */
@@ -86,17 +98,17 @@
   if (rules.move !== undefined) return all;
   const site = siteOfZone(state.settings, state.settings.zone);
   const own = state.serversByPoolSite.get(poolSiteKey(spec.pool, site)) ?? [];
-  return own.some((view) => isUsable(state, spec, rules, view)) ? own : all;
+  return own.some((view) => isEligible(state, spec, rules, view)) ? own : all;
 }
 
-function isUsable(
+function isEligible(
   state: BoxState,
   spec: RequestSpec,
   rules: ServerRules,
   view: ServerView,
 ): boolean {
   if (view.spec.kind !== spec.kind) return false;
-  if (!serverTakesWork(state, view) || !versionFits(view, spec.version)) return false;
+  if (!serverTakesWork(state, view) || !versionMatches(view, spec.version)) return false;
   return serverAllowed(state, view, rules);
 }
 
@@ -112,7 +124,7 @@
     const weight = rendezvousWeight(spec.affinityHash, view.idHash);
     const isFull = views.length === SHORTLIST_LENGTH;
     if (isFull && weight <= (weights.at(-1) ?? 0)) continue;
-    if (!isUsable(state, spec, rules, view)) continue;
+    if (!isEligible(state, spec, rules, view)) continue;
     let at = views.length;
     while (at > 0 && weight > (weights[at - 1] ?? 0)) at -= 1;
     weights.splice(at, 0, weight);
@@ -125,13 +137,13 @@
 }
 
 /** The shortlist, and the server where the conversation's prefix was last seen. */
-function listFor(state: BoxState, spec: RequestSpec, rules: ServerRules): ServerView[] {
+function shortlistWithHolder(state: BoxState, spec: RequestSpec, rules: ServerRules): ServerView[] {
   const listed = shortlist(state, spec, rules);
-  const sight = state.prefixLocations.get(spec.affinityHash);
-  if (sight === undefined) return listed;
-  const holder = state.servers.get(sight.serverId);
+  const location = state.prefixLocations.get(spec.affinityHash);
+  if (location === undefined) return listed;
+  const holder = state.servers.get(location.serverId);
   if (holder !== undefined && listed.includes(holder)) return listed;
-  if (holder !== undefined && isUsable(state, spec, rules, holder)) {
+  if (holder !== undefined && isEligible(state, spec, rules, holder)) {
     return [...listed, holder];
   }
   // A prefix out of reach is none: without this no engine would be credited, and the
@@ -141,12 +153,12 @@
 }
 
 /** A request that names a version goes only to engines that report it. */
-function versionFits(view: ServerView, version: string): boolean {
+function versionMatches(view: ServerView, version: string): boolean {
   if (version === '') return true;
   return (view.report?.version ?? view.spec.version) === version;
 }
 
-function pick(
+function selectByPolicy(
   state: BoxState,
   record: RequestRecord,
   listed: readonly ServerView[],
@@ -155,9 +167,9 @@
 ): ServerView | undefined {
   switch (state.settings.policy.routing) {
     case RoutingPolicy.affinity:
-      return cheapest(state, record, listed, candidates, nowMs);
+      return cheapestServer(state, record, listed, candidates, nowMs);
     case RoutingPolicy.roundRobin:
-      return inTurn(state, candidates);
+      return nextInTurn(state, candidates);
     case RoutingPolicy.leastRequests:
       return leastLoaded(candidates, nowMs);
     case RoutingPolicy.stickyHash:
@@ -165,13 +177,16 @@
   }
 }
 
-function inTurn(state: BoxState, candidates: readonly ServerView[]): ServerView | undefined {
+function nextInTurn(state: BoxState, candidates: readonly ServerView[]): ServerView | undefined {
   state.roundRobinTurn += 1;
   return candidates[state.roundRobinTurn % candidates.length];
 }
 
 function leastLoaded(candidates: readonly ServerView[], nowMs: number): ServerView | undefined {
-  return lowest(candidates, (view) => view.openAttempts.size + (othersAt(view, nowMs) ?? 0));
+  return lowestCost(
+    candidates,
+    (view) => view.openAttempts.size + (otherBoxesLoad(view, nowMs) ?? 0),
+  );
 }
 
 /** The server with the highest rendezvous weight for a key. */
@@ -179,10 +194,10 @@
   affinityHash: number,
   servers: readonly ServerView[],
 ): ServerView | undefined {
-  return lowest(servers, (view) => -rendezvousWeight(affinityHash, view.idHash));
+  return lowestCost(servers, (view) => -rendezvousWeight(affinityHash, view.idHash));
 }
 
-function cheapest(
+function cheapestServer(
   state: BoxState,
   record: RequestRecord,
   listed: readonly ServerView[],
@@ -190,16 +205,16 @@
   nowMs: number,
 ): ServerView | undefined {
   if (record.spec.kind === ServerKind.service) {
-    return lowest(candidates, (view) => serviceCost(state, view, nowMs));
+    return lowestCost(candidates, (view) => serviceCost(state, view, nowMs));
   }
   const [first] = listed;
   const costOf = (view: ServerView): number =>
     engineCost(state, record, view, view === first, nowMs);
-  const best = lowest(candidates, costOf);
+  const best = lowestCost(candidates, costOf);
   const bestCost = best === undefined ? Number.POSITIVE_INFINITY : costOf(best);
   const worthWaiting = listed.some(
     (view) =>
-      !hasRoom(state, record, view, nowMs) &&
+      !hasSpareCapacity(state, record, view, nowMs) &&
       costOf(view) + waitCost(state, record, view, nowMs) < bestCost,
   );
   return worthWaiting ? undefined : best;
@@ -220,9 +235,10 @@
 }
 
 function serviceCost(state: BoxState, view: ServerView, nowMs: number): number {
-  const load = view.openAttempts.size + (othersAt(view, nowMs) ?? 0);
-  const awayMs = view.spec.zone === state.settings.zone ? 0 : state.settings.policy.crossZoneMs * 2;
-  return load + awayMs;
+  const load = view.openAttempts.size + (otherBoxesLoad(view, nowMs) ?? 0);
+  const crossZoneMs =
+    view.spec.zone === state.settings.zone ? 0 : state.settings.policy.crossZoneMs * 2;
+  return load + crossZoneMs;
 }
 
 /** The expected cost of running a request at an engine, in the units of the settings' weights. */
@@ -237,7 +253,7 @@
   const { spec } = record;
   const cached = expectedCachedTokens(state, spec, view, isFirstRanked);
   const uncached = spec.promptTokens + record.ledger.tokens.length - cached;
-  const load = view.openAttempts.size + (othersAt(view, nowMs) ?? 0);
+  const load = view.openAttempts.size + (otherBoxesLoad(view, nowMs) ?? 0);
   const waitMs =
     (uncached + view.pendingPrefillTokens) / policy.prefillTokensPerMs +
     crowdingMs(load, view.spec.slots) +
@@ -252,7 +268,7 @@
   return CROWDING_WAIT_MS * share * share;
 }
 
-function lowest(
+function lowestCost(
   views: readonly ServerView[],
   costOf: (view: ServerView) => number,
 ): ServerView | undefined {
--- a/packages/reedlug-decisions/src/policy/windows.ts
+++ b/packages/reedlug-decisions/src/policy/windows.ts
@@ -13,10 +13,10 @@
 import { siteOfZone } from '../state.js';
 
 /** How long a report says something about the other boxes' load. */
-const REPORT_FRESH_MS = 2500;
+const REPORT_MAX_AGE_MS = 2500;
 
 /** Part of a window that a box may use at a server that is not hot and of which it has no report. */
-const UNHEARD_SHARE = 0.5;
+const NO_REPORT_SHARE = 0.5;
 
 /** CONCUR's constants: thresholds of cache use and hit share, step and cut. */
 const CACHE_USE_LOW = 0.2;
@@ -26,7 +26,7 @@
 const WINDOW_CUT = 0.5;
 
 /** Takes an engine's report into the view. */
-export function noteReport(
+export function recordReport(
   state: BoxState,
   view: ServerView,
   report: EngineReport,
@@ -49,41 +49,42 @@
 }
 
 /** Requests that other boxes have at a server, by its last fresh report. */
-export function othersAt(view: ServerView, nowMs: number): number | undefined {
-  if (view.report === undefined || nowMs - view.reportedAtMs > REPORT_FRESH_MS) return undefined;
+export function otherBoxesLoad(view: ServerView, nowMs: number): number | undefined {
+  if (view.report === undefined || nowMs - view.reportedAtMs > REPORT_MAX_AGE_MS) return undefined;
   return Math.max(0, view.report.running + view.report.waiting - view.openAttemptsAtReport);
 }
 
 /** How many more requests of a class this box may send to a server now. */
-export function roomAt(
+export function spareCapacity(
   state: BoxState,
   view: ServerView,
   requestClass: RequestClass,
   nowMs: number,
 ): number {
   const { policy } = state.settings;
-  const whole = windowOf(state, view) - reservedFor(view, requestClass, policy.urgentReservedSlots);
-  return limitAt(state, view, whole, nowMs) - view.openAttempts.size;
+  const window =
+    windowSize(state, view) - urgentReserve(view, requestClass, policy.urgentReservedSlots);
+  return windowShare(state, view, window, nowMs) - view.openAttempts.size;
 }
 
 /**
  * This box's part of a server's window: its exact share while the server is
  * hot, what a fresh report leaves otherwise, and part of the whole unheard.
  */
-function limitAt(state: BoxState, view: ServerView, whole: number, nowMs: number): number {
-  const share = exactShare(state, view, whole);
+function windowShare(state: BoxState, view: ServerView, window: number, nowMs: number): number {
+  const share = exactShare(state, view, window);
   if (nowMs < view.hotUntilMs) return share;
-  const others = othersAt(view, nowMs);
-  const free = others === undefined ? Math.floor(whole * UNHEARD_SHARE) : whole - others;
+  const others = otherBoxesLoad(view, nowMs);
+  const free = others === undefined ? Math.floor(window * NO_REPORT_SHARE) : window - others;
   return Math.max(share, free);
 }
 
 /** Shares of all boxes sum to the whole; the remainder goes to the first ranks. */
-function exactShare(state: BoxState, view: ServerView, whole: number): number {
+function exactShare(state: BoxState, view: ServerView, window: number): number {
   const sharing = state.sharingBoxes.get(view.spec.zone);
   const boxes = Math.max(1, sharing?.hashes.length ?? 1);
-  const base = Math.floor(whole / boxes);
-  return base + (shareRank(state, view, sharing) < whole % boxes ? 1 : 0);
+  const base = Math.floor(window / boxes);
+  return base + (shareRank(state, view, sharing) < window % boxes ? 1 : 0);
 }
 
 /** Place of this box among those that share a server, by rendezvous; 0 is the first. */
@@ -91,12 +92,14 @@
   if (sharing === undefined) return 0;
   if (view.cachedShareRank.version === sharing.version) return view.cachedShareRank.shareRank;
   const weight = rendezvousWeight(view.idHash, hashString(state.settings.boxId));
-  const before = sharing.hashes.filter((hash) => rendezvousWeight(view.idHash, hash) > weight);
-  view.cachedShareRank = { version: sharing.version, shareRank: before.length };
-  return before.length;
+  const higherRanked = sharing.hashes.filter(
+    (hash) => rendezvousWeight(view.idHash, hash) > weight,
+  );
+  view.cachedShareRank = { version: sharing.version, shareRank: higherRanked.length };
+  return higherRanked.length;
 }
 
-function windowOf(state: BoxState, view: ServerView): number {
+function windowSize(state: BoxState, view: ServerView): number {
   const { policy } = state.settings;
   if (view.spec.kind === ServerKind.service) return view.spec.slots;
   const slots =
@@ -104,13 +107,13 @@
   return slots + policy.engineQueueAllowance;
 }
 
-function reservedFor(view: ServerView, requestClass: RequestClass, reserved: number): number {
+function urgentReserve(view: ServerView, requestClass: RequestClass, reserved: number): number {
   if (requestClass === RequestClass.urgent || view.spec.kind === ServerKind.service) return 0;
   return Math.min(reserved, Math.floor(view.spec.slots / 2));
 }
 
 /** Notes which boxes share each zone's servers; their places are worked out when needed. */
-export function updateSharing(state: BoxState): void {
+export function updateSharingBoxes(state: BoxState): void {
   for (const { name } of state.settings.zones) {
     const ids = sharingBoxIds(state, name);
     const idsKey = ids.join(' ');
--- a/packages/reedlug-decisions/src/reduce.ts
+++ b/packages/reedlug-decisions/src/reduce.ts
@@ -8,7 +8,7 @@
 import type { PeerMessage } from './types/peer.js';
 import type { BoxState, Step } from './state.js';
 import { onConfirmAnswered, onOperatorAsked } from './plans/confirm.js';
-import { onCacheChanged, onCacheNews } from './policy/cacheView.js';
+import { onCacheChanged, onCacheUpdates } from './policy/cacheView.js';
 import { onRequestArrived } from './slices/admission.js';
 import { onAttemptLost, onAttemptRefused } from './slices/failedAttempts.js';
 import { onServiceAnswered } from './slices/serviceAttempts.js';
@@ -147,7 +147,7 @@
     case 'serverNews':
       return onServerNews(state, step, from, message.news);
     case 'cacheNews':
-      return onCacheNews(state, message.news);
+      return onCacheUpdates(state, message.news);
     case 'configDeltas':
       return onConfigDeltas(state, step, message);
     case 'configAsk':
--- a/packages/reedlug-decisions/src/slices/peerLinks.ts
+++ b/packages/reedlug-decisions/src/slices/peerLinks.ts
@@ -9,7 +9,7 @@
 import type { PeerMessage } from '../types/peer.js';
 import type { BoxState, Step } from '../state.js';
 import { siteOfZone } from '../state.js';
-import { updateSharing } from '../policy/windows.js';
+import { updateSharingBoxes } from '../policy/windows.js';
 import { demandsOf, updateShares } from './limits.js';
 import { poolLoads } from './probes.js';
 import { foreignServerIds, newsOf } from './servers.js';
@@ -71,7 +71,7 @@
   }
   updateShares(state, step.nowMs);
   noteSelf(state, step.nowMs);
-  updateSharing(state);
+  updateSharingBoxes(state);
   measureDrain(state, state.settings.control.heartbeatMs);
   tellCacheNews(state, step);
   sendToPeers(state, step, heartbeat(state));
--- a/packages/reedlug-decisions/src/slices/reclaim.ts
+++ b/packages/reedlug-decisions/src/slices/reclaim.ts
@@ -11,7 +11,7 @@
 import type { Attempt, RequestPhase, RequestRecord } from '../types/request.js';
 import { ServerKind } from '../types/settings.js';
 import type { BoxState, ServerView, Step } from '../state.js';
-import { noteCached } from '../policy/cacheView.js';
+import { recordPrefixLocation } from '../policy/cacheView.js';
 import { firstRanked } from '../policy/routing.js';
 import { cancelAttempt, closeAttempt, isStream, openAttempt } from './openAttempts.js';
 import { requeue, retryOrGiveUp } from './retries.js';
@@ -240,5 +240,5 @@
 export function onCacheMoved(state: BoxState, event: EventOf<'cacheMoved'>): void {
   const member = serverMember(state, event.serverId);
   if (member?.state === MemberState.dead) return;
-  noteCached(state, event.affinityHash, event.serverId, event.tokens);
+  recordPrefixLocation(state, event.affinityHash, event.serverId, event.tokens);
 }
--- a/packages/reedlug-decisions/src/slices/servers.ts
+++ b/packages/reedlug-decisions/src/slices/servers.ts
@@ -27,7 +27,7 @@
 import { dispatchPool } from './dispatch.js';
 import { loseAttemptsAt } from './failedAttempts.js';
 import { noteStarted } from './placement.js';
-import { noteReport } from '../policy/windows.js';
+import { recordReport } from '../policy/windows.js';
 
 /** How long news that a server is hot are believed, in ms. */
 export const HOT_FOR_MS = 6000;
@@ -327,7 +327,7 @@
 ): void {
   const member = serverMember(state, view.spec.id);
   if (member !== undefined && report.incarnation < member.incarnation) return;
-  noteReport(state, view, report, step.nowMs);
+  recordReport(state, view, report, step.nowMs);
   const { incarnation } = report;
   const heard = { kind: 'heard', incarnation, zone: view.spec.zone } as const;
   noteServer(state, step, view.spec.id, heard, true);
--- a/packages/reedlug-decisions/src/slices/streamAttempts.ts
+++ b/packages/reedlug-decisions/src/slices/streamAttempts.ts
@@ -1,7 +1,7 @@
 /** Attempts at engines: tokens and ends. Words of an older attempt are dropped. */
 import { acceptEnd, acceptTokens, Outcome, Reach } from 'reedlug-coordination';
 import { rulesFor } from '../plans/rules.js';
-import { noteCacheHit, noteOwnCached } from '../policy/cacheView.js';
+import { recordCacheHit, recordOwnPrefixLocation } from '../policy/cacheView.js';
 import { shortlist } from '../policy/routing.js';
 import type { BoxState, Step } from '../state.js';
 import type { EventOf } from '../types/event.js';
@@ -138,9 +138,13 @@
   if (view === undefined) return;
   const { spec } = record;
   const hadSight = state.prefixLocations.get(spec.affinityHash)?.serverId === attempt.serverId;
-  noteCacheHit(state, { spec, view, cachedTokens, hadSight });
+  recordCacheHit(state, { spec, view, cachedTokens, hadLocation: hadSight });
   const held = spec.promptTokens + record.ledger.tokens.length;
   const [first] = shortlist(state, spec, rulesFor(state, spec));
   const { affinityHash } = spec;
-  noteOwnCached(state, { affinityHash, serverId: attempt.serverId, tokens: held }, first?.spec.id);
+  recordOwnPrefixLocation(
+    state,
+    { affinityHash, serverId: attempt.serverId, tokens: held },
+    first?.spec.id,
+  );
 }
