--- a/packages/reedlug-decisions/src/plans/confirm.ts
+++ b/packages/reedlug-decisions/src/plans/confirm.ts
@@ -12,7 +12,7 @@
 import type { OperatorAnswer, OperatorRequest, Plan } from '../types/plan.js';
 import type { BoxState, ConfirmStep, PendingConfirm, Step } from '../state.js';
 import { nextId } from '../state.js';
-import { configLogKey, notePlan, takeDeltas, type ConfigLogValue } from '../slices/config.js';
+import { configLogKey, recordPlan, acceptDeltas, type ConfigLogValue } from '../slices/config.js';
 import { confirmedPlan, digestFits, draftPlan, draftUndo } from './draft.js';
 
 /** Revisions tried before the operator is asked to confirm again. */
@@ -184,8 +184,8 @@
 
 function inForceHere(state: BoxState, step: Step, value: ConfigLogValue): void {
   state.configSourceSeen = true;
-  notePlan(state, value.plan);
-  takeDeltas(state, step, [value.delta], true);
+  recordPlan(state, value.plan);
+  acceptDeltas(state, step, [value.delta], true);
 }
 
 function awaitZones(state: BoxState, step: Step, askId: string, revision: number): void {
--- a/packages/reedlug-decisions/src/policy/routing.ts
+++ b/packages/reedlug-decisions/src/policy/routing.ts
@@ -10,7 +10,7 @@
 import { RequestClass, RoutingPolicy, ServerKind } from '../types/settings.js';
 import type { BoxState, ServerView } from '../state.js';
 import { nextRandom, poolSiteKey, siteOfZone } from '../state.js';
-import { serverTakesWork } from '../slices/servers.js';
+import { serverAcceptsRequests } from '../slices/servers.js';
 import { rulesFor, serverAllowed, type ServerRules } from '../plans/rules.js';
 import { expectedCachedTokens } from './cacheView.js';
 import { otherBoxesLoad, spareCapacity } from './windows.js';
@@ -108,7 +108,7 @@
   view: ServerView,
 ): boolean {
   if (view.spec.kind !== spec.kind) return false;
-  if (!serverTakesWork(state, view) || !versionMatches(view, spec.version)) return false;
+  if (!serverAcceptsRequests(state, view) || !versionMatches(view, spec.version)) return false;
   return serverAllowed(state, view, rules);
 }
 
--- a/packages/reedlug-decisions/src/reduce.ts
+++ b/packages/reedlug-decisions/src/reduce.ts
@@ -16,13 +16,19 @@
 import { onClaimsAnswered, onOutcomesAnswered, sendOutcomes } from './slices/claimWrites.js';
 import {
   configTick,
-  notePeerRevision,
+  recordPeerRevision,
   onConfigAsk,
   onConfigDeltas,
   onConfigScanned,
   onConfigSnapshot,
 } from './slices/config.js';
-import { onClaimReread, onFollowAsked, onLookup, onNotHere, onSight } from './slices/following.js';
+import {
+  onClaimReread,
+  onFollowAsked,
+  onLookup,
+  onNotHere,
+  onRequestSnapshot,
+} from './slices/following.js';
 import {
   drainTick,
   onBoxReclaimNoticed,
@@ -36,10 +42,10 @@
 import { onCacheMoved, onKvExported } from './slices/reclaim.js';
 import { forgetSettled } from './slices/requests.js';
 import {
-  listConfiguredServers,
+  registerConfiguredServers,
   onBoxListRead,
   onReclaimNoticed,
-  onServerNews,
+  onServerUpdates,
   onServerReported,
 } from './slices/servers.js';
 import { probeServers } from './slices/probes.js';
@@ -105,7 +111,7 @@
 }
 
 function onTick(state: BoxState, step: Step, event: EventOf<'tick'>): void {
-  if (state.servers.size === 0) listConfiguredServers(state, step.nowMs);
+  if (state.servers.size === 0) registerConfiguredServers(state, step.nowMs);
   state.epochMs = event.epochMs;
   peersTick(state, step);
   probeServers(state, step);
@@ -143,9 +149,9 @@
   switch (message.kind) {
     case 'heartbeat':
       onHeartbeat(state, step, from, message);
-      return notePeerRevision(state, message.revision);
+      return recordPeerRevision(state, message.revision);
     case 'serverNews':
-      return onServerNews(state, step, from, message.news);
+      return onServerUpdates(state, step, from, message.news);
     case 'cacheNews':
       return onCacheUpdates(state, message.news);
     case 'configDeltas':
@@ -157,7 +163,7 @@
     case 'lookup':
       return onLookup(state, step, from, message);
     case 'sight':
-      return onSight(state, step, from, message.sight);
+      return onRequestSnapshot(state, step, from, message.sight);
     case 'notHere':
       return onNotHere(state, step, from, message.requestId);
     case 'handover':
--- a/packages/reedlug-decisions/src/slices/admission.ts
+++ b/packages/reedlug-decisions/src/slices/admission.ts
@@ -9,12 +9,12 @@
 import { Reason, type RequestRecord, type RequestSpec } from '../types/request.js';
 import { RequestClass, ServerKind } from '../types/settings.js';
 import type { BoxState, Step } from '../state.js';
-import { takeFromLimit, workspaceView } from './limits.js';
-import { claim } from './claimWrites.js';
+import { consumeLimit, workspaceView } from './limits.js';
+import { requestClaim } from './claimWrites.js';
 import { dispatchPool } from './dispatch.js';
 import { enterQueue, queueFor, queuesOf } from './queues.js';
 import { addRecord, createRecord, GENERATED_TOKEN_COST, refuse } from './requests.js';
-import { serverTakesWork } from './servers.js';
+import { serverAcceptsRequests } from './servers.js';
 import { priorityOf } from '../plans/rules.js';
 import { isReady } from './readiness.js';
 
@@ -43,7 +43,7 @@
   }
   const record = createRecord(spec, step.nowMs);
   addRecord(state, record);
-  if (needsClaim(spec) && !state.mutations.has('skipClaim')) claim(state, step, record, 0);
+  if (needsClaim(spec) && !state.mutations.has('skipClaim')) requestClaim(state, step, record, 0);
   else admit(state, step, record);
 }
 
@@ -77,9 +77,9 @@
   }
   const view = workspaceView(state, spec.workspaceId);
   if (view === undefined) return { reason: Reason.notFound, retryAfterMs: DEFAULT_RETRY_MS };
-  const passesInMs = takeFromLimit(view, nowMs);
-  if (passesInMs > 0) {
-    return { reason: Reason.limited, retryAfterMs: Math.ceil(Math.max(MIN_RETRY_MS, passesInMs)) };
+  const retryInMs = consumeLimit(view, nowMs);
+  if (retryInMs > 0) {
+    return { reason: Reason.limited, retryAfterMs: Math.ceil(Math.max(MIN_RETRY_MS, retryInMs)) };
   }
   const queues = queuesOf(state, spec.pool);
   const queued =
@@ -109,7 +109,7 @@
 export function expectedWaitMs(state: BoxState, spec: RequestSpec): number {
   if (spec.kind === ServerKind.service) return 0;
   const queues = queuesOf(state, spec.pool);
-  const ahead = queueFor(queues, spec.requestClass).costSum + urgentAhead(queues, spec);
+  const ahead = queueFor(queues, spec.requestClass).costSum + urgentCostAhead(queues, spec);
   if (ahead === 0) return 0;
   const speed = queues.drainPerMs > 0 ? queues.drainPerMs : poolCostPerMs(state, spec.pool);
   return speed === 0 ? DEFAULT_RETRY_MS : Math.ceil(ahead / speed);
@@ -129,7 +129,7 @@
   return measuredMs > 0 ? measuredMs : state.settings.policy.interTokenMs;
 }
 
-function urgentAhead(queues: { urgent: { costSum: number } }, spec: RequestSpec): number {
+function urgentCostAhead(queues: { urgent: { costSum: number } }, spec: RequestSpec): number {
   return spec.requestClass === RequestClass.patient ? queues.urgent.costSum : 0;
 }
 
@@ -138,7 +138,7 @@
   const { policy, boxes } = state.settings;
   let slots = 0;
   for (const view of state.serversByPool.get(pool) ?? []) {
-    if (serverTakesWork(state, view)) slots += view.spec.slots;
+    if (serverAcceptsRequests(state, view)) slots += view.spec.slots;
   }
   return (slots * GENERATED_TOKEN_COST) / policy.interTokenMs / Math.max(1, boxes.length);
 }
--- a/packages/reedlug-decisions/src/slices/claimWrites.ts
+++ b/packages/reedlug-decisions/src/slices/claimWrites.ts
@@ -30,10 +30,10 @@
 /** Wait before outcome writes are tried again after a failure, in ms. */
 const OUTCOME_RETRY_MS = 1000;
 /** Outcomes written in one operation. */
-const OUTCOME_GROUP = 25;
+const OUTCOME_GROUP_SIZE = 25;
 
 /** Asks for a request's claim; `expectVersion` above 0 takes over a row whose outcome is `notRun`. */
-export function claim(
+export function requestClaim(
   state: BoxState,
   step: Step,
   record: RequestRecord,
@@ -41,14 +41,14 @@
 ): void {
   record.phase = { kind: 'claiming', sinceMs: step.nowMs };
   state.pendingClaims.push({
-    key: keyOf(record),
+    key: claimKey(record),
     expectVersion,
     value: claimValue(state, record, undefined, nextId(state, 'claim')),
   });
   sendClaims(state, step);
 }
 
-function keyOf(record: RequestRecord): string {
+function claimKey(record: RequestRecord): string {
   return claimRowKey(record.spec.workspaceId, record.spec.idempotencyKey ?? '');
 }
 
@@ -71,27 +71,27 @@
 
 function sendClaims(state: BoxState, step: Step): void {
   if (state.claimGroupInFlight || state.pendingClaims.length === 0) return;
-  const claims = takeGroup(state);
+  const claims = nextClaimGroup(state);
   const { group, op } = startClaimGroup(claims);
   state.claimGroupInFlight = true;
-  askTable(state, step, group, op);
+  sendClaimGroup(state, step, group, op);
 }
 
 /** Takes the next group; two claims on one key never share a group. */
-function takeGroup(state: BoxState): PendingClaim[] {
+function nextClaimGroup(state: BoxState): PendingClaim[] {
   const group: PendingClaim[] = [];
-  const rest: PendingClaim[] = [];
+  const remaining: PendingClaim[] = [];
   const keys = new Set<string>();
   for (const pending of state.pendingClaims) {
     const fits = group.length < state.settings.control.claimGroupSize && !keys.has(pending.key);
-    (fits ? group : rest).push(pending);
+    (fits ? group : remaining).push(pending);
     if (fits) keys.add(pending.key);
   }
-  state.pendingClaims = rest;
+  state.pendingClaims = remaining;
   return group;
 }
 
-function askTable(state: BoxState, step: Step, group: ClaimGroup, op: TableOp): void {
+function sendClaimGroup(state: BoxState, step: Step, group: ClaimGroup, op: TableOp): void {
   const opId = nextId(state, 'op');
   state.tableOps.set(opId, { kind: 'claims', group });
   step.effects.push({ type: 'requestTable', opId, op });
@@ -107,7 +107,7 @@
   const { verdicts, next } = stepClaimGroup(group, answer);
   for (const verdict of verdicts) onVerdict(state, step, verdict, group);
   if (next !== undefined) {
-    askTable(state, step, next.group, next.op);
+    sendClaimGroup(state, step, next.group, next.op);
     return;
   }
   state.claimGroupInFlight = false;
@@ -130,13 +130,13 @@
       admit(state, step, record);
       return;
     case 'taken':
-      onTaken(state, step, record, verdict);
+      onClaimTaken(state, step, record, verdict);
       return;
     case 'digestDiffers':
       giveUp(state, step, record, Reason.keyReused);
       return;
     case 'unavailable':
-      withoutTable(state, step, record);
+      continueWithoutTable(state, step, record);
       return;
   }
 }
@@ -148,7 +148,7 @@
 }
 
 /** A key that is taken: take over what did not run, else follow the holder's request. */
-function onTaken(
+function onClaimTaken(
   state: BoxState,
   step: Step,
   record: RequestRecord,
@@ -156,7 +156,7 @@
 ): void {
   const { by } = verdict;
   if (by.outcome === Outcome.notRun) {
-    claim(state, step, record, verdict.version);
+    requestClaim(state, step, record, verdict.version);
     return;
   }
   startFollowing(state, step, record, {
@@ -168,7 +168,7 @@
 }
 
 /** Without the table a keyed request runs only where the service removes duplicates itself. */
-function withoutTable(state: BoxState, step: Step, record: RequestRecord): void {
+function continueWithoutTable(state: BoxState, step: Step, record: RequestRecord): void {
   const { pool } = record.spec;
   const service = state.config.items.get(`service/${pool}`)?.value as
     { deduplicates: boolean } | undefined;
@@ -187,7 +187,7 @@
   const waitedMs = step.nowMs - sinceMs;
   const late = step.nowMs >= record.spec.deadlineAtMs;
   if (waitedMs < state.settings.control.claimTimeoutMs && !late) return;
-  withoutTable(state, step, record);
+  continueWithoutTable(state, step, record);
 }
 
 /** Queues the outcome of a claimed request for the table. */
@@ -200,7 +200,7 @@
 export function sendOutcomes(state: BoxState, step: Step): void {
   if (state.outcomesInFlight || state.pendingOutcomes.length === 0) return;
   if (step.nowMs < state.outcomesNotBeforeMs) return;
-  const requestIds = state.pendingOutcomes.splice(0, OUTCOME_GROUP);
+  const requestIds = state.pendingOutcomes.splice(0, OUTCOME_GROUP_SIZE);
   const writes = requestIds.flatMap((requestId) => outcomeWrite(state, requestId));
   if (writes.length === 0) return;
   state.outcomesInFlight = true;
@@ -214,7 +214,7 @@
   const settled = record === undefined ? undefined : phaseOf(record, 'settled');
   if (record === undefined || settled === undefined) return [];
   const value = claimValue(state, record, settled.outcome, nextId(state, 'outcome'));
-  return [{ key: keyOf(record), expectVersion: record.claimVersion, value }];
+  return [{ key: claimKey(record), expectVersion: record.claimVersion, value }];
 }
 
 /**
@@ -230,16 +230,16 @@
 ): void {
   state.outcomesInFlight = false;
   if (answer.kind !== 'done') {
-    const again = openAfter(state, requestIds, answer);
-    state.pendingOutcomes.unshift(...again);
-    const troubled = answer.kind === 'unknown' || answer.reason === 'throttled';
-    if (troubled) state.outcomesNotBeforeMs = step.nowMs + OUTCOME_RETRY_MS;
-    log(step, 'outcomesDelayed', { count: again.length, answer: answer.kind });
+    const retried = outcomesToRetry(state, requestIds, answer);
+    state.pendingOutcomes.unshift(...retried);
+    const backsOff = answer.kind === 'unknown' || answer.reason === 'throttled';
+    if (backsOff) state.outcomesNotBeforeMs = step.nowMs + OUTCOME_RETRY_MS;
+    log(step, 'outcomesDelayed', { count: retried.length, answer: answer.kind });
   }
   sendOutcomes(state, step);
 }
 
-function openAfter(
+function outcomesToRetry(
   state: BoxState,
   requestIds: readonly string[],
   answer: Exclude<TableAnswer, { kind: 'done' }>,
@@ -248,7 +248,7 @@
   const conflicting = new Set(answer.rows.map((row) => row.key));
   return requestIds.filter((requestId) => {
     const record = state.requests.get(requestId);
-    return record !== undefined && !conflicting.has(keyOf(record));
+    return record !== undefined && !conflicting.has(claimKey(record));
   });
 }
 
--- a/packages/reedlug-decisions/src/slices/config.ts
+++ b/packages/reedlug-decisions/src/slices/config.ts
@@ -20,18 +20,18 @@
 import { moveWatchTick } from '../plans/moveWatch.js';
 import { log } from './log.js';
 import { sendToZone } from './peerLinks.js';
-import { noteCaughtUp } from './readiness.js';
+import { updateCaughtUp } from './readiness.js';
 
 /** Key prefix of the revision log in the table. */
 export const CONFIG_LOG_PREFIX = 'config/log/';
 /** Digits of a revision in its key, so that keys sort as numbers do. */
 const REVISION_DIGITS = 12;
 /** Deltas read or pushed at once. */
-const DELTA_LIMIT = 64;
+const MAX_DELTAS_PER_BATCH = 64;
 /** Boxes a zone that poll the table. */
 const READERS_PER_ZONE = 2;
 /** Confirmed plans kept for `plans` and `undo`. */
-const PLAN_LIMIT = 200;
+const MAX_KEPT_PLANS = 200;
 
 /** The value of a log row: a delta and what is needed to name and undo its plan. */
 export interface ConfigLogValue {
@@ -48,7 +48,7 @@
 export function configTick(state: BoxState, step: Step): void {
   confirmWaitsTick(state, step);
   moveWatchTick(state, step);
-  askWhenBehind(state, step);
+  requestMissingDeltas(state, step);
   if (step.nowMs < state.nextConfigPollAtMs || state.configScanInFlight) return;
   state.nextConfigPollAtMs = step.nowMs + state.settings.control.configPollMs;
   if (isReader(state)) scanLog(state, step);
@@ -67,7 +67,12 @@
   state.configScanInFlight = true;
   state.tableOps.set(opId, { kind: 'configScan' });
   const afterKey = configLogKey(state.config.revision);
-  const op = { kind: 'scan', prefix: CONFIG_LOG_PREFIX, afterKey, limit: DELTA_LIMIT } as const;
+  const op = {
+    kind: 'scan',
+    prefix: CONFIG_LOG_PREFIX,
+    afterKey,
+    limit: MAX_DELTAS_PER_BATCH,
+  } as const;
   step.effects.push({ type: 'requestTable', opId, op });
 }
 
@@ -77,35 +82,35 @@
   if (answer.kind !== 'done') return;
   state.configSourceSeen = true;
   const values = answer.rows.map((row) => row.value as ConfigLogValue);
-  for (const value of values) notePlan(state, value.plan);
-  takeDeltas(
+  for (const value of values) recordPlan(state, value.plan);
+  acceptDeltas(
     state,
     step,
     values.map((value) => value.delta),
     true,
   );
-  noteCaughtUp(state);
-  if (answer.rows.length === DELTA_LIMIT) scanLog(state, step);
+  updateCaughtUp(state);
+  if (answer.rows.length === MAX_DELTAS_PER_BATCH) scanLog(state, step);
   snapshotWhenDue(state, step);
 }
 
 /** Remembers a confirmed plan. */
-export function notePlan(state: BoxState, plan: ConfirmedPlan): void {
+export function recordPlan(state: BoxState, plan: ConfirmedPlan): void {
   if (state.confirmedPlans.some((known) => known.planId === plan.planId)) return;
   state.confirmedPlans.push(plan);
-  if (state.confirmedPlans.length > PLAN_LIMIT) state.confirmedPlans.shift();
+  if (state.confirmedPlans.length > MAX_KEPT_PLANS) state.confirmedPlans.shift();
 }
 
 /** Applies deltas and pushes to the peers what was new here. */
-export function takeDeltas(
+export function acceptDeltas(
   state: BoxState,
   step: Step,
   deltas: readonly ConfigDelta[],
   push: boolean,
 ): void {
   const applied = applyDeltas(state.config, deltas);
-  if (state.mutations.has('applyOlderRevision')) applyOldest(state, deltas);
-  noteCaughtUp(state);
+  if (state.mutations.has('applyOlderRevision')) applyOlderDelta(state, deltas);
+  updateCaughtUp(state);
   if (applied.length === 0) return;
   log(step, 'configApplied', { revision: state.config.revision, deltas: applied.length });
   if (push) sendToZone(state, step, deltasMessage(state, applied));
@@ -118,9 +123,9 @@
 }
 
 /** The fault that the checker must find: a late delta is applied whatever its revision. */
-function applyOldest(state: BoxState, deltas: readonly ConfigDelta[]): void {
-  const oldest = deltas.find((delta) => delta.revision < state.config.revision);
-  if (oldest !== undefined) state.config.revision = oldest.revision;
+function applyOlderDelta(state: BoxState, deltas: readonly ConfigDelta[]): void {
+  const older = deltas.find((delta) => delta.revision < state.config.revision);
+  if (older !== undefined) state.config.revision = older.revision;
 }
 
 /** Takes deltas that a peer pushed. */
@@ -130,19 +135,19 @@
   message: Extract<PeerMessage, { kind: 'configDeltas' }>,
 ): void {
   state.configSourceSeen = true;
-  for (const plan of message.plans) notePlan(state, plan);
-  takeDeltas(state, step, message.deltas, false);
+  for (const plan of message.plans) recordPlan(state, plan);
+  acceptDeltas(state, step, message.deltas, false);
 }
 
 /** Notes a peer's revision; a peer that is reachable makes a source. */
-export function notePeerRevision(state: BoxState, revision: number): void {
+export function recordPeerRevision(state: BoxState, revision: number): void {
   state.configSourceSeen = true;
   state.config.highestHeard = Math.max(state.config.highestHeard, revision);
-  noteCaughtUp(state);
+  updateCaughtUp(state);
 }
 
 /** Asks a peer that is ahead, when this box is behind what it has heard. */
-function askWhenBehind(state: BoxState, step: Step): void {
+function requestMissingDeltas(state: BoxState, step: Step): void {
   if (state.config.revision >= state.config.highestHeard) return;
   if (step.nowMs < state.nextCatchUpAtMs) return;
   state.nextCatchUpAtMs = step.nowMs + state.settings.control.configPollMs / 4;
@@ -161,7 +166,7 @@
   from: string,
   afterRevision: number,
 ): void {
-  const deltas = deltasAfter(state.config, afterRevision, DELTA_LIMIT);
+  const deltas = deltasAfter(state.config, afterRevision, MAX_DELTAS_PER_BATCH);
   const message: PeerMessage =
     deltas === undefined
       ? { kind: 'configSnapshot', snapshot: takeSnapshot(state.config) }
@@ -179,7 +184,7 @@
   state.configSourceSeen = true;
   if (!applySnapshot(state.config, snapshot)) return;
   state.lastSnapshotRevision = Math.max(state.lastSnapshotRevision, snapshot.revision);
-  noteCaughtUp(state);
+  updateCaughtUp(state);
   log(step, 'configSnapshotApplied', { revision: snapshot.revision });
 }
 
--- a/packages/reedlug-decisions/src/slices/dispatch.ts
+++ b/packages/reedlug-decisions/src/slices/dispatch.ts
@@ -18,9 +18,9 @@
 
 /** Urgent goes before patient; one in every few dispatches is a patient one that waits. */
 function dispatchNext(state: BoxState, step: Step, queues: PoolQueues): boolean {
-  const patientTurn =
+  const isPatientTurn =
     queues.patient.size > 0 && queues.urgentStreak >= state.settings.policy.patientFloorEvery;
-  if (patientTurn && dispatchFrom(state, step, queues.patient)) {
+  if (isPatientTurn && dispatchFrom(state, step, queues.patient)) {
     queues.urgentStreak = 0;
     return true;
   }
@@ -37,7 +37,7 @@
   let chosen: ServerView | undefined;
   const entry = takeFair(queue, (candidate) => {
     const record = state.requests.get(candidate.id);
-    if (record === undefined || !mayGoNow(state, record, step.nowMs)) return false;
+    if (record === undefined || !mayDispatch(state, record, step.nowMs)) return false;
     chosen = chooseServer(state, record, step.nowMs);
     return chosen !== undefined;
   });
@@ -49,7 +49,7 @@
 }
 
 /** A retry waits for its backoff, and for the budget to grant it. */
-function mayGoNow(state: BoxState, record: RequestRecord, nowMs: number): boolean {
+function mayDispatch(state: BoxState, record: RequestRecord, nowMs: number): boolean {
   if (record.phase.kind !== 'queued' || nowMs < record.phase.notBeforeMs) return false;
   if (!record.needsRetryBudget) return true;
   if (!takeRetry(state.retryBudget)) return false;
--- a/packages/reedlug-decisions/src/slices/failedAttempts.ts
+++ b/packages/reedlug-decisions/src/slices/failedAttempts.ts
@@ -11,7 +11,7 @@
 import { findAttempt, closeAttempt, cancelAttempt, openAttempt } from './openAttempts.js';
 import { isUnsettled } from './requests.js';
 import { retryOrGiveUp, requeue } from './retries.js';
-import { noteServer } from './servers.js';
+import { applyServerStatement } from './servers.js';
 
 /** Takes a server's refusal before running; the request may go elsewhere at once. */
 export function onAttemptRefused(
@@ -26,22 +26,22 @@
   closeAttempt(state, record, attempt);
   attempt.reach = Reach.refused;
   record.avoidedServers.add(attempt.serverId);
-  noteRefusal(state, step, attempt, event.reason);
+  applyRefusal(state, step, attempt, event.reason);
   if (!isUnsettled(record) || !wasOpen || record.phase.kind === 'handing') return;
   if (openAttempt(record) === undefined) requeue(state, step, record, true);
 }
 
-function noteRefusal(state: BoxState, step: Step, attempt: Attempt, reason: RefusalReason): void {
+function applyRefusal(state: BoxState, step: Step, attempt: Attempt, reason: RefusalReason): void {
   const { serverId, incarnation } = attempt;
   switch (reason) {
     case RefusalReason.leaving: {
       const source = MemberSource.direct;
       const leaving = { kind: 'leaving', incarnation, leavesAtMs: undefined, source } as const;
-      noteServer(state, step, serverId, leaving, true);
+      applyServerStatement(state, step, serverId, leaving, true);
       return;
     }
     case RefusalReason.notConnected:
-      noteServer(state, step, serverId, { kind: 'silent', incarnation }, true);
+      applyServerStatement(state, step, serverId, { kind: 'silent', incarnation }, true);
       return;
     case RefusalReason.full:
     case RefusalReason.wrongModel:
@@ -58,14 +58,14 @@
   closeAttempt(state, record, attempt);
   if (!event.reached && attempt.reach === Reach.maybe) attempt.reach = Reach.none;
   const { serverId, incarnation } = attempt;
-  noteServer(state, step, serverId, { kind: 'silent', incarnation }, true);
+  applyServerStatement(state, step, serverId, { kind: 'silent', incarnation }, true);
   if (!isUnsettled(record) || !wasOpen || record.phase.kind === 'handing') return;
   record.avoidedServers.add(serverId);
   if (openAttempt(record) === undefined) retryOrGiveUp(state, step, record);
 }
 
 /** Closes a request's lost attempts at a server that is gone, as if each connection had been lost. */
-export function loseAttemptsAt(state: BoxState, step: Step, view: ServerView): void {
+export function failAttemptsAt(state: BoxState, step: Step, view: ServerView): void {
   for (const attemptId of [...view.openAttempts]) {
     const found = findAttempt(state, attemptId);
     if (found === undefined) continue;
--- a/packages/reedlug-decisions/src/slices/following.ts
+++ b/packages/reedlug-decisions/src/slices/following.ts
@@ -24,13 +24,13 @@
 import type { BoxState, Step } from '../state.js';
 import { nextId } from '../state.js';
 import { admit } from './admission.js';
-import { deliver } from './streamAttempts.js';
-import { livePeers } from './peerLinks.js';
+import { deliverNewTokens } from './streamAttempts.js';
+import { livePeerIds } from './peerLinks.js';
 import { addRecord, createRecord, phaseOf, settle } from './requests.js';
 import { settleFromRow } from './claimWrites.js';
 
 /** Time between two questions to the holder, in ms. */
-const ASK_EVERY_MS = 100;
+const LOOKUP_INTERVAL_MS = 100;
 
 type FollowingPhase = Extract<RequestPhase, { kind: 'following' }>;
 
@@ -77,24 +77,24 @@
   record: RequestRecord,
   phase: FollowingPhase,
 ): void {
-  if (followsHere(state, step, record, phase)) return;
+  if (followLocally(state, step, record, phase)) return;
   if (step.nowMs >= phase.giveUpAtMs) {
-    loseHolder(state, step, record, phase);
+    onHolderLost(state, step, record, phase);
     return;
   }
   if (step.nowMs < phase.nextLookupAtMs) return;
-  phase.nextLookupAtMs = step.nowMs + ASK_EVERY_MS;
+  phase.nextLookupAtMs = step.nowMs + LOOKUP_INTERVAL_MS;
   const message: PeerMessage = {
     kind: 'lookup',
     requestId: phase.sourceRequestId,
     workspaceId: record.spec.workspaceId,
     fromOffset: record.ledger.tokens.length,
   };
-  const asked = phase.holderId === undefined ? livePeers(state) : [phase.holderId];
-  for (const boxId of asked) step.effects.push({ type: 'sendPeer', boxId, message });
+  const recipients = phase.holderId === undefined ? livePeerIds(state) : [phase.holderId];
+  for (const boxId of recipients) step.effects.push({ type: 'sendPeer', boxId, message });
 }
 
-function loseHolder(
+function onHolderLost(
   state: BoxState,
   step: Step,
   record: RequestRecord,
@@ -146,12 +146,12 @@
   if (record === undefined || phase === undefined) return;
   const row = answer.kind === 'done' ? answer.rows[0] : undefined;
   const value = row?.value as ClaimValue | undefined;
-  if (value?.outcome === undefined) loseHolder(state, step, record, phase);
+  if (value?.outcome === undefined) onHolderLost(state, step, record, phase);
   else settleFromRow(state, step, record, value.outcome, value.status);
 }
 
 /** Follows a request that this very box holds; says whether it does. */
-function followsHere(
+function followLocally(
   state: BoxState,
   step: Step,
   record: RequestRecord,
@@ -159,12 +159,12 @@
 ): boolean {
   const source = state.requests.get(phase.sourceRequestId);
   if (source === undefined || source.spec.workspaceId !== record.spec.workspaceId) return false;
-  takeSight(state, step, record, sightOf(source, record.ledger.tokens.length));
+  applyRequestSnapshot(state, step, record, requestSnapshot(source, record.ledger.tokens.length));
   return true;
 }
 
 /** What this box knows of a request, from an offset on. */
-function sightOf(source: RequestRecord, fromOffset: number): RequestSnapshot {
+function requestSnapshot(source: RequestRecord, fromOffset: number): RequestSnapshot {
   const settled = phaseOf(source, 'settled');
   return {
     requestId: source.spec.requestId,
@@ -193,18 +193,23 @@
     step.effects.push({ type: 'sendPeer', boxId: from, message: answer });
     return;
   }
-  const sight = sightOf(source, message.fromOffset);
+  const sight = requestSnapshot(source, message.fromOffset);
   step.effects.push({ type: 'sendPeer', boxId: from, message: { kind: 'sight', sight } });
 }
 
 /** Takes a peer's answer for every follower of that request. */
-export function onSight(state: BoxState, step: Step, from: string, sight: RequestSnapshot): void {
-  for (const record of followersOf(state, sight.requestId)) {
+export function onRequestSnapshot(
+  state: BoxState,
+  step: Step,
+  from: string,
+  snapshot: RequestSnapshot,
+): void {
+  for (const record of followersOf(state, snapshot.requestId)) {
     const phase = phaseOf(record, 'following');
-    if (phase === undefined || record.spec.workspaceId !== sight.workspaceId) continue;
+    if (phase === undefined || record.spec.workspaceId !== snapshot.workspaceId) continue;
     phase.holderId = from;
     phase.giveUpAtMs = step.nowMs + state.settings.control.lookupTimeoutMs;
-    takeSight(state, step, record, sight);
+    applyRequestSnapshot(state, step, record, snapshot);
   }
 }
 
@@ -212,7 +217,7 @@
 export function onNotHere(state: BoxState, step: Step, from: string, requestId: string): void {
   for (const record of followersOf(state, requestId)) {
     const phase = phaseOf(record, 'following');
-    if (phase?.holderId === from) loseHolder(state, step, record, phase);
+    if (phase?.holderId === from) onHolderLost(state, step, record, phase);
   }
 }
 
@@ -226,22 +231,23 @@
   return followers;
 }
 
-function takeSight(
+function applyRequestSnapshot(
   state: BoxState,
   step: Step,
   record: RequestRecord,
-  sight: RequestSnapshot,
+  snapshot: RequestSnapshot,
 ): void {
-  const held = record.ledger.tokens.length;
-  if (sight.fromOffset > held) return;
-  for (const token of sight.tokens.slice(held - sight.fromOffset)) record.ledger.tokens.push(token);
-  deliver(step, record);
-  if (sight.outcome === undefined) return;
+  const heldCount = record.ledger.tokens.length;
+  if (snapshot.fromOffset > heldCount) return;
+  for (const token of snapshot.tokens.slice(heldCount - snapshot.fromOffset))
+    record.ledger.tokens.push(token);
+  deliverNewTokens(step, record);
+  if (snapshot.outcome === undefined) return;
   settle(state, step, record, {
-    outcome: sight.outcome,
-    reason: sight.reason ?? Reason.answered,
-    status: sight.status,
-    answer: sight.answer,
+    outcome: snapshot.outcome,
+    reason: snapshot.reason ?? Reason.answered,
+    status: snapshot.status,
+    answer: snapshot.answer,
     attemptId: undefined,
   });
 }
--- a/packages/reedlug-decisions/src/slices/handover.ts
+++ b/packages/reedlug-decisions/src/slices/handover.ts
@@ -13,12 +13,12 @@
 import { admit } from './admission.js';
 import { cancelAll } from './openAttempts.js';
 import { log } from './log.js';
-import { livePeers } from './peerLinks.js';
+import { livePeerIds } from './peerLinks.js';
 import { addRecord, createRecord, giveUp, mayHaveReached, phaseOf, settle } from './requests.js';
 import { leaveQueue } from './queues.js';
 
 /** How long a peer may take to say that it has taken a request, in ms. */
-const TAKEN_WITHIN_MS = 300;
+const HANDOVER_ACK_TIMEOUT_MS = 300;
 /** Peers tried for a repeatable request. */
 const MAX_PEERS_TRIED = 3;
 
@@ -49,9 +49,9 @@
   if (draining.leavesAtMs !== undefined && step.nowMs >= draining.leavesAtMs - handoverMs) {
     handOverAll(state, step);
   }
-  const balancerHasMovedOn = step.nowMs >= draining.sinceMs + drainNotReadyMs;
+  const balancerHasReacted = step.nowMs >= draining.sinceMs + drainNotReadyMs;
   const idle = state.unsettled.size === 0 && state.pendingOutcomes.length === 0;
-  if (!balancerHasMovedOn || !idle || state.outcomesInFlight || state.stoppedReported) return;
+  if (!balancerHasReacted || !idle || state.outcomesInFlight || state.stoppedReported) return;
   state.stoppedReported = true;
   step.effects.push({ type: 'stopped' });
 }
@@ -79,7 +79,7 @@
 }
 
 function handOver(state: BoxState, step: Step, record: RequestRecord, tries: number): void {
-  const peers = livePeers(state);
+  const peers = livePeerIds(state);
   const toBoxId = peers[tries];
   if (toBoxId === undefined) return;
   leaveQueue(state, record);
@@ -98,16 +98,16 @@
 }
 
 /** Tries the next peer when one does not answer; only what is repeatable goes to a second one. */
-export function handingTick(
+export function handoverTick(
   state: BoxState,
   step: Step,
   record: RequestRecord,
   phase: Extract<RequestPhase, { kind: 'handing' }>,
 ): void {
-  if (step.nowMs - phase.sinceMs < TAKEN_WITHIN_MS) return;
+  if (step.nowMs - phase.sinceMs < HANDOVER_ACK_TIMEOUT_MS) return;
   if (record.spec.repeatable && phase.tries + 1 < MAX_PEERS_TRIED) {
     const tries = phase.tries + 1;
-    if (livePeers(state)[tries] !== undefined) {
+    if (livePeerIds(state)[tries] !== undefined) {
       handOver(state, step, record, tries);
       return;
     }
@@ -128,9 +128,9 @@
   message: Extract<PeerMessage, { kind: 'handover' }>,
 ): void {
   const { requestId } = message.spec;
-  const taken: PeerMessage = { kind: 'handoverTaken', requestId };
+  const acknowledgement: PeerMessage = { kind: 'handoverTaken', requestId };
   if (state.requests.has(requestId)) {
-    step.effects.push({ type: 'sendPeer', boxId: from, message: taken });
+    step.effects.push({ type: 'sendPeer', boxId: from, message: acknowledgement });
     return;
   }
   if (state.draining !== undefined) return;
@@ -142,7 +142,7 @@
   record.claimHeld = message.claimHeld;
   record.claimVersion = message.claimVersion;
   addRecord(state, record);
-  step.effects.push({ type: 'sendPeer', boxId: from, message: taken });
+  step.effects.push({ type: 'sendPeer', boxId: from, message: acknowledgement });
   admit(state, step, record);
 }
 
--- a/packages/reedlug-decisions/src/slices/limits.ts
+++ b/packages/reedlug-decisions/src/slices/limits.ts
@@ -19,7 +19,7 @@
 /** Weight of the newest interval in the smoothed demand. */
 const DEMAND_SMOOTHING = 0.3;
 /** Demand below which a workspace is left out of the heartbeats, in requests a second. */
-const QUIET_DEMAND = 0.05;
+const MIN_REPORTED_DEMAND = 0.05;
 /** Retry time told to a workspace whose share is zero, in ms. */
 const NO_SHARE_RETRY_MS = 1000;
 
@@ -52,7 +52,7 @@
 }
 
 /** Counts a request and takes it from the share; returns 0 or the ms until it would pass. */
-export function takeFromLimit(view: WorkspaceView, nowMs: number): number {
+export function consumeLimit(view: WorkspaceView, nowMs: number): number {
   view.asked += 1;
   if (view.sharePerSecond <= 0) return NO_SHARE_RETRY_MS;
   return takeTokens(view.bucket, 1, nowMs);
@@ -62,7 +62,7 @@
 export function demandsOf(state: BoxState): WorkspaceDemand[] {
   const demands: WorkspaceDemand[] = [];
   for (const [workspaceId, view] of state.workspaces) {
-    if (view.demandPerSecond < QUIET_DEMAND) continue;
+    if (view.demandPerSecond < MIN_REPORTED_DEMAND) continue;
     const requestsPerSecond = Math.round(view.demandPerSecond * 100) / 100;
     demands.push({ workspaceId, requestsPerSecond });
   }
@@ -72,14 +72,14 @@
 /** Smooths the demand of the last interval and splits every limit anew. */
 export function updateShares(state: BoxState, nowMs: number): void {
   const seconds = state.settings.control.heartbeatMs / 1000;
-  const frozen = someBoxIsSilent(state);
+  const growthFrozen = isAnyBoxSilent(state);
   for (const [workspaceId, view] of state.workspaces) {
     const rate = view.asked / seconds;
     view.asked = 0;
     view.demandPerSecond += DEMAND_SMOOTHING * (rate - view.demandPerSecond);
     view.limits = limitsOf(state, workspaceId) ?? view.limits;
     const computed = shareFor(state, workspaceId, view);
-    const share = frozen ? Math.min(view.sharePerSecond, computed) : computed;
+    const share = growthFrozen ? Math.min(view.sharePerSecond, computed) : computed;
     view.sharePerSecond = share;
     const burst = Math.max(1, (view.limits.burst * share) / view.limits.requestsPerSecond);
     setRate(view.bucket, Math.max(share, Number.EPSILON), burst, nowMs);
@@ -90,7 +90,7 @@
   const { boxId, boxes } = state.settings;
   const entries: DemandEntry[] = [];
   for (const box of boxes) {
-    if (box.id !== boxId && isGone(state, box.id)) continue;
+    if (box.id !== boxId && hasAnnouncedShutdown(state, box.id)) continue;
     const demandPerSecond =
       box.id === boxId ? view.demandPerSecond : peerDemand(state, box.id, workspaceId);
     entries.push({ boxId: box.id, demandPerSecond });
@@ -104,14 +104,14 @@
 }
 
 /** Only a box that said that it leaves is gone; a silent one may be on the other side of a cut. */
-function isGone(state: BoxState, boxId: string): boolean {
+function hasAnnouncedShutdown(state: BoxState, boxId: string): boolean {
   return state.boxMembers.members.get(boxId)?.leavingSinceMs !== undefined;
 }
 
-function someBoxIsSilent(state: BoxState): boolean {
+function isAnyBoxSilent(state: BoxState): boolean {
   const { boxId, boxes } = state.settings;
   return boxes.some((box) => {
-    if (box.id === boxId || isGone(state, box.id)) return false;
+    if (box.id === boxId || hasAnnouncedShutdown(state, box.id)) return false;
     const member = state.boxMembers.members.get(box.id);
     return member === undefined || member.state !== MemberState.live;
   });
--- a/packages/reedlug-decisions/src/slices/orders.ts
+++ b/packages/reedlug-decisions/src/slices/orders.ts
@@ -24,13 +24,13 @@
 /** Boxes of a site that try to hold the lease. */
 const LEASE_CANDIDATES = 2;
 /** Time between two looks at the lease, in ms. */
-const LEASE_LOOK_MS = 100;
+const LEASE_POLL_INTERVAL_MS = 100;
 /** An order that has not shown in a report is sent again after this long, in ms. */
-const ORDER_AGAIN_MS = 5000;
+const ORDER_RETRY_MS = 5000;
 
 /** Keeps the lease and sends what differs from the wanted states. */
 export function ordersTick(state: BoxState, step: Step): void {
-  leaseStep(state, step);
+  pollLease(state, step);
   for (const [name, item] of state.config.items) {
     if (!name.startsWith(WANTED_PREFIX)) continue;
     const view = state.servers.get(name.slice(WANTED_PREFIX.length));
@@ -38,9 +38,9 @@
   }
 }
 
-function leaseStep(state: BoxState, step: Step): void {
+function pollLease(state: BoxState, step: Step): void {
   if (step.nowMs < state.nextLeasePollAtMs) return;
-  state.nextLeasePollAtMs = step.nowMs + LEASE_LOOK_MS;
+  state.nextLeasePollAtMs = step.nowMs + LEASE_POLL_INTERVAL_MS;
   if (state.lease.held === undefined && !isCandidate(state)) return;
   if (state.mutations.has('reuseFence')) state.lease.highestFence = 0;
   const op = leaseTick(state.lease, step.nowMs);
@@ -87,13 +87,13 @@
   view: ServerView,
   wanted: DesiredEngineState,
 ): void {
-  if (view.report === undefined || fits(view.report, wanted)) return;
+  if (view.report === undefined || matchesReport(view.report, wanted)) return;
   const fence = fenceFor(state, step.nowMs, view.spec.checksFence);
   if (fence === undefined || mustWait(view, wanted)) return;
   const wantedKey = JSON.stringify(wanted);
   const sent = state.ordersSent.get(view.spec.id);
-  const isRepeat = sent?.wantedKey === wantedKey && step.nowMs - sent.atMs < ORDER_AGAIN_MS;
-  if (isRepeat || !weightsAllow(state, view.report, wanted, step.nowMs)) return;
+  const isRepeat = sent?.wantedKey === wantedKey && step.nowMs - sent.atMs < ORDER_RETRY_MS;
+  if (isRepeat || !weightLoadAllowed(state, view.report, wanted, step.nowMs)) return;
   const orderId = nextId(state, 'order');
   state.ordersSent.set(view.spec.id, { atMs: step.nowMs, wantedKey });
   step.effects.push({
@@ -106,7 +106,7 @@
   });
 }
 
-function fits(report: EngineReport, wanted: DesiredEngineState): boolean {
+function matchesReport(report: EngineReport, wanted: DesiredEngineState): boolean {
   return (
     report.model === wanted.model &&
     report.version === wanted.version &&
@@ -115,7 +115,7 @@
 }
 
 /** An order that loads weights waits for the store's rate; any other goes at once. */
-function weightsAllow(
+function weightLoadAllowed(
   state: BoxState,
   report: EngineReport,
   wanted: DesiredEngineState,
--- a/packages/reedlug-decisions/src/slices/peerLinks.ts
+++ b/packages/reedlug-decisions/src/slices/peerLinks.ts
@@ -12,12 +12,12 @@
 import { updateSharingBoxes } from '../policy/windows.js';
 import { demandsOf, updateShares } from './limits.js';
 import { poolLoads } from './probes.js';
-import { foreignServerIds, newsOf } from './servers.js';
+import { otherSiteServerIds, serverUpdateFor } from './servers.js';
 import { log } from './log.js';
 import { measureDrain } from './queues.js';
 
 /** Live boxes of each other site that a box keeps a heartbeat with. */
-const FOREIGN_SITE_PEERS = 2;
+const PEERS_PER_OTHER_SITE = 2;
 
 /** The other boxes of the settings. */
 export function otherBoxIds(state: BoxState): string[] {
@@ -27,7 +27,7 @@
 
 /** Sends a message to every peer that this box keeps a heartbeat with. */
 export function sendToPeers(state: BoxState, step: Step, message: PeerMessage): void {
-  for (const boxId of heartbeatPeers(state))
+  for (const boxId of heartbeatPeerIds(state))
     step.effects.push({ type: 'sendPeer', boxId, message });
 }
 
@@ -41,7 +41,7 @@
 }
 
 /** All boxes of the own site, and a few of each other one, so that traffic does not grow with the fleet. */
-export function heartbeatPeers(state: BoxState): string[] {
+export function heartbeatPeerIds(state: BoxState): string[] {
   const { settings } = state;
   const ownSite = siteOfZone(settings, settings.zone);
   const perSite = new Map<string, number>();
@@ -51,7 +51,7 @@
     if (box.id === settings.boxId) continue;
     const site = siteOfZone(settings, box.zone);
     const count = perSite.get(site) ?? 0;
-    if (site !== ownSite && count >= FOREIGN_SITE_PEERS) continue;
+    if (site !== ownSite && count >= PEERS_PER_OTHER_SITE) continue;
     perSite.set(site, count + 1);
     ids.push(box.id);
   }
@@ -70,37 +70,37 @@
     log(step, 'peerChanged', { box: member.id, state: member.state });
   }
   updateShares(state, step.nowMs);
-  noteSelf(state, step.nowMs);
+  recordSelf(state, step.nowMs);
   updateSharingBoxes(state);
   measureDrain(state, state.settings.control.heartbeatMs);
-  tellCacheNews(state, step);
-  sendToPeers(state, step, heartbeat(state));
+  sendCacheUpdates(state, step);
+  sendToPeers(state, step, heartbeatMessage(state));
 }
 
 /** Tells where prefixes are that peers would look for elsewhere. */
-function tellCacheNews(state: BoxState, step: Step): void {
+function sendCacheUpdates(state: BoxState, step: Step): void {
   if (state.pendingCacheUpdates.length === 0) return;
   const news = state.pendingCacheUpdates;
   state.pendingCacheUpdates = [];
   sendToPeers(state, step, { kind: 'cacheNews', news });
 }
 
-function noteSelf(state: BoxState, nowMs: number): void {
+function recordSelf(state: BoxState, nowMs: number): void {
   const { boxId, incarnation, zone } = state.settings;
   noteMember(state.boxMembers, boxId, { kind: 'heard', incarnation, zone }, nowMs);
 }
 
-function heartbeat(state: BoxState): PeerMessage {
+function heartbeatMessage(state: BoxState): PeerMessage {
   const { incarnation, zone, control } = state.settings;
   state.heartbeatCount += 1;
-  const isDemandsTurn = state.heartbeatCount % control.demandsEveryHeartbeats === 0;
+  const includesDemands = state.heartbeatCount % control.demandsEveryHeartbeats === 0;
   return {
     kind: 'heartbeat',
     incarnation,
     zone,
     revision: state.config.revision,
     draining: state.draining !== undefined,
-    demands: isDemandsTurn ? demandsOf(state) : undefined,
+    demands: includesDemands ? demandsOf(state) : undefined,
     poolLoads: poolLoads(state),
   };
 }
@@ -118,17 +118,17 @@
   const { incarnation, zone } = message;
   if (before !== undefined && incarnation < before.incarnation) return;
   noteMember(state.boxMembers, from, { kind: 'heard', incarnation, zone }, step.nowMs);
-  if (message.draining) noteDraining(state, from, incarnation, step.nowMs);
+  if (message.draining) recordDraining(state, from, incarnation, step.nowMs);
   state.peers.set(from, {
     revision: message.revision,
     draining: message.draining,
     demands: message.demands ?? state.peers.get(from)?.demands ?? [],
     poolLoads: message.poolLoads,
   });
-  if (isNew || wasSilent) tellServers(state, step, from);
+  if (isNew || wasSilent) sendKnownServers(state, step, from);
 }
 
-function noteDraining(state: BoxState, from: string, incarnation: number, nowMs: number): void {
+function recordDraining(state: BoxState, from: string, incarnation: number, nowMs: number): void {
   const statement = {
     kind: 'leaving',
     incarnation,
@@ -139,21 +139,21 @@
 }
 
 /** Tells a box that is new to us of the servers probed here, and of those that leave. */
-function tellServers(state: BoxState, step: Step, boxId: string): void {
+function sendKnownServers(state: BoxState, step: Step, boxId: string): void {
   const ids = new Set(state.probedServers.views.map(({ spec }) => spec.id));
   for (const id of state.drainingServers) ids.add(id);
-  for (const id of foreignServerIds(state)) ids.add(id);
+  for (const id of otherSiteServerIds(state)) ids.add(id);
   const news = [...ids].flatMap((id) => {
     const member = state.serverMembers.members.get(id);
-    const item = member === undefined ? undefined : newsOf(member, step.nowMs);
-    return item === undefined ? [] : [item];
+    const update = member === undefined ? undefined : serverUpdateFor(member, step.nowMs);
+    return update === undefined ? [] : [update];
   });
   if (news.length === 0) return;
   step.effects.push({ type: 'sendPeer', boxId, message: { kind: 'serverNews', news } });
 }
 
 /** Peers that may take over a request, own zone first. */
-export function livePeers(state: BoxState): string[] {
+export function livePeerIds(state: BoxState): string[] {
   const { boxId, zone } = state.settings;
   const own: string[] = [];
   const other: string[] = [];
--- a/packages/reedlug-decisions/src/slices/placement.ts
+++ b/packages/reedlug-decisions/src/slices/placement.ts
@@ -22,22 +22,22 @@
 import { fenceFor } from './orders.js';
 import { log } from './log.js';
 import { poolLoads } from './probes.js';
-import { noteServer, serverMember } from './servers.js';
+import { applyServerStatement, serverMember } from './servers.js';
 
 /** Weight of the newest load in the smoothed one. */
-const BUSY_SMOOTHING = 0.05;
+const LOAD_SMOOTHING = 0.05;
 /** Share of the load of now that a pool grows with at once. */
 const GROWTH_SHARE = 0.8;
 /** An engine is swapped for one that costs less than it by this factor. */
 const SWAP_FACTOR = 1.3;
 /** Calm that must have passed before engines are given back, in ms. */
-const STORM_MS = 90_000;
+const SCALE_DOWN_COOLDOWN_MS = 90_000;
 /** A stop that has not shown is asked again after this long, in ms. */
-const STOP_AGAIN_MS = 10_000;
+const STOP_RETRY_MS = 10_000;
 /** A start that has not shown in the box list after this long is forgotten, in ms. */
-const START_FORGOTTEN_MS = 60_000;
+const START_TIMEOUT_MS = 60_000;
 /** Longest back-off of a refused offer, in ms. */
-const BACKOFF_CAP_MS = 120_000;
+const MAX_BACKOFF_MS = 120_000;
 /** Cost of one expected reclaim, as a share of an hour's price. */
 const RECLAIM_COST_HOURS = 0.25;
 
@@ -50,7 +50,7 @@
 
 /** Brings pools to their size when this box holds the lease and it is time. */
 export function placementTick(state: BoxState, step: Step): void {
-  forgetOldAsks(state, step.nowMs);
+  expirePendingStarts(state, step.nowMs);
   if (step.nowMs < state.nextPlacementAtMs) return;
   state.nextPlacementAtMs = step.nowMs + state.settings.control.placementEveryMs;
   const fence = fenceFor(state, step.nowMs, true);
@@ -59,9 +59,9 @@
   for (const pool of state.settings.pools) sizePool(state, step, pool, fence);
 }
 
-function forgetOldAsks(state: BoxState, nowMs: number): void {
+function expirePendingStarts(state: BoxState, nowMs: number): void {
   for (const [askId, ask] of state.pendingStarts) {
-    if (nowMs - ask.sentAtMs > START_FORGOTTEN_MS) state.pendingStarts.delete(askId);
+    if (nowMs - ask.sentAtMs > START_TIMEOUT_MS) state.pendingStarts.delete(askId);
   }
 }
 
@@ -69,18 +69,18 @@
   const count = countPool(state, pool);
   const wanted = wantedEngines(state, pool);
   const have = count.engines.length + count.starting.length;
-  if (have < wanted) startOne(state, step, count, fence);
-  else if (inStorm(state, step.nowMs)) return;
-  else if (have > wanted) retireOne(state, step, count);
-  else swapOne(state, step, count, fence);
+  if (have < wanted) startEngine(state, step, count, fence);
+  else if (inScaleDownCooldown(state, step.nowMs)) return;
+  else if (have > wanted) retireMostExpensive(state, step, count);
+  else startCheaperEngine(state, step, count, fence);
 }
 
 /** While boxes are being taken or starts refused nothing is given back. */
-function inStorm(state: BoxState, nowMs: number): boolean {
+function inScaleDownCooldown(state: BoxState, nowMs: number): boolean {
   for (const { untilMs } of state.offerBackoff.values()) {
-    if (untilMs + STORM_MS > nowMs) return true;
+    if (untilMs + SCALE_DOWN_COOLDOWN_MS > nowMs) return true;
   }
-  return nowMs < state.lastReclaimAtMs + STORM_MS;
+  return nowMs < state.lastReclaimAtMs + SCALE_DOWN_COOLDOWN_MS;
 }
 
 function countPool(state: BoxState, pool: PoolSpec): PoolCount {
@@ -88,7 +88,7 @@
   const engines = (state.serversByPool.get(pool.model) ?? []).filter((view) => {
     if (view.spec.kind !== ServerKind.engine) return false;
     if (siteOfZone(state.settings, view.spec.zone) !== site) return false;
-    return staysUp(state, view);
+    return isLiveOrListed(state, view);
   });
   const known = new Set(engines.map((view) => view.spec.id));
   const starting = [...state.pendingStarts.values()].filter(
@@ -97,7 +97,7 @@
   return { pool, engines, starting };
 }
 
-function staysUp(state: BoxState, view: ServerView): boolean {
+function isLiveOrListed(state: BoxState, view: ServerView): boolean {
   const member = serverMember(state, view.spec.id);
   if (member === undefined) return false;
   return member.state === MemberState.live || member.state === MemberState.listed;
@@ -124,9 +124,9 @@
 
 /** Grows with the load of now and shrinks with the smoothed one. */
 function enginesForLoad(state: BoxState, pool: PoolSpec): number {
-  const busy = busyOf(state, pool);
+  const busy = siteLoad(state, pool);
   const smoothed = state.smoothedPoolLoad.get(pool.model) ?? busy;
-  const next = smoothed + BUSY_SMOOTHING * (busy - smoothed);
+  const next = smoothed + LOAD_SMOOTHING * (busy - smoothed);
   state.smoothedPoolLoad.set(pool.model, next);
   const perEngine = pool.slotsPerEngine * state.settings.policy.targetUse;
   return clamp(Math.ceil(Math.max(busy * GROWTH_SHARE, next) / perEngine), pool);
@@ -137,18 +137,18 @@
 }
 
 /** Requests running or waiting in the site, each told by one box. */
-function busyOf(state: BoxState, pool: PoolSpec): number {
+function siteLoad(state: BoxState, pool: PoolSpec): number {
   const { settings } = state;
   const site = siteOfZone(settings, settings.zone);
-  const told = [...state.peers.values()].flatMap((peer) => peer.poolLoads);
+  const reported = [...state.peers.values()].flatMap((peer) => peer.poolLoads);
   let busy = 0;
-  for (const load of [...told, ...poolLoads(state)]) {
+  for (const load of [...reported, ...poolLoads(state)]) {
     if (load.pool === pool.model && siteOfZone(settings, load.zone) === site) busy += load.busy;
   }
   return busy;
 }
 
-function startOne(state: BoxState, step: Step, count: PoolCount, fence: number): void {
+function startEngine(state: BoxState, step: Step, count: PoolCount, fence: number): void {
   const offer = bestOffer(state, step.nowMs, count);
   if (offer === undefined) {
     log(step, 'noOffer', { pool: count.pool.model });
@@ -182,7 +182,7 @@
   let best: OfferSpec | undefined;
   let bestPrice = Number.POSITIVE_INFINITY;
   for (const offer of allowedOffers(state, nowMs, count)) {
-    const price = offerPrice(state, offer, count);
+    const price = effectivePrice(state, offer, count);
     if (price >= bestPrice) continue;
     best = offer;
     bestPrice = price;
@@ -201,28 +201,30 @@
     !reclaimableAllowed(state) ||
     (settings.policy.placement === PlacementPolicy.effectivePrice &&
       onDemand < count.pool.onDemandFloor);
-  const open = settings.offers.filter((offer) => {
+  const available = settings.offers.filter((offer) => {
     if (siteOfZone(settings, offer.zone) !== site) return false;
     if (onDemandOnly && offer.reclaimable) return false;
     return (state.offerBackoff.get(offerKey(offer))?.untilMs ?? 0) <= nowMs;
   });
-  if (settings.policy.placement === PlacementPolicy.cheapestFirst) return open;
-  const spread = open.filter(({ zone }) => shareInZone(zone, count) < zoneShare(state, site));
-  return spread.length > 0 ? spread : open;
+  if (settings.policy.placement === PlacementPolicy.cheapestFirst) return available;
+  const spread = available.filter(
+    ({ zone }) => shareInZone(zone, count) < maxZoneShare(state, site),
+  );
+  return spread.length > 0 ? spread : available;
 }
 
 /** Share of a pool that may stand in one zone, so that losing the zone leaves the rest. */
-function zoneShare(state: BoxState, site: string): number {
+function maxZoneShare(state: BoxState, site: string): number {
   const zones = state.settings.zones.filter((zone) => zone.site === site).length;
   return 1 / Math.max(1, zones);
 }
 
-function offerPrice(state: BoxState, offer: OfferSpec, count: PoolCount): number {
+function effectivePrice(state: BoxState, offer: OfferSpec, count: PoolCount): number {
   const { placement } = state.settings.policy;
   if (placement === PlacementPolicy.cheapestFirst) return offer.pricePerHour;
   const reclaimCost = offer.reclaimsPerHour * RECLAIM_COST_HOURS;
-  const crowd = shareInZone(offer.zone, count);
-  return offer.pricePerHour * (1 + reclaimCost) * (1 + crowd);
+  const inZone = shareInZone(offer.zone, count);
+  return offer.pricePerHour * (1 + reclaimCost) * (1 + inZone);
 }
 
 /** Share of the pool that already stands in a zone; losing it should hurt little. */
@@ -235,34 +237,35 @@
 }
 
 /** Retires the dearest engine: its streams finish or move, then it is stopped. */
-function retireOne(state: BoxState, step: Step, count: PoolCount): void {
-  if (someRetire(state, count.pool)) return;
-  const dearest = dearestEngine(state, count);
-  if (dearest !== undefined) retire(state, step, dearest);
+function retireMostExpensive(state: BoxState, step: Step, count: PoolCount): void {
+  if (isAnyRetiring(state, count.pool)) return;
+  const candidate = mostExpensiveEngine(state, count);
+  if (candidate !== undefined) announceRetirement(state, step, candidate);
 }
 
 /** Buys a cheaper engine for a dear one; the dear one is retired once there are too many. */
-function swapOne(state: BoxState, step: Step, count: PoolCount, fence: number): void {
+function startCheaperEngine(state: BoxState, step: Step, count: PoolCount, fence: number): void {
   if (state.settings.policy.sizing === SizingPolicy.fixed || count.starting.length > 0) return;
-  if (someRetire(state, count.pool)) return;
-  const dearest = dearestEngine(state, count);
+  if (isAnyRetiring(state, count.pool)) return;
+  const mostExpensive = mostExpensiveEngine(state, count);
   const offer = bestOffer(state, step.nowMs, count);
-  if (dearest === undefined || offer === undefined) return;
-  const worthIt = priceOf(state, dearest.spec) > offerPrice(state, offer, count) * SWAP_FACTOR;
-  if (worthIt) startOne(state, step, count, fence);
+  if (mostExpensive === undefined || offer === undefined) return;
+  const isWorthSwapping =
+    pricePerHourOf(state, mostExpensive.spec) > effectivePrice(state, offer, count) * SWAP_FACTOR;
+  if (isWorthSwapping) startEngine(state, step, count, fence);
 }
 
-function someRetire(state: BoxState, pool: PoolSpec): boolean {
+function isAnyRetiring(state: BoxState, pool: PoolSpec): boolean {
   const views = state.serversByPool.get(pool.model) ?? [];
   return views.some(({ spec }) => serverMember(state, spec.id)?.state === MemberState.leaving);
 }
 
-function dearestEngine(state: BoxState, count: PoolCount): ServerView | undefined {
-  const free = count.engines.filter((view) => mayStop(view, count));
-  return free.sort((a, b) => priceOf(state, b.spec) - priceOf(state, a.spec))[0];
+function mostExpensiveEngine(state: BoxState, count: PoolCount): ServerView | undefined {
+  const stoppable = count.engines.filter((view) => mayStop(view, count));
+  return stoppable.sort((a, b) => pricePerHourOf(state, b.spec) - pricePerHourOf(state, a.spec))[0];
 }
 
-function retire(state: BoxState, step: Step, view: ServerView): void {
+function announceRetirement(state: BoxState, step: Step, view: ServerView): void {
   const statement = {
     kind: 'leaving',
     incarnation: serverMember(state, view.spec.id)?.incarnation ?? 0,
@@ -270,7 +273,7 @@
     source: MemberSource.notice,
   } as const;
   log(step, 'engineRetired', { server: view.spec.id });
-  noteServer(state, step, view.spec.id, statement, true);
+  applyServerStatement(state, step, view.spec.id, statement, true);
 }
 
 /** Stops engines whose time to leave has passed; a holder that died before is made up for. */
@@ -280,7 +283,7 @@
     if (member?.state !== MemberState.leaving || view.spec.kind !== ServerKind.engine) continue;
     if (member.leavesAtMs === undefined || step.nowMs < member.leavesAtMs) continue;
     const askedAtMs = state.stopsRequestedAtMs.get(view.spec.id) ?? Number.NEGATIVE_INFINITY;
-    if (step.nowMs - askedAtMs < STOP_AGAIN_MS) continue;
+    if (step.nowMs - askedAtMs < STOP_RETRY_MS) continue;
     state.stopsRequestedAtMs.set(view.spec.id, step.nowMs);
     const ask: CloudRequest = { kind: 'stop', serverId: view.spec.id, fence };
     step.effects.push({ type: 'askCloud', askId: nextId(state, 'stop'), ask });
@@ -293,7 +296,7 @@
   return onDemand > count.pool.onDemandFloor;
 }
 
-function priceOf(state: BoxState, spec: ServerSpec): number {
+function pricePerHourOf(state: BoxState, spec: ServerSpec): number {
   const { zone, machineClass, reclaimable } = spec;
   const offer = state.settings.offers.find(
     (item) =>
@@ -321,7 +324,7 @@
   const delayMs = backoffMs({
     tries: refusals,
     baseMs: state.settings.control.startBackoffMs,
-    capMs: BACKOFF_CAP_MS,
+    capMs: MAX_BACKOFF_MS,
     random: nextRandom(state),
   });
   state.offerBackoff.set(key, { untilMs: step.nowMs + delayMs, refusals });
@@ -330,6 +333,6 @@
 }
 
 /** A started box carries its start token as its id; once listed, its start is over. */
-export function noteStarted(state: BoxState, serverId: string): void {
+export function removePendingStart(state: BoxState, serverId: string): void {
   state.pendingStarts.delete(serverId);
 }
--- a/packages/reedlug-decisions/src/slices/probes.ts
+++ b/packages/reedlug-decisions/src/slices/probes.ts
@@ -11,33 +11,38 @@
 import type { BoxState, ServerView, Step } from '../state.js';
 import { siteOfZone } from '../state.js';
 import { sendToPeers } from './peerLinks.js';
-import { HOT_FOR_MS, serverTakesWork } from './servers.js';
+import { HOT_DURATION_MS, serverAcceptsRequests } from './servers.js';
 
 /** Share of its slots in use from which a server is hot, and below which it is cool again. */
 const HOT_SHARE = 0.75;
 const COOL_SHARE = 0.6;
 /** Tells peers when a server gets nearly full, again while it stays so, and when it is over. */
-export function tellLoad(
+export function announceLoad(
   state: BoxState,
   step: Step,
   view: ServerView,
   report: EngineReport,
 ): void {
   if (view.spec.kind !== ServerKind.engine) return;
-  const busy = (report.running + report.waiting) / view.spec.slots;
-  const { hotAnnouncedAtMs: hotToldAtMs } = view;
-  const isHot = busy >= (hotToldAtMs === undefined ? HOT_SHARE : COOL_SHARE);
-  if (!isHot && hotToldAtMs === undefined) return;
-  if (isHot && hotToldAtMs !== undefined && step.nowMs - hotToldAtMs < HOT_FOR_MS / 2) return;
+  const usedShare = (report.running + report.waiting) / view.spec.slots;
+  const { hotAnnouncedAtMs } = view;
+  const isHot = usedShare >= (hotAnnouncedAtMs === undefined ? HOT_SHARE : COOL_SHARE);
+  if (!isHot && hotAnnouncedAtMs === undefined) return;
+  if (
+    isHot &&
+    hotAnnouncedAtMs !== undefined &&
+    step.nowMs - hotAnnouncedAtMs < HOT_DURATION_MS / 2
+  )
+    return;
   view.hotAnnouncedAtMs = isHot ? step.nowMs : undefined;
-  view.hotUntilMs = isHot ? step.nowMs + HOT_FOR_MS : 0;
-  const item: ServerUpdate = {
+  view.hotUntilMs = isHot ? step.nowMs + HOT_DURATION_MS : 0;
+  const update: ServerUpdate = {
     serverId: view.spec.id,
     incarnation: report.incarnation,
     news: isHot ? 'hot' : 'cool',
     leavesInMs: undefined,
   };
-  sendToPeers(state, step, { kind: 'serverNews', news: [item] });
+  sendToPeers(state, step, { kind: 'serverNews', news: [update] });
 }
 
 /** Sends the probes that are due from this box. */
@@ -59,7 +64,7 @@
   const { zone, boxId } = state.settings;
   const views = zones.flatMap((name) => {
     const all = state.serversByZone.get(name) ?? [];
-    return name === zone ? all.filter((view) => ownerOf(view, hashed) === boxId) : all;
+    return name === zone ? all.filter((view) => probingBoxFor(view, hashed) === boxId) : all;
   });
   state.probedServers = { key, views };
   return views;
@@ -88,7 +93,7 @@
 }
 
 /** The box with the highest rendezvous weight at a server. */
-function ownerOf(view: ServerView, boxes: readonly ProbingBox[]): string | undefined {
+function probingBoxFor(view: ServerView, boxes: readonly ProbingBox[]): string | undefined {
   let owner: string | undefined;
   let ownerWeight = -1;
   for (const { id, hash } of boxes) {
@@ -106,7 +111,7 @@
   const freshAfterMs = state.nowMs - state.settings.control.probeEveryMs * 3;
   for (const view of state.probedServers.views) {
     if (view.spec.kind !== ServerKind.engine) continue;
-    if (view.reportedAtMs < freshAfterMs || !serverTakesWork(state, view)) continue;
+    if (view.reportedAtMs < freshAfterMs || !serverAcceptsRequests(state, view)) continue;
     const key = `${view.spec.pool}@${view.spec.zone}`;
     const load = loads.get(key) ?? emptyLoad(view.spec.pool, view.spec.zone);
     load.engines += 1;
--- a/packages/reedlug-decisions/src/slices/queues.ts
+++ b/packages/reedlug-decisions/src/slices/queues.ts
@@ -5,15 +5,15 @@
 import type { BoxState, PoolQueues } from '../state.js';
 
 /** Work that a workspace gains each round, in prompt tokens. */
-const QUANTUM = 2000;
+const QUANTUM_TOKENS = 2000;
 
 /** The queues of a pool, made on first use. */
 export function queuesOf(state: BoxState, pool: string): PoolQueues {
   const known = state.pools.get(pool);
   if (known !== undefined) return known;
   const queues: PoolQueues = {
-    urgent: createFairQueue(QUANTUM),
-    patient: createFairQueue(QUANTUM),
+    urgent: createFairQueue(QUANTUM_TOKENS),
+    patient: createFairQueue(QUANTUM_TOKENS),
     urgentStreak: 0,
     dispatchedCost: 0,
     drainPerMs: 0,
--- a/packages/reedlug-decisions/src/slices/readiness.ts
+++ b/packages/reedlug-decisions/src/slices/readiness.ts
@@ -17,7 +17,7 @@
 }
 
 /** Notes that the box has caught up; call it after each change of the replica. */
-export function noteCaughtUp(state: BoxState): void {
+export function updateCaughtUp(state: BoxState): void {
   if (!state.configSourceSeen) return;
   if (state.config.revision >= state.config.highestHeard) state.caughtUpOnce = true;
 }
--- a/packages/reedlug-decisions/src/slices/reclaim.ts
+++ b/packages/reedlug-decisions/src/slices/reclaim.ts
@@ -17,7 +17,7 @@
 import { requeue, retryOrGiveUp } from './retries.js';
 import { log } from './log.js';
 import { phaseOf, recordOfAttempt } from './requests.js';
-import { serverMember, serverTakesWork } from './servers.js';
+import { serverMember, serverAcceptsRequests } from './servers.js';
 
 /** Kept free before a server goes, for the last words of its streams, in ms. */
 const FINISH_MARGIN_MS = 250;
@@ -31,7 +31,7 @@
 const MAX_MOVED_PREFIXES = 64;
 
 /** How a stream gets through the reclaim of its server. */
-type Way = 'finish' | 'move' | 'resume';
+type EvacuationMethod = 'finish' | 'move' | 'resume';
 
 /** Moves a leaving server's work; safe to call again when the time left gets shorter. */
 export function evacuate(state: BoxState, step: Step, view: ServerView): void {
@@ -43,14 +43,14 @@
   moveIdlePrefixes(state, step, view);
 }
 
-interface StreamAt {
+interface RunningStream {
   record: RequestRecord;
   attempt: Attempt;
 }
 
 /** Running streams at a server, those with the most tokens at stake first. */
-function streamsAt(state: BoxState, view: ServerView): StreamAt[] {
-  const streams: StreamAt[] = [];
+function streamsAt(state: BoxState, view: ServerView): RunningStream[] {
+  const streams: RunningStream[] = [];
   for (const attemptId of view.openAttempts) {
     const record = recordOfAttempt(state, attemptId);
     const attempt = record?.attempts.find((item) => item.attemptId === attemptId);
@@ -71,7 +71,7 @@
   record: RequestRecord,
   attempt: Attempt,
 ): void {
-  switch (wayOut(state, step, view, record, attempt)) {
+  switch (evacuationMethod(state, step, view, record, attempt)) {
     case 'finish':
       return;
     case 'move':
@@ -85,13 +85,13 @@
 }
 
 /** The cheapest way that fits: finishing costs nothing, a move little, a resume the prompt. */
-function wayOut(
+function evacuationMethod(
   state: BoxState,
   step: Step,
   view: ServerView,
   record: RequestRecord,
   attempt: Attempt,
-): Way {
+): EvacuationMethod {
   const leavesAtMs = serverMember(state, view.spec.id)?.leavesAtMs;
   if (leavesAtMs === undefined) return 'finish';
   const leftMs = leavesAtMs - step.nowMs - FINISH_MARGIN_MS;
@@ -124,7 +124,7 @@
 ): boolean {
   const { policy } = state.settings;
   if (!policy.kvMove || attempt.firstTokenAtMs === undefined) return false;
-  if (!hasTarget(state, view)) return false;
+  if (!hasMoveTarget(state, view)) return false;
   const queuedMs = Math.max(0, view.exportBusyUntilMs - step.nowMs);
   return queuedMs + moveMs(state, tokensAtStake(record)) <= leftMs;
 }
@@ -133,14 +133,14 @@
   return MOVE_SETUP_MS + tokens / state.settings.policy.kvTokensPerMs;
 }
 
-function hasTarget(state: BoxState, view: ServerView): boolean {
-  return survivors(state, view).length > 0;
+function hasMoveTarget(state: BoxState, view: ServerView): boolean {
+  return moveTargets(state, view).length > 0;
 }
 
 /** Servers of the same pool that stay. */
-function survivors(state: BoxState, view: ServerView): ServerView[] {
+function moveTargets(state: BoxState, view: ServerView): ServerView[] {
   const pool = state.serversByPool.get(view.spec.pool) ?? [];
-  return pool.filter((other) => other !== view && serverTakesWork(state, other));
+  return pool.filter((other) => other !== view && serverAcceptsRequests(state, other));
 }
 
 function startMove(
@@ -172,13 +172,18 @@
       return;
     case 'refused':
     case 'unknown':
-      withoutMove(state, step, record, attempt);
+      continueWithoutMove(state, step, record, attempt);
       return;
   }
 }
 
 /** Without a move a repeatable stream resumes elsewhere; any other stays where it may still run. */
-function withoutMove(state: BoxState, step: Step, record: RequestRecord, attempt: Attempt): void {
+function continueWithoutMove(
+  state: BoxState,
+  step: Step,
+  record: RequestRecord,
+  attempt: Attempt,
+): void {
   record.phase = { kind: 'running' };
   if (!attempt.open) {
     retryOrGiveUp(state, step, record);
@@ -199,7 +204,7 @@
   if (step.nowMs - phase.sinceMs < MOVE_TIMEOUT_MS) return;
   const attempt = openAttempt(record);
   if (attempt === undefined) retryOrGiveUp(state, step, record);
-  else withoutMove(state, step, record, attempt);
+  else continueWithoutMove(state, step, record, attempt);
 }
 
 /** Moves cached prefixes of idle conversations to where their next request will look first. */
@@ -207,7 +212,7 @@
   if (!state.settings.policy.kvMove || view.spec.kind !== ServerKind.engine) return;
   const leavesAtMs = serverMember(state, view.spec.id)?.leavesAtMs;
   if (leavesAtMs === undefined) return;
-  const targets = survivors(state, view);
+  const targets = moveTargets(state, view);
   if (targets.length === 0) return;
   for (const [affinityHash, tokens] of idlePrefixes(state, view)) {
     const startMs = Math.max(step.nowMs, view.exportBusyUntilMs);
@@ -229,9 +234,9 @@
 
 function idlePrefixes(state: BoxState, view: ServerView): [number, number][] {
   const prefixes: [number, number][] = [];
-  for (const [affinityHash, sight] of state.prefixLocations) {
-    if (sight.serverId !== view.spec.id || sight.tokens < MIN_MOVED_TOKENS) continue;
-    prefixes.push([affinityHash, sight.tokens]);
+  for (const [affinityHash, location] of state.prefixLocations) {
+    if (location.serverId !== view.spec.id || location.tokens < MIN_MOVED_TOKENS) continue;
+    prefixes.push([affinityHash, location.tokens]);
   }
   return prefixes.sort((a, b) => b[1] - a[1]).slice(0, MAX_MOVED_PREFIXES);
 }
--- a/packages/reedlug-decisions/src/slices/requests.ts
+++ b/packages/reedlug-decisions/src/slices/requests.ts
@@ -14,7 +14,7 @@
 import { leaveQueue } from './queues.js';
 
 /** Settled requests kept at most, whatever their age. */
-const SETTLED_LIMIT = 20_000;
+const MAX_SETTLED_REQUESTS = 20_000;
 /** Work of a request besides its tokens, in tokens. */
 const REQUEST_BASE_COST = 16;
 /** A generated token costs as much as this many prompt tokens. */
@@ -69,8 +69,8 @@
     reaches: record.attempts.map((attempt) => attempt.reach),
     repeatable: record.spec.repeatable,
   });
-  const told = state.mutations.has('callLossNotRun') ? Outcome.notRun : outcome;
-  settle(state, step, record, { outcome: told, reason, retryAfterMs });
+  const reported = state.mutations.has('callLossNotRun') ? Outcome.notRun : outcome;
+  settle(state, step, record, { outcome: reported, reason, retryAfterMs });
 }
 
 /** What is told when a request is settled. */
@@ -176,8 +176,8 @@
   for (const requestId of state.settledOrder) {
     const record = state.requests.get(requestId);
     const settledAtMs = record === undefined ? 0 : (phaseOf(record, 'settled')?.atMs ?? 0);
-    const tooMany = state.settledOrder.length - forgotten > SETTLED_LIMIT;
-    if (!tooMany && step.nowMs - settledAtMs < retentionMs) break;
+    const overLimit = state.settledOrder.length - forgotten > MAX_SETTLED_REQUESTS;
+    if (!overLimit && step.nowMs - settledAtMs < retentionMs) break;
     state.requests.delete(requestId);
     step.effects.push({ type: 'forgetRequest', requestId });
     forgotten += 1;
--- a/packages/reedlug-decisions/src/slices/retries.ts
+++ b/packages/reedlug-decisions/src/slices/retries.ts
@@ -21,11 +21,11 @@
     giveUp(state, step, record, Reason.deadline, FAILED_RETRY_MS);
     return;
   }
-  requeue(state, step, record, causedByLeaving(state, record));
+  requeue(state, step, record, causedByServerStop(state, record));
 }
 
 /** A retry that an announced reclaim has caused is not taken from the budget. */
-function causedByLeaving(state: BoxState, record: RequestRecord): boolean {
+function causedByServerStop(state: BoxState, record: RequestRecord): boolean {
   const last = record.attempts.at(-1);
   const member = last === undefined ? undefined : serverMember(state, last.serverId);
   return member?.leavingSinceMs !== undefined || member?.state === MemberState.dead;
@@ -36,14 +36,16 @@
   state: BoxState,
   step: Step,
   record: RequestRecord,
-  owedNothing: boolean,
+  skipsBudget: boolean,
 ): void {
   const { retryBaseMs, retryCapMs } = state.settings.policy;
-  record.needsRetryBudget = !owedNothing;
+  record.needsRetryBudget = !skipsBudget;
   const tries = Math.max(1, record.attempts.length);
   const random = nextRandom(state);
-  const first = owedNothing && tries === 1;
-  const delayMs = first ? 0 : backoffMs({ tries, baseMs: retryBaseMs, capMs: retryCapMs, random });
+  const retriesAtOnce = skipsBudget && tries === 1;
+  const delayMs = retriesAtOnce
+    ? 0
+    : backoffMs({ tries, baseMs: retryBaseMs, capMs: retryCapMs, random });
   const notBeforeMs = step.nowMs + delayMs;
   if (state.mutations.has('forgetRequeued')) {
     record.phase = { kind: 'running' };
--- a/packages/reedlug-decisions/src/slices/servers.ts
+++ b/packages/reedlug-decisions/src/slices/servers.ts
@@ -22,18 +22,18 @@
 import { poolSiteKey, siteOfZone } from '../state.js';
 import { evacuate } from './reclaim.js';
 import { log } from './log.js';
-import { tellLoad } from './probes.js';
+import { announceLoad } from './probes.js';
 import { sendToPeers } from './peerLinks.js';
 import { dispatchPool } from './dispatch.js';
-import { loseAttemptsAt } from './failedAttempts.js';
-import { noteStarted } from './placement.js';
+import { failAttemptsAt } from './failedAttempts.js';
+import { removePendingStart } from './placement.js';
 import { recordReport } from '../policy/windows.js';
 
 /** How long news that a server is hot are believed, in ms. */
-export const HOT_FOR_MS = 6000;
+export const HOT_DURATION_MS = 6000;
 
 /** Takes a server into the view if it is new or its description changed. */
-export function noteServerSpec(state: BoxState, spec: ServerSpec): ServerView {
+export function upsertServer(state: BoxState, spec: ServerSpec): ServerView {
   const known = state.servers.get(spec.id);
   if (known !== undefined && known.spec.pool === spec.pool && known.spec.zone === spec.zone) {
     known.spec = spec;
@@ -98,16 +98,16 @@
 }
 
 /** True when a server may be given new work. */
-export function serverTakesWork(state: BoxState, view: ServerView): boolean {
+export function serverAcceptsRequests(state: BoxState, view: ServerView): boolean {
   const member = serverMember(state, view.spec.id);
   if (member === undefined) return false;
   if (state.mutations.has('trustStaleList') && member.state !== MemberState.dead) return true;
   if (!takesNewWork(member)) return false;
-  return reportFits(view);
+  return reportAllowsRequests(view);
 }
 
 /** The engine's own report goes before what the settings say it runs. */
-function reportFits(view: ServerView): boolean {
+function reportAllowsRequests(view: ServerView): boolean {
   const { report, spec } = view;
   if (report === undefined || spec.kind === ServerKind.service) return true;
   if (report.role !== 'serve') return false;
@@ -115,9 +115,9 @@
 }
 
 /** Takes the settings' own servers in at the start; they still have to be heard. */
-export function listConfiguredServers(state: BoxState, nowMs: number): void {
+export function registerConfiguredServers(state: BoxState, nowMs: number): void {
   for (const spec of state.settings.servers) {
-    noteServerSpec(state, spec);
+    upsertServer(state, spec);
     const statement: MemberStatement = {
       kind: 'listed',
       incarnation: 0,
@@ -129,12 +129,12 @@
 }
 
 /** Takes a statement about a server and does what follows from a change of state. */
-export function noteServer(
+export function applyServerStatement(
   state: BoxState,
   step: Step,
   serverId: string,
   statement: MemberStatement,
-  tellPeers: boolean,
+  announce: boolean,
 ): void {
   const view = state.servers.get(serverId);
   const changed = noteMember(state.serverMembers, serverId, statement, step.nowMs);
@@ -145,7 +145,7 @@
   if (changed.state === MemberState.leaving) state.drainingServers.add(serverId);
   else state.drainingServers.delete(serverId);
   log(step, 'serverChanged', { server: serverId, state: changed.state });
-  if (tellPeers) tellNews(state, step, changed);
+  if (announce) announceServer(state, step, changed);
   if (view === undefined) return;
   switch (changed.state) {
     case MemberState.live:
@@ -155,7 +155,7 @@
       evacuate(state, step, view);
       return;
     case MemberState.dead:
-      loseAttemptsAt(state, step, view);
+      failAttemptsAt(state, step, view);
       return;
     case MemberState.suspect:
     case MemberState.listed:
@@ -163,13 +163,13 @@
   }
 }
 
-function tellNews(state: BoxState, step: Step, member: Member): void {
-  const news = newsOf(member, step.nowMs);
+function announceServer(state: BoxState, step: Step, member: Member): void {
+  const news = serverUpdateFor(member, step.nowMs);
   if (news !== undefined) sendToPeers(state, step, { kind: 'serverNews', news: [news] });
 }
 
 /** The exception to tell about a member; undefined for one that is only listed. */
-export function newsOf(member: Member, nowMs: number): ServerUpdate | undefined {
+export function serverUpdateFor(member: Member, nowMs: number): ServerUpdate | undefined {
   const base = { serverId: member.id, incarnation: member.incarnation, leavesInMs: undefined };
   switch (member.state) {
     case MemberState.live:
@@ -193,17 +193,18 @@
  * Takes a peer's news about servers. Few boxes hear those of another site; what
  * is new to one of them goes on to its own site.
  */
-export function onServerNews(
+export function onServerUpdates(
   state: BoxState,
   step: Step,
   from: string,
-  news: readonly ServerUpdate[],
+  updates: readonly ServerUpdate[],
 ): void {
-  const goesOn = !isOfOwnSite(state, zoneOfBox(state, from));
-  for (const item of news) {
-    const statement = statementOf(item, step);
-    if (statement !== undefined) noteServer(state, step, item.serverId, statement, goesOn);
-    else noteHotNews(state, item, step.nowMs);
+  const forward = !isInOwnSite(state, zoneOfBox(state, from));
+  for (const update of updates) {
+    const statement = statementFrom(update, step);
+    if (statement !== undefined)
+      applyServerStatement(state, step, update.serverId, statement, forward);
+    else applyLoadUpdate(state, update, step.nowMs);
   }
 }
 
@@ -211,29 +212,29 @@
   return state.boxMembers.members.get(boxId)?.zone ?? state.settings.zone;
 }
 
-function isOfOwnSite(state: BoxState, zone: string): boolean {
+function isInOwnSite(state: BoxState, zone: string): boolean {
   const { settings } = state;
   return siteOfZone(settings, zone) === siteOfZone(settings, settings.zone);
 }
 
 /** Servers of other sites that are up; one box of a zone tells them to boxes that are new to it. */
-export function foreignServerIds(state: BoxState): string[] {
+export function otherSiteServerIds(state: BoxState): string[] {
   const { boxId, zone } = state.settings;
   if (liveInZone(state.boxMembers, zone)[0] !== boxId) return [];
   return [...state.servers.values()]
-    .filter(({ spec }) => !isOfOwnSite(state, spec.zone))
+    .filter(({ spec }) => !isInOwnSite(state, spec.zone))
     .map(({ spec }) => spec.id);
 }
 
-function noteHotNews(state: BoxState, item: ServerUpdate, nowMs: number): void {
-  const view = state.servers.get(item.serverId);
-  if (view !== undefined) view.hotUntilMs = item.news === 'hot' ? nowMs + HOT_FOR_MS : 0;
+function applyLoadUpdate(state: BoxState, update: ServerUpdate, nowMs: number): void {
+  const view = state.servers.get(update.serverId);
+  if (view !== undefined) view.hotUntilMs = update.news === 'hot' ? nowMs + HOT_DURATION_MS : 0;
 }
 
 /** What news say of a server's life; nothing for those of its load. */
-function statementOf(item: ServerUpdate, step: Step): MemberStatement | undefined {
-  const { incarnation } = item;
-  switch (item.news) {
+function statementFrom(update: ServerUpdate, step: Step): MemberStatement | undefined {
+  const { incarnation } = update;
+  switch (update.news) {
     case 'hot':
     case 'cool':
       return undefined;
@@ -247,7 +248,7 @@
       return {
         kind: 'leaving',
         incarnation,
-        leavesAtMs: item.leavesInMs === undefined ? undefined : step.nowMs + item.leavesInMs,
+        leavesAtMs: update.leavesInMs === undefined ? undefined : step.nowMs + update.leavesInMs,
         source: MemberSource.peer,
       };
   }
@@ -270,21 +271,21 @@
     leavesAtMs,
     source: MemberSource.notice,
   };
-  noteServer(state, step, serverId, statement, true);
+  applyServerStatement(state, step, serverId, statement, true);
 }
 
 /** Takes the platform's box list, which lags: it names servers and may say that they leave. */
 export function onBoxListRead(state: BoxState, step: Step, event: EventOf<'boxListRead'>): void {
   for (const entry of event.entries) {
-    noteServerSpec(state, entry.spec);
+    upsertServer(state, entry.spec);
     const statement: MemberStatement = {
       kind: 'listed',
       incarnation: entry.incarnation,
       zone: entry.spec.zone,
       leaving: entry.leaving,
     };
-    noteServer(state, step, entry.spec.id, statement, true);
-    noteStarted(state, entry.spec.id);
+    applyServerStatement(state, step, entry.spec.id, statement, true);
+    removePendingStart(state, entry.spec.id);
   }
 }
 
@@ -302,7 +303,7 @@
   }
   view.probeFailures = 0;
   onReport(state, step, view, event.report);
-  tellLoad(state, step, view, event.report);
+  announceLoad(state, step, view, event.report);
 }
 
 function onProbeFailed(state: BoxState, step: Step, view: ServerView): void {
@@ -310,11 +311,11 @@
   view.probeFailures += 1;
   const incarnation = serverMember(state, view.spec.id)?.incarnation ?? 0;
   if (view.probeFailures === probeFailuresToSuspect) {
-    noteServer(state, step, view.spec.id, { kind: 'silent', incarnation }, true);
+    applyServerStatement(state, step, view.spec.id, { kind: 'silent', incarnation }, true);
   }
   if (view.probeFailures === probeFailuresToSuspect * 2) {
     const gone = { kind: 'gone', incarnation, source: MemberSource.direct } as const;
-    noteServer(state, step, view.spec.id, gone, true);
+    applyServerStatement(state, step, view.spec.id, gone, true);
   }
 }
 
@@ -329,8 +330,8 @@
   if (member !== undefined && report.incarnation < member.incarnation) return;
   recordReport(state, view, report, step.nowMs);
   const { incarnation } = report;
-  const heard = { kind: 'heard', incarnation, zone: view.spec.zone } as const;
-  noteServer(state, step, view.spec.id, heard, true);
+  const live = { kind: 'heard', incarnation, zone: view.spec.zone } as const;
+  applyServerStatement(state, step, view.spec.id, live, true);
   if (!report.leaving) return;
   const leaving = {
     kind: 'leaving',
@@ -338,5 +339,5 @@
     leavesAtMs: undefined,
     source: MemberSource.direct,
   } as const;
-  noteServer(state, step, view.spec.id, leaving, true);
+  applyServerStatement(state, step, view.spec.id, leaving, true);
 }
--- a/packages/reedlug-decisions/src/slices/serviceAttempts.ts
+++ b/packages/reedlug-decisions/src/slices/serviceAttempts.ts
@@ -7,7 +7,7 @@
 import { findAttempt, closeAttempt, cancelAll, openAttempt } from './openAttempts.js';
 import { isUnsettled, settle } from './requests.js';
 import { requeue } from './retries.js';
-import { noteServer } from './servers.js';
+import { applyServerStatement } from './servers.js';
 
 /** HTTP statuses by which a plain service says that it did not run the request. */
 const NOT_RUN_STATUSES: readonly number[] = [429, 503];
@@ -22,12 +22,12 @@
   if (found === undefined) return;
   const { record, attempt } = found;
   closeAttempt(state, record, attempt);
-  noteHeard(state, step, attempt);
-  if (isUnsettled(record)) answerOf(state, step, record, attempt, event.status);
+  recordServerLive(state, step, attempt);
+  if (isUnsettled(record)) applyAnswer(state, step, record, attempt, event.status);
   dispatchPool(state, step, record.spec.pool);
 }
 
-function answerOf(
+function applyAnswer(
   state: BoxState,
   step: Step,
   record: RequestRecord,
@@ -50,10 +50,10 @@
   });
 }
 
-function noteHeard(state: BoxState, step: Step, attempt: Attempt): void {
+function recordServerLive(state: BoxState, step: Step, attempt: Attempt): void {
   const view = state.servers.get(attempt.serverId);
   if (view === undefined) return;
   const { incarnation } = attempt;
-  const heard = { kind: 'heard', incarnation, zone: view.spec.zone } as const;
-  noteServer(state, step, attempt.serverId, heard, false);
+  const live = { kind: 'heard', incarnation, zone: view.spec.zone } as const;
+  applyServerStatement(state, step, attempt.serverId, live, false);
 }
--- a/packages/reedlug-decisions/src/slices/streamAttempts.ts
+++ b/packages/reedlug-decisions/src/slices/streamAttempts.ts
@@ -14,7 +14,7 @@
 import { onReport } from './servers.js';
 
 /** Weight of the newest time between tokens in the smoothed one. */
-const SPEED_SMOOTHING = 0.1;
+const TOKEN_INTERVAL_SMOOTHING = 0.1;
 
 /** Takes tokens from an engine. */
 export function onAttemptProgress(
@@ -40,15 +40,15 @@
       retryOrGiveUp(state, step, record);
       return;
     case 'accepted':
-      noteFirstToken(state, step, record, attempt);
-      noteSpeed(state, attempt, result.tokens.length, step.nowMs);
+      recordFirstToken(state, step, record, attempt);
+      recordTokenInterval(state, attempt, result.tokens.length, step.nowMs);
       attempt.progressAtMs = step.nowMs;
-      deliver(step, record);
+      deliverNewTokens(step, record);
       return;
   }
 }
 
-function noteFirstToken(
+function recordFirstToken(
   state: BoxState,
   step: Step,
   record: RequestRecord,
@@ -62,7 +62,12 @@
   record.firstTokenMs ??= step.nowMs - record.arrivedAtMs;
 }
 
-function noteSpeed(state: BoxState, attempt: Attempt, tokens: number, nowMs: number): void {
+function recordTokenInterval(
+  state: BoxState,
+  attempt: Attempt,
+  tokens: number,
+  nowMs: number,
+): void {
   const view = state.servers.get(attempt.serverId);
   if (view === undefined || attempt.firstTokenAtMs === nowMs) return;
   const perTokenMs = (nowMs - attempt.progressAtMs) / tokens;
@@ -73,11 +78,11 @@
 
 /** Moves a figure towards its newest value; the first value stands as it is. */
 function smoothed(before: number, newest: number): number {
-  return before === 0 ? newest : before + SPEED_SMOOTHING * (newest - before);
+  return before === 0 ? newest : before + TOKEN_INTERVAL_SMOOTHING * (newest - before);
 }
 
 /** Hands the caller every token that it does not have yet. */
-export function deliver(step: Step, record: RequestRecord): void {
+export function deliverNewTokens(step: Step, record: RequestRecord): void {
   const { ledger, spec } = record;
   record.deliveredCount = Math.max(record.deliveredCount, record.reconnectOffset);
   if (record.deliveredCount >= ledger.tokens.length) return;
@@ -99,11 +104,11 @@
   const wasOpen = attempt.open;
   closeAttempt(state, record, attempt);
   if (view !== undefined && event.report !== undefined) onReport(state, step, view, event.report);
-  if (isUnsettled(record)) endOf(state, step, record, attempt, event, wasOpen);
+  if (isUnsettled(record)) applyEnd(state, step, record, attempt, event, wasOpen);
   dispatchPool(state, step, record.spec.pool);
 }
 
-function endOf(
+function applyEnd(
   state: BoxState,
   step: Step,
   record: RequestRecord,
@@ -119,7 +124,7 @@
   if (result.kind !== 'accepted') return;
   attempt.reach = Reach.answered;
   record.cachedTokens = event.cachedTokens;
-  learnFromEnd(state, record, attempt, event.cachedTokens);
+  recordCacheState(state, record, attempt, event.cachedTokens);
   cancelAll(state, step, record);
   settle(state, step, record, {
     outcome: Outcome.completed,
@@ -128,7 +133,7 @@
   });
 }
 
-function learnFromEnd(
+function recordCacheState(
   state: BoxState,
   record: RequestRecord,
   attempt: Attempt,
@@ -137,8 +142,8 @@
   const view = state.servers.get(attempt.serverId);
   if (view === undefined) return;
   const { spec } = record;
-  const hadSight = state.prefixLocations.get(spec.affinityHash)?.serverId === attempt.serverId;
-  recordCacheHit(state, { spec, view, cachedTokens, hadLocation: hadSight });
+  const hadLocation = state.prefixLocations.get(spec.affinityHash)?.serverId === attempt.serverId;
+  recordCacheHit(state, { spec, view, cachedTokens, hadLocation });
   const held = spec.promptTokens + record.ledger.tokens.length;
   const [first] = shortlist(state, spec, rulesFor(state, spec));
   const { affinityHash } = spec;
--- a/packages/reedlug-decisions/src/slices/timers.ts
+++ b/packages/reedlug-decisions/src/slices/timers.ts
@@ -11,7 +11,7 @@
 import { dispatchPool, sendAttempt } from './dispatch.js';
 import { followTick } from './following.js';
 import { giveUp, isUnsettled } from './requests.js';
-import { handingTick } from './handover.js';
+import { handoverTick } from './handover.js';
 import { movingTick } from './reclaim.js';
 import { claimingTick } from './claimWrites.js';
 
@@ -28,7 +28,7 @@
 }
 
 function requestTick(state: BoxState, step: Step, record: RequestRecord): void {
-  if (callerIsGone(state, step, record)) return;
+  if (giveUpIfCallerGone(state, step, record)) return;
   switch (record.phase.kind) {
     case 'claiming':
       claimingTick(state, step, record, record.phase.sinceMs);
@@ -46,7 +46,7 @@
       followTick(state, step, record, record.phase);
       return;
     case 'handing':
-      handingTick(state, step, record, record.phase);
+      handoverTick(state, step, record, record.phase);
       return;
     case 'settled':
       return;
@@ -54,7 +54,7 @@
 }
 
 /** Cancels a stream whose caller has not come back; a keyed request that may not be repeated goes on. */
-function callerIsGone(state: BoxState, step: Step, record: RequestRecord): boolean {
+function giveUpIfCallerGone(state: BoxState, step: Step, record: RequestRecord): boolean {
   const { callerGoneAtMs } = record;
   if (callerGoneAtMs === undefined || record.claimHeld) return false;
   if (step.nowMs - callerGoneAtMs < state.settings.control.reconnectGraceMs) return false;
