--- a/packages/reedlug-decisions/src/plans/confirm.ts
+++ b/packages/reedlug-decisions/src/plans/confirm.ts
@@ -13,12 +13,12 @@
 import type { BoxState, ConfirmStep, PendingConfirm, Step } from '../state.js';
 import { nextId } from '../state.js';
 import { configLogKey, recordPlan, acceptDeltas, type ConfigLogValue } from '../slices/config.js';
-import { confirmedPlan, digestFits, draftPlan, draftUndo } from './draft.js';
+import { confirmedPlan, digestMatches, draftPlan, draftUndo } from './draft.js';
 
 /** Revisions tried before the operator is asked to confirm again. */
 const MAX_TRIES = 16;
 /** How long the answer waits for the zones, in ms. */
-const IN_FORCE_WITHIN_MS = 5000;
+const ZONES_TIMEOUT_MS = 5000;
 
 /** Takes an operator's question or confirmation. */
 export function onOperatorAsked(
@@ -28,12 +28,12 @@
 ): void {
   const { askId, ask, epochMs } = event;
   state.epochMs = Math.max(state.epochMs, epochMs);
-  const reply = replyNow(state, ask, epochMs);
-  if (reply !== undefined) answer(step, askId, reply);
+  const reply = immediateReply(state, ask, epochMs);
+  if (reply !== undefined) sendAnswer(step, askId, reply);
   else if (ask.kind === 'confirm') startConfirm(state, step, askId, ask.plan);
 }
 
-function replyNow(
+function immediateReply(
   state: BoxState,
   ask: OperatorRequest,
   epochMs: number,
@@ -50,15 +50,15 @@
   }
 }
 
-function answer(step: Step, askId: string, reply: OperatorAnswer): void {
+function sendAnswer(step: Step, askId: string, reply: OperatorAnswer): void {
   step.effects.push({ type: 'answerOperator', askId, answer: reply });
 }
 
 /** Confirms a plan whose digest fits; the answer comes under `askId`. */
 export function startConfirm(state: BoxState, step: Step, askId: string, plan: Plan): void {
-  if (!digestFits(plan)) {
+  if (!digestMatches(plan)) {
     const fault = 'the plan is not as it was drafted: its digest does not fit; plan again';
-    answer(step, askId, { kind: 'invalid', faults: [fault] });
+    sendAnswer(step, askId, { kind: 'invalid', faults: [fault] });
     return;
   }
   tryRevision(state, step, askId, plan, 1);
@@ -67,20 +67,20 @@
 function tryRevision(state: BoxState, step: Step, askId: string, plan: Plan, tries: number): void {
   const known = state.confirmedPlans.find((item) => item.planId === plan.planId);
   if (known !== undefined) {
-    awaitZones(state, step, askId, known.revision);
+    waitForZones(state, step, askId, known.revision);
     return;
   }
   const conflict = conflictOf(state, plan);
   if (conflict !== undefined) {
-    answer(step, askId, conflict);
+    sendAnswer(step, askId, conflict);
     return;
   }
   if (tries > MAX_TRIES) {
-    answer(step, askId, { kind: 'unavailable', detail: 'too many other plans; confirm again' });
+    sendAnswer(step, askId, { kind: 'unavailable', detail: 'too many other plans; confirm again' });
     return;
   }
   const revision = state.config.revision + 1;
-  ask(state, step, askId, plan, tries, { kind: 'write', revision });
+  sendTableOp(state, step, askId, plan, tries, { kind: 'write', revision });
 }
 
 /** The first item of a plan that has changed since it was drafted, with who changed it. */
@@ -100,7 +100,7 @@
   return undefined;
 }
 
-function ask(
+function sendTableOp(
   state: BoxState,
   step: Step,
   askId: string,
@@ -140,19 +140,22 @@
       return;
     case 'refused':
       if (tableAnswer.reason === 'throttled') {
-        answer(step, askId, { kind: 'unavailable', detail: 'the table is busy; confirm again' });
+        sendAnswer(step, askId, {
+          kind: 'unavailable',
+          detail: 'the table is busy; confirm again',
+        });
         return;
       }
-      onRowStands(state, step, op, tableAnswer.rows);
+      onRowExists(state, step, op, tableAnswer.rows);
       return;
     case 'done':
       if (op.step.kind === 'readBack') {
         if (tableAnswer.rows.length === 0) tryRevision(state, step, askId, plan, tries + 1);
-        else onRowStands(state, step, op, tableAnswer.rows);
+        else onRowExists(state, step, op, tableAnswer.rows);
         return;
       }
-      inForceHere(state, step, logValue(plan, revision));
-      awaitZones(state, step, askId, revision);
+      applyLocally(state, step, logValue(plan, revision));
+      waitForZones(state, step, askId, revision);
       return;
   }
 }
@@ -165,65 +168,71 @@
   const { askId, plan, tries } = op;
   if (tries >= MAX_TRIES) {
     const detail = 'the table did not answer; see reedlug plans before confirming again';
-    answer(step, askId, { kind: 'unknown', detail });
+    sendAnswer(step, askId, { kind: 'unknown', detail });
     return;
   }
-  ask(state, step, askId, plan, tries + 1, { kind: 'readBack', revision: op.step.revision });
+  sendTableOp(state, step, askId, plan, tries + 1, {
+    kind: 'readBack',
+    revision: op.step.revision,
+  });
 }
 
 /** A row stands at the revision: ours after a lost answer, or another plan's that came first. */
-function onRowStands(
+function onRowExists(
   state: BoxState,
   step: Step,
   op: { askId: string; plan: Plan; tries: number; step: ConfirmStep },
   rows: readonly TableRow[],
 ): void {
-  for (const row of rows) inForceHere(state, step, row.value as ConfigLogValue);
+  for (const row of rows) applyLocally(state, step, row.value as ConfigLogValue);
   tryRevision(state, step, op.askId, op.plan, op.tries + 1);
 }
 
-function inForceHere(state: BoxState, step: Step, value: ConfigLogValue): void {
+function applyLocally(state: BoxState, step: Step, value: ConfigLogValue): void {
   state.configSourceSeen = true;
   recordPlan(state, value.plan);
   acceptDeltas(state, step, [value.delta], true);
 }
 
-function awaitZones(state: BoxState, step: Step, askId: string, revision: number): void {
-  state.pendingConfirms.push({ askId, revision, untilMs: step.nowMs + IN_FORCE_WITHIN_MS });
-  confirmWaitsTick(state, step);
+function waitForZones(state: BoxState, step: Step, askId: string, revision: number): void {
+  state.pendingConfirms.push({ askId, revision, untilMs: step.nowMs + ZONES_TIMEOUT_MS });
+  pendingConfirmsTick(state, step);
 }
 
 /** Answers confirms whose revision is in force in every zone, or whose time is over. */
-export function confirmWaitsTick(state: BoxState, step: Step): void {
-  const open: PendingConfirm[] = [];
-  for (const wait of state.pendingConfirms) {
-    const { inForce, notReached } = zonesAt(state, wait.revision);
-    if (notReached.length > 0 && step.nowMs < wait.untilMs) {
-      open.push(wait);
+export function pendingConfirmsTick(state: BoxState, step: Step): void {
+  const stillPending: PendingConfirm[] = [];
+  for (const confirm of state.pendingConfirms) {
+    const { inForce, notReached } = zonesWithRevision(state, confirm.revision);
+    if (notReached.length > 0 && step.nowMs < confirm.untilMs) {
+      stillPending.push(confirm);
       continue;
     }
-    answer(step, wait.askId, {
+    sendAnswer(step, confirm.askId, {
       kind: 'confirmed',
-      revision: wait.revision,
+      revision: confirm.revision,
       zonesInForce: inForce,
       zonesNotReached: notReached,
     });
   }
-  state.pendingConfirms = open;
+  state.pendingConfirms = stillPending;
 }
 
 /** Zones in which every live box that this box hears has the revision. */
-function zonesAt(state: BoxState, revision: number): { inForce: string[]; notReached: string[] } {
+function zonesWithRevision(
+  state: BoxState,
+  revision: number,
+): { inForce: string[]; notReached: string[] } {
   const inForce: string[] = [];
   const notReached: string[] = [];
   for (const { name } of state.settings.zones) {
     if (!state.settings.boxes.some((box) => box.zone === name)) continue;
-    (zoneHas(state, name, revision) ? inForce : notReached).push(name);
+    (zoneHasRevision(state, name, revision) ? inForce : notReached).push(name);
   }
   return { inForce, notReached };
 }
 
-function zoneHas(state: BoxState, zone: string, revision: number): boolean {
+function zoneHasRevision(state: BoxState, zone: string, revision: number): boolean {
   const ids = liveInZone(state.boxMembers, zone);
   if (ids.length === 0) return false;
   return ids.every((id) => {
--- a/packages/reedlug-decisions/src/plans/draft.ts
+++ b/packages/reedlug-decisions/src/plans/draft.ts
@@ -20,7 +20,7 @@
   const faults = intentFaults(state, intent, epochMs);
   if (faults.length > 0) return { kind: 'invalid', faults };
   const changes = changesFor(state, intent);
-  const effects = effectsOf(state, intent);
+  const effects = planEffects(state, intent);
   const draft: Draft = {
     planId: params.planId,
     operatorId: params.operatorId,
@@ -60,7 +60,7 @@
 }
 
 /** True when a plan is as it was drafted. */
-export function digestFits(plan: Plan): boolean {
+export function digestMatches(plan: Plan): boolean {
   return digestOf(plan) === plan.digest;
 }
 
@@ -180,7 +180,7 @@
   'boxes' | 'costPerHourBefore' | 'costPerHourAfter' | 'tokensAtStake' | 'risks'
 >;
 
-function effectsOf(state: BoxState, intent: Intent): PlanEffects {
+function planEffects(state: BoxState, intent: Intent): PlanEffects {
   const before = costPerHour(state, liveEngines(state));
   const unchanged: PlanEffects = {
     boxes: [],
@@ -227,8 +227,8 @@
     );
   }
   if (present === 0) risks.push(`no engine of ${intent.model} is up at ${intent.toSite} yet`);
-  const started = offer === undefined ? [] : [{ ...offerBox(offer), countDelta: missing }];
-  const stopped = old.map((view) => ({ ...offerBox(view.spec), countDelta: -1 }));
+  const started = offer === undefined ? [] : [{ ...boxKindOf(offer), countDelta: missing }];
+  const stopped = old.map((view) => ({ ...boxKindOf(view.spec), countDelta: -1 }));
   const oldCost = costPerHour(state, old);
   const newCost = missing * (offer?.pricePerHour ?? 0);
   return {
@@ -240,7 +240,7 @@
   };
 }
 
-function offerBox(box: { zone: string; machineClass: string; reclaimable: boolean }): {
+function boxKindOf(box: { zone: string; machineClass: string; reclaimable: boolean }): {
   zone: string;
   machineClass: string;
   reclaimable: boolean;
@@ -289,8 +289,8 @@
 
 function cachedTokensAt(state: BoxState, serverIds: ReadonlySet<string>): number {
   let tokens = 0;
-  for (const sight of state.prefixLocations.values()) {
-    if (serverIds.has(sight.serverId)) tokens += sight.tokens;
+  for (const location of state.prefixLocations.values()) {
+    if (serverIds.has(location.serverId)) tokens += location.tokens;
   }
   return tokens;
 }
--- a/packages/reedlug-decisions/src/plans/intentFaults.ts
+++ b/packages/reedlug-decisions/src/plans/intentFaults.ts
@@ -6,9 +6,9 @@
 import { itemName } from './items.js';
 
 /** Longest move of a pool, in ms. */
-const LONGEST_MOVE_MS = 90 * 24 * 3600 * 1000;
-const SHA256 = /^[0-9a-f]{64}$/;
-const NAME = /^[a-z0-9][a-z0-9-]{0,62}$/;
+const MAX_MOVE_MS = 90 * 24 * 3600 * 1000;
+const SHA256_PATTERN = /^[0-9a-f]{64}$/;
+const NAME_PATTERN = /^[a-z0-9][a-z0-9-]{0,62}$/;
 
 /** All faults of an intent against the configuration as it is now. */
 export function intentFaults(state: BoxState, intent: Intent, epochMs: number): string[] {
@@ -17,8 +17,11 @@
       return [
         ...nameFaults('workspaceId', intent.workspaceId),
         ...limitFaults(intent),
-        ...when(!SHA256.test(intent.keySha256), 'keySha256 must be the SHA-256 of the key in hex'),
-        ...when(
+        ...faultIf(
+          !SHA256_PATTERN.test(intent.keySha256),
+          'keySha256 must be the SHA-256 of the key in hex',
+        ),
+        ...faultIf(
           limitsOf(state, intent.workspaceId) !== undefined,
           `workspace ${intent.workspaceId} exists already; use setLimits to change it`,
         ),
@@ -26,7 +29,7 @@
     case 'createService':
       return [
         ...nameFaults('service', intent.service),
-        ...when(
+        ...faultIf(
           state.config.items.has(itemName.service(intent.service)),
           `service ${intent.service} exists already`,
         ),
@@ -41,31 +44,34 @@
       return [...classFaults(intent.requestClass), ...windowFaults(intent, epochMs)];
     case 'setEngine':
       return [
-        ...when(
+        ...faultIf(
           !state.servers.has(intent.serverId),
           `engine ${intent.serverId} is not known; see reedlug status`,
         ),
-        ...when(intent.wanted.model === '', 'wanted.model must be named'),
+        ...faultIf(intent.wanted.model === '', 'wanted.model must be named'),
       ];
     case 'haltMove':
       return [
-        ...when(
+        ...faultIf(
           !state.config.items.has(itemName.poolMove(intent.model)),
           `pool ${intent.model} is not on a move; see reedlug plans`,
         ),
-        ...when(!(intent.atShare >= 0 && intent.atShare <= 1), 'atShare must be from 0 to 1'),
+        ...faultIf(!(intent.atShare >= 0 && intent.atShare <= 1), 'atShare must be from 0 to 1'),
       ];
     case 'restore':
-      return when(intent.changes.length === 0, 'restore names no change');
+      return faultIf(intent.changes.length === 0, 'restore names no change');
   }
 }
 
-function when(condition: boolean, fault: string): string[] {
+function faultIf(condition: boolean, fault: string): string[] {
   return condition ? [fault] : [];
 }
 
 function nameFaults(field: string, name: string): string[] {
-  return when(!NAME.test(name), `${field} must be 1 to 63 of a-z, 0-9 and -, not "${name}"`);
+  return faultIf(
+    !NAME_PATTERN.test(name),
+    `${field} must be 1 to 63 of a-z, 0-9 and -, not "${name}"`,
+  );
 }
 
 function limitFaults(limits: {
@@ -74,21 +80,21 @@
   maxQueued: number;
 }): string[] {
   return [
-    ...when(!(limits.requestsPerSecond > 0), 'requestsPerSecond must be above 0'),
-    ...when(!(limits.burst >= 1), 'burst must be 1 or more'),
-    ...when(!(limits.maxQueued >= 1), 'maxQueued must be 1 or more'),
+    ...faultIf(!(limits.requestsPerSecond > 0), 'requestsPerSecond must be above 0'),
+    ...faultIf(!(limits.burst >= 1), 'burst must be 1 or more'),
+    ...faultIf(!(limits.maxQueued >= 1), 'maxQueued must be 1 or more'),
   ];
 }
 
 function workspaceFaults(state: BoxState, workspaceId: string): string[] {
-  return when(
+  return faultIf(
     limitsOf(state, workspaceId) === undefined,
     `workspace ${workspaceId} does not exist; create it first`,
   );
 }
 
 function classFaults(requestClass: string): string[] {
-  return when(
+  return faultIf(
     !Object.hasOwn(RequestClass, requestClass),
     `requestClass must be urgent or patient, not "${requestClass}"`,
   );
@@ -99,8 +105,8 @@
   epochMs: number,
 ): string[] {
   return [
-    ...when(window.endsAtEpochMs <= window.startsAtEpochMs, 'the end must lie after the start'),
-    ...when(window.endsAtEpochMs <= epochMs, 'the end has passed already'),
+    ...faultIf(window.endsAtEpochMs <= window.startsAtEpochMs, 'the end must lie after the start'),
+    ...faultIf(window.endsAtEpochMs <= epochMs, 'the end has passed already'),
   ];
 }
 
@@ -113,13 +119,13 @@
   const known = [...sites].sort().join(', ');
   const spanMs = intent.endsAtEpochMs - intent.startsAtEpochMs;
   return [
-    ...when(!state.serversByPool.has(intent.model), `no engine serves model ${intent.model}`),
-    ...when(!sites.has(intent.toSite), `site ${intent.toSite} is not known; known: ${known}`),
-    ...when(
+    ...faultIf(!state.serversByPool.has(intent.model), `no engine serves model ${intent.model}`),
+    ...faultIf(!sites.has(intent.toSite), `site ${intent.toSite} is not known; known: ${known}`),
+    ...faultIf(
       !Number.isInteger(intent.steps) || intent.steps < 1 || intent.steps > 100,
       'steps must be a whole number from 1 to 100',
     ),
     ...windowFaults(intent, epochMs),
-    ...when(spanMs > LONGEST_MOVE_MS, 'a move may take 90 days at most'),
+    ...faultIf(spanMs > MAX_MOVE_MS, 'a move may take 90 days at most'),
   ];
 }
--- a/packages/reedlug-decisions/src/plans/moveWatch.ts
+++ b/packages/reedlug-decisions/src/plans/moveWatch.ts
@@ -15,14 +15,14 @@
 import { movedShare } from './rules.js';
 
 /** Name under which the watch confirms its plans. */
-const WATCH_NAME = 'reedlug';
+const WATCH_OPERATOR_ID = 'reedlug';
 /** Length of one window, in ms. */
 const WINDOW_MS = 60_000;
 /** Answers that a window needs before it says anything. */
 const MIN_ANSWERS = 20;
 
 /** Counts an answer of a moving pool that ran at the new site. */
-export function noteMoveAnswer(state: BoxState, record: RequestRecord, outcome: Outcome): void {
+export function recordMoveAnswer(state: BoxState, record: RequestRecord, outcome: Outcome): void {
   const { pool } = record.spec;
   const move = itemValue<PoolMove>(state, itemName.poolMove(pool));
   if (move === undefined || move.haltedAtShare !== undefined) return;
@@ -59,7 +59,7 @@
   if (move === undefined || move.haltedAtShare !== undefined) return;
   const atShare = movedShare(move, state.epochMs);
   const drafted = draftPlan(state, {
-    operatorId: WATCH_NAME,
+    operatorId: WATCH_OPERATOR_ID,
     planId: nextId(state, 'halt'),
     intent: { kind: 'haltMove', model, atShare },
     epochMs: state.epochMs,
--- a/packages/reedlug-decisions/src/plans/rules.ts
+++ b/packages/reedlug-decisions/src/plans/rules.ts
@@ -23,29 +23,32 @@
 
 /** What confirmed rules say of the servers for one request; worked out once for all of them. */
 export interface ServerRules {
-  offReclaimable: boolean;
+  avoidReclaimable: boolean;
   /** Site at which the request must run, and whether it is that one or any other. */
-  move: { toSite: string; goesToNew: boolean } | undefined;
+  move: { toSite: string; runsAtNewSite: boolean } | undefined;
 }
 
 /** The rules for a request. */
 export function rulesFor(state: BoxState, spec: RequestSpec): ServerRules {
-  const offReclaimable = keptOff(state, spec.requestClass);
+  const offReclaimable = isKeptOffReclaimable(state, spec.requestClass);
   const move = itemValue<PoolMove>(state, itemName.poolMove(spec.pool));
-  if (move === undefined) return { offReclaimable, move: undefined };
+  if (move === undefined) return { avoidReclaimable: offReclaimable, move: undefined };
   const goesToNew = spec.affinityHash / HASH_RANGE < movedShare(move, state.epochMs);
-  return { offReclaimable, move: { toSite: move.toSite, goesToNew } };
+  return {
+    avoidReclaimable: offReclaimable,
+    move: { toSite: move.toSite, runsAtNewSite: goesToNew },
+  };
 }
 
 /** False when the rules keep a request off a server. */
 export function serverAllowed(state: BoxState, view: ServerView, rules: ServerRules): boolean {
-  if (rules.offReclaimable && view.spec.reclaimable) return false;
+  if (rules.avoidReclaimable && view.spec.reclaimable) return false;
   if (rules.move === undefined) return true;
   const isNew = siteOfZone(state.settings, view.spec.zone) === rules.move.toSite;
-  return rules.move.goesToNew === isNew;
+  return rules.move.runsAtNewSite === isNew;
 }
 
-function keptOff(state: BoxState, requestClass: RequestClass): boolean {
+function isKeptOffReclaimable(state: BoxState, requestClass: RequestClass): boolean {
   const rule = itemValue<KeepOff>(state, itemName.keepOff(requestClass));
   if (rule === undefined) return false;
   return state.epochMs >= rule.startsAtEpochMs && state.epochMs < rule.endsAtEpochMs;
@@ -53,5 +56,8 @@
 
 /** False while any class is kept off reclaimable boxes: placement then buys on demand. */
 export function reclaimableAllowed(state: BoxState): boolean {
-  return !keptOff(state, RequestClass.urgent) && !keptOff(state, RequestClass.patient);
+  return (
+    !isKeptOffReclaimable(state, RequestClass.urgent) &&
+    !isKeptOffReclaimable(state, RequestClass.patient)
+  );
 }
--- a/packages/reedlug-decisions/src/slices/config.ts
+++ b/packages/reedlug-decisions/src/slices/config.ts
@@ -16,7 +16,7 @@
 import type { ConfirmedPlan } from '../types/plan.js';
 import type { BoxState, Step } from '../state.js';
 import { nextId } from '../state.js';
-import { confirmWaitsTick } from '../plans/confirm.js';
+import { pendingConfirmsTick } from '../plans/confirm.js';
 import { moveWatchTick } from '../plans/moveWatch.js';
 import { log } from './log.js';
 import { sendToZone } from './peerLinks.js';
@@ -46,7 +46,7 @@
 
 /** Polls the log when this box is a reader of its zone and a poll is due. */
 export function configTick(state: BoxState, step: Step): void {
-  confirmWaitsTick(state, step);
+  pendingConfirmsTick(state, step);
   moveWatchTick(state, step);
   requestMissingDeltas(state, step);
   if (step.nowMs < state.nextConfigPollAtMs || state.configScanInFlight) return;
--- a/packages/reedlug-decisions/src/slices/requests.ts
+++ b/packages/reedlug-decisions/src/slices/requests.ts
@@ -8,7 +8,7 @@
 } from '../types/request.js';
 import type { RelayedAnswer } from '../types/peer.js';
 import type { BoxState, Step } from '../state.js';
-import { noteMoveAnswer } from '../plans/moveWatch.js';
+import { recordMoveAnswer } from '../plans/moveWatch.js';
 import { workspaceView } from './limits.js';
 import { queueOutcome } from './claimWrites.js';
 import { leaveQueue } from './queues.js';
@@ -97,7 +97,7 @@
   record.phase = { kind: 'settled', outcome, reason, status, atMs: step.nowMs };
   state.unsettled.delete(spec.requestId);
   state.settledOrder.push(spec.requestId);
-  noteMoveAnswer(state, record, outcome);
+  recordMoveAnswer(state, record, outcome);
   const view = workspaceView(state, spec.workspaceId);
   if (view !== undefined) view.inProgress -= 1;
   if (record.claimHeld) queueOutcome(state, step, record);
