--- a/packages/reedlug-decisions/src/invariants/effectInvariants.ts
+++ b/packages/reedlug-decisions/src/invariants/effectInvariants.ts
@@ -13,15 +13,15 @@
 ): Violation | undefined {
   switch (effect.type) {
     case 'sendAttempt':
-      return atMostOneRun(state, effect) ?? noWorkForLeaving(state, effect);
+      return checkAtMostOneRun(state, effect) ?? checkNoWorkForLeaving(state, effect);
     case 'deliverTokens':
-      return gapless(memory, state, effect);
+      return checkGaplessTokens(memory, state, effect);
     case 'finishRequest':
-      return oneOutcome(memory, state, effect) ?? notRunHasNone(state, effect);
+      return checkOneOutcome(memory, state, effect) ?? checkNotRunHasNone(state, effect);
     case 'sendOrder':
-      return withinLease(memory, state, effect.fence);
+      return checkWithinLease(memory, state, effect.fence);
     case 'askCloud':
-      return withinLease(memory, state, effect.ask.fence);
+      return checkWithinLease(memory, state, effect.ask.fence);
     case 'forgetRequest':
       memory.finished.delete(effect.requestId);
       memory.nextOffset.delete(effect.requestId);
@@ -40,7 +40,7 @@
   }
 }
 
-function atMostOneRun(
+function checkAtMostOneRun(
   state: BoxState,
   effect: Extract<Effect, { type: 'sendAttempt' }>,
 ): Violation | undefined {
@@ -52,7 +52,7 @@
   return { name: InvariantName.atMostOneRun, detail };
 }
 
-function noWorkForLeaving(
+function checkNoWorkForLeaving(
   state: BoxState,
   effect: Extract<Effect, { type: 'sendAttempt' }>,
 ): Violation | undefined {
@@ -64,16 +64,16 @@
   return { name: InvariantName.noWorkForLeaving, detail };
 }
 
-function gapless(
+function checkGaplessTokens(
   memory: InvariantMemory,
   state: BoxState,
   effect: Extract<Effect, { type: 'deliverTokens' }>,
 ): Violation | undefined {
   const { requestId, offset, tokens } = effect;
-  const owed = memory.nextOffset.get(requestId) ?? firstOffset(state, requestId);
+  const expected = memory.nextOffset.get(requestId) ?? firstOffset(state, requestId);
   memory.nextOffset.set(requestId, offset + tokens.length);
-  if (offset === owed) return undefined;
-  const detail = `request ${requestId} got offset ${offset} where ${owed} was owed`;
+  if (offset === expected) return undefined;
+  const detail = `request ${requestId} got offset ${offset} where ${expected} was owed`;
   return { name: InvariantName.gaplessTokens, detail };
 }
 
@@ -83,7 +83,7 @@
   return record === undefined ? 0 : Math.max(record.reconnectOffset, record.handoverOffset);
 }
 
-function oneOutcome(
+function checkOneOutcome(
   memory: InvariantMemory,
   state: BoxState,
   effect: Extract<Effect, { type: 'finishRequest' }>,
@@ -96,7 +96,7 @@
   return undefined;
 }
 
-function notRunHasNone(
+function checkNotRunHasNone(
   state: BoxState,
   effect: Extract<Effect, { type: 'finishRequest' }>,
 ): Violation | undefined {
@@ -108,7 +108,7 @@
   return { name: InvariantName.notRunHasNone, detail };
 }
 
-function withinLease(
+function checkWithinLease(
   memory: InvariantMemory,
   state: BoxState,
   fence: number,
--- a/packages/reedlug-decisions/src/invariants/stateInvariants.ts
+++ b/packages/reedlug-decisions/src/invariants/stateInvariants.ts
@@ -4,9 +4,9 @@
 import { InvariantName, type Violation } from './violation.js';
 
 /** Ticks between two checks of the sums, which walk all requests in progress. */
-const SUMS_EVERY_TICKS = 20;
+const COUNT_CHECK_INTERVAL_TICKS = 20;
 /** How long after its deadline a request may still wait for its outcome, in ms. */
-const OUTCOME_SLACK_MS = 10_000;
+const OUTCOME_GRACE_MS = 10_000;
 
 /** Checks the state; cheap on every event, thorough on some ticks. */
 export function checkState(
@@ -14,14 +14,14 @@
   state: BoxState,
   isTick: boolean,
 ): Violation | undefined {
-  const grown = revisionGrows(memory, state) ?? fenceGrows(memory, state);
-  if (grown !== undefined || !isTick) return grown;
+  const violation = checkRevisionGrows(memory, state) ?? checkFenceGrows(memory, state);
+  if (violation !== undefined || !isTick) return violation;
   memory.ticks += 1;
-  if (memory.ticks % SUMS_EVERY_TICKS !== 0) return undefined;
-  return workspaceSums(state) ?? serverSums(state) ?? everyOutcome(state);
+  if (memory.ticks % COUNT_CHECK_INTERVAL_TICKS !== 0) return undefined;
+  return checkWorkspaceCounts(state) ?? checkServerCounts(state) ?? checkEveryOutcome(state);
 }
 
-function revisionGrows(memory: InvariantMemory, state: BoxState): Violation | undefined {
+function checkRevisionGrows(memory: InvariantMemory, state: BoxState): Violation | undefined {
   const { revision } = state.config;
   if (revision < memory.revision) {
     const detail = `revision ${revision} after ${memory.revision}`;
@@ -31,7 +31,7 @@
   return undefined;
 }
 
-function fenceGrows(memory: InvariantMemory, state: BoxState): Violation | undefined {
+function checkFenceGrows(memory: InvariantMemory, state: BoxState): Violation | undefined {
   const fence = state.lease.held?.fence;
   if (fence === undefined) return undefined;
   if (fence < memory.fence) {
@@ -41,7 +41,7 @@
   return undefined;
 }
 
-function workspaceSums(state: BoxState): Violation | undefined {
+function checkWorkspaceCounts(state: BoxState): Violation | undefined {
   let sum = 0;
   for (const [workspaceId, view] of state.workspaces) {
     if (view.inProgress < 0) {
@@ -55,32 +55,32 @@
   return { name: InvariantName.countsAddUp, detail };
 }
 
-function serverSums(state: BoxState): Violation | undefined {
-  let atServers = 0;
+function checkServerCounts(state: BoxState): Violation | undefined {
+  let serverTotal = 0;
   for (const view of state.servers.values()) {
-    atServers += view.openAttempts.size;
+    serverTotal += view.openAttempts.size;
     if (view.pendingPrefillTokens < 0) {
       const detail = `${view.spec.id} has ${view.pendingPrefillTokens} prompt tokens pending`;
       return { name: InvariantName.countsAddUp, detail };
     }
   }
-  let ofRequests = 0;
+  let requestTotal = 0;
   for (const requestId of state.unsettled) {
     for (const attempt of state.requests.get(requestId)?.attempts ?? []) {
-      if (attempt.open) ofRequests += 1;
+      if (attempt.open) requestTotal += 1;
     }
   }
-  if (atServers === ofRequests) return undefined;
-  const detail = `servers have ${atServers} open attempts, requests ${ofRequests}`;
+  if (serverTotal === requestTotal) return undefined;
+  const detail = `servers have ${serverTotal} open attempts, requests ${requestTotal}`;
   return { name: InvariantName.countsAddUp, detail };
 }
 
-function everyOutcome(state: BoxState): Violation | undefined {
+function checkEveryOutcome(state: BoxState): Violation | undefined {
   for (const requestId of state.unsettled) {
     const record = state.requests.get(requestId);
     if (record === undefined) continue;
     const lateMs = state.nowMs - record.spec.deadlineAtMs;
-    if (lateMs <= OUTCOME_SLACK_MS) continue;
+    if (lateMs <= OUTCOME_GRACE_MS) continue;
     const detail = `request ${requestId} is ${record.phase.kind} ${lateMs} ms after its deadline`;
     return { name: InvariantName.everyOutcome, detail };
   }
