--- a/packages/reedlug-decisions/src/__tests__/__fixtures__/testBox.ts
+++ b/packages/reedlug-decisions/src/__tests__/__fixtures__/testBox.ts
@@ -88,11 +88,11 @@
     if (effect.type !== 'requestTable' || effect.op.kind !== 'scan') continue;
     box.send(0, { type: 'tableAnswered', opId: effect.opId, answer: { kind: 'done', rows: [] } });
   }
-  for (const { id } of settings.servers) hear(box, 0, id);
+  for (const { id } of settings.servers) reportServer(box, 0, id);
 }
 
 /** Lets a server answer a probe. */
-export function hear(box: TestBox, nowMs: number, serverId: string, incarnation = 1): void {
+export function reportServer(box: TestBox, nowMs: number, serverId: string, incarnation = 1): void {
   const spec = box.state.servers.get(serverId)?.spec;
   box.send(nowMs, {
     type: 'serverReported',
--- a/packages/reedlug-decisions/src/__tests__/plans.test.ts
+++ b/packages/reedlug-decisions/src/__tests__/plans.test.ts
@@ -3,7 +3,7 @@
   createTestBox,
   effectOf,
   effectsOf,
-  hear,
+  reportServer,
   testDraft,
   testEngine,
   type TestBox,
@@ -26,7 +26,7 @@
   box.state.config.items.set('poolMove/draft', item);
   box.state.config.revision = 1;
   box.state.epochMs = 1000;
-  hear(box, 5, 'engine-2');
+  reportServer(box, 5, 'engine-2');
   return box;
 }
 
@@ -52,7 +52,7 @@
     const spec = testDraft(`d${index}`, { repeatable: false });
     const sent = effectOf(box.send(20, { type: 'requestArrived', spec }), 'sendAttempt');
     box.send(30, { type: 'attemptLost', attemptId: sent?.attemptId ?? '', reached: true });
-    hear(box, 31, 'engine-2');
+    reportServer(box, 31, 'engine-2');
   }
   const writes = effectsOf(box.send(50, { type: 'tick', epochMs: 1000 }), 'requestTable').flatMap(
     ({ op }) => (op.kind === 'transact' ? op.writes : []),
--- a/packages/reedlug-decisions/src/__tests__/requests.test.ts
+++ b/packages/reedlug-decisions/src/__tests__/requests.test.ts
@@ -3,20 +3,20 @@
   createTestBox,
   effectOf,
   effectsOf,
-  hear,
+  reportServer,
   testDraft,
   testNotice,
   type TestBox,
 } from './__fixtures__/testBox.js';
 import type { Effect } from '../types/effect.js';
 
-function arrive(box: TestBox, nowMs: number, spec: ReturnType<typeof testDraft>): Effect[] {
+function sendRequest(box: TestBox, nowMs: number, spec: ReturnType<typeof testDraft>): Effect[] {
   return box.send(nowMs, { type: 'requestArrived', spec });
 }
 
 test('a lost unkeyed notice is unknown and not sent again', () => {
   const box = createTestBox();
-  const sent = effectOf(arrive(box, 10, testNotice('n1', undefined)), 'sendAttempt');
+  const sent = effectOf(sendRequest(box, 10, testNotice('n1', undefined)), 'sendAttempt');
   const attemptId = sent?.attemptId ?? '';
   const effects = box.send(20, { type: 'attemptLost', attemptId, reached: true });
   expect(effectOf(effects, 'finishRequest')).include({ outcome: 'unknown' });
@@ -25,7 +25,7 @@
 
 test('a notice whose connection was never made goes elsewhere or stays notRun', () => {
   const box = createTestBox();
-  const sent = effectOf(arrive(box, 10, testNotice('n1', undefined)), 'sendAttempt');
+  const sent = effectOf(sendRequest(box, 10, testNotice('n1', undefined)), 'sendAttempt');
   const attemptId = sent?.attemptId ?? '';
   box.send(20, { type: 'attemptRefused', attemptId, reason: 'notConnected' });
   const effects = box.tickThrough(50, 61_000);
@@ -34,7 +34,7 @@
 
 test('a keyed notice leaves only after its claim is confirmed', () => {
   const box = createTestBox();
-  const effects = arrive(box, 10, testNotice('n1', 'k'));
+  const effects = sendRequest(box, 10, testNotice('n1', 'k'));
   expect(effectOf(effects, 'sendAttempt')).equal(undefined);
   const claim = effectOf(effects, 'requestTable');
   const answer = { kind: 'done', rows: [] } as const;
@@ -44,7 +44,7 @@
 
 test('a silent table refuses a keyed notice as notRun', () => {
   const box = createTestBox();
-  arrive(box, 10, testNotice('n1', 'k'));
+  sendRequest(box, 10, testNotice('n1', 'k'));
   const finish = effectOf(box.tickThrough(50, 4000), 'finishRequest');
   expect(finish).include({ outcome: 'notRun', reason: 'claimUnavailable' });
   expect(finish?.retryAfterMs).greaterThan(0);
@@ -52,7 +52,7 @@
 
 test('the outcome in the row answers for a holder that is gone', () => {
   const box = createTestBox();
-  const claim = effectOf(arrive(box, 10, testNotice('n2', 'k')), 'requestTable');
+  const claim = effectOf(sendRequest(box, 10, testNotice('n2', 'k')), 'requestTable');
   const value = {
     digest: 'digest',
     holderId: 'box-2',
@@ -84,7 +84,7 @@
 
 test('a draft resumes elsewhere after the tokens already sent', () => {
   const box = createTestBox();
-  const first = effectOf(arrive(box, 10, testDraft('d1')), 'sendAttempt');
+  const first = effectOf(sendRequest(box, 10, testDraft('d1')), 'sendAttempt');
   const attemptId = first?.attemptId ?? '';
   box.send(20, { type: 'attemptProgress', attemptId, offset: 0, tokens: ['a', 'b'] });
   box.send(30, { type: 'attemptLost', attemptId, reached: true });
@@ -95,7 +95,7 @@
 
 test('late tokens of the first attempt are dropped', () => {
   const box = createTestBox();
-  const first = effectOf(arrive(box, 10, testDraft('d1')), 'sendAttempt');
+  const first = effectOf(sendRequest(box, 10, testDraft('d1')), 'sendAttempt');
   box.send(30, { type: 'attemptLost', attemptId: first?.attemptId ?? '', reached: true });
   box.tickThrough(50, 500);
   const late = { type: 'attemptProgress', attemptId: first?.attemptId ?? '', offset: 0 } as const;
@@ -109,11 +109,11 @@
   const spec = box.state.servers.get('engine-1')?.spec;
   if (spec === undefined) throw new Error('no engine-1');
   box.send(20, { type: 'boxListRead', entries: [{ spec, incarnation: 1, leaving: false }] });
-  hear(box, 30, 'engine-1');
+  reportServer(box, 30, 'engine-1');
   expect(box.state.serverMembers.members.get('engine-1')?.state).equal('leaving');
   for (let index = 0; index < 4; index += 1) {
     const sent = effectOf(
-      arrive(box, 40, testDraft(`d${index}`, { affinityHash: index })),
+      sendRequest(box, 40, testDraft(`d${index}`, { affinityHash: index })),
       'sendAttempt',
     );
     expect(sent?.serverId).not.equal('engine-1');
@@ -124,17 +124,17 @@
   const box = createTestBox();
   const leaves = { type: 'reclaimNoticed', serverId: 'engine-1', incarnation: 1 } as const;
   box.send(10, { ...leaves, leavesAtMs: 9000 });
-  hear(box, 20, 'engine-1', 2);
+  reportServer(box, 20, 'engine-1', 2);
   expect(box.state.serverMembers.members.get('engine-1')?.state).equal('live');
 });
 
 test('what cannot meet its deadline is refused at once', () => {
   const box = createTestBox();
   for (let index = 0; index < 20; index += 1) {
-    arrive(box, 10, testDraft(`d${index}`, { maxTokens: 4000, deadlineAtMs: 600_000 }));
+    sendRequest(box, 10, testDraft(`d${index}`, { maxTokens: 4000, deadlineAtMs: 600_000 }));
   }
   const finish = effectOf(
-    arrive(box, 10, testDraft('late', { deadlineAtMs: 500 })),
+    sendRequest(box, 10, testDraft('late', { deadlineAtMs: 500 })),
     'finishRequest',
   );
   expect(finish).include({ outcome: 'notRun', reason: 'deadline' });
@@ -145,10 +145,10 @@
   const box = createTestBox();
   const running: string[] = [];
   for (let index = 0; index < 12; index += 1) {
-    const sent = effectOf(arrive(box, 10, testDraft(`d${index}`)), 'sendAttempt');
+    const sent = effectOf(sendRequest(box, 10, testDraft(`d${index}`)), 'sendAttempt');
     if (sent !== undefined) running.push(sent.attemptId);
   }
-  arrive(box, 20, testDraft('urgent', { requestClass: 'urgent' }));
+  sendRequest(box, 20, testDraft('urgent', { requestClass: 'urgent' }));
   const attemptId = running[0] ?? '';
   box.send(30, { type: 'attemptProgress', attemptId, offset: 0, tokens: ['x'] });
   const ended = { type: 'attemptEnded', attemptId, totalTokens: 1, cachedTokens: 0 } as const;
@@ -158,7 +158,7 @@
 
 test('a stalled stream is taken as lost', () => {
   const box = createTestBox();
-  const first = effectOf(arrive(box, 10, testDraft('d1')), 'sendAttempt');
+  const first = effectOf(sendRequest(box, 10, testDraft('d1')), 'sendAttempt');
   const attemptId = first?.attemptId ?? '';
   box.send(20, { type: 'attemptProgress', attemptId, offset: 0, tokens: ['a'] });
   const effects = box.tickThrough(50, 4000);
@@ -169,14 +169,14 @@
 test('a box that has heard no source of configuration is not ready', () => {
   const box = createTestBox();
   box.state.configSourceSeen = false;
-  const finish = effectOf(arrive(box, 10, testDraft('d1')), 'finishRequest');
+  const finish = effectOf(sendRequest(box, 10, testDraft('d1')), 'finishRequest');
   expect(finish).include({ outcome: 'notRun', reason: 'notReady' });
 });
 
 test('a draft that cannot end by its deadline is refused at once', () => {
   const box = createTestBox();
   const spec = testDraft('long', { maxTokens: 4000, deadlineAtMs: 50_000 });
-  expect(effectOf(arrive(box, 10, spec), 'finishRequest')).include({
+  expect(effectOf(sendRequest(box, 10, spec), 'finishRequest')).include({
     outcome: 'notRun',
     reason: 'deadline',
   });
@@ -189,7 +189,7 @@
     const news = [{ affinityHash: 7, serverId, tokens: 90 }];
     box.send(10, { type: 'peerMessage', from: 'box-2', message: { kind: 'cacheNews', news } });
     const requestId = `d-${serverId}`;
-    const sent = effectOf(arrive(box, 20, testDraft(requestId)), 'sendAttempt');
+    const sent = effectOf(sendRequest(box, 20, testDraft(requestId)), 'sendAttempt');
     expect(sent?.serverId).equal(serverId);
     const attemptId = sent?.attemptId ?? '';
     box.send(30, { type: 'attemptProgress', attemptId, offset: 0, tokens: ['x'] });
--- a/packages/reedlug-decisions/src/__tests__/windows.test.ts
+++ b/packages/reedlug-decisions/src/__tests__/windows.test.ts
@@ -1,10 +1,10 @@
 import { expect } from 'chai';
-import { createTestBox, hear, testDraft, type TestBox } from './__fixtures__/testBox.js';
+import { createTestBox, reportServer, testDraft, type TestBox } from './__fixtures__/testBox.js';
 import { chooseServer } from '../policy/routing.js';
 import { spareCapacity, updateSharingBoxes } from '../policy/windows.js';
 import { createRecord } from '../slices/requests.js';
 
-function hearPeer(box: TestBox, nowMs: number): void {
+function receiveHeartbeat(box: TestBox, nowMs: number): void {
   box.send(nowMs, {
     type: 'peerMessage',
     from: 'box-2',
@@ -20,37 +20,37 @@
   });
 }
 
-function hot(box: TestBox, nowMs: number, news: 'hot' | 'cool'): void {
-  const item = { serverId: 'engine-1', incarnation: 1, news, leavesInMs: undefined };
+function receiveLoadUpdate(box: TestBox, nowMs: number, news: 'hot' | 'cool'): void {
+  const update = { serverId: 'engine-1', incarnation: 1, news, leavesInMs: undefined };
   box.send(nowMs, {
     type: 'peerMessage',
     from: 'box-2',
-    message: { kind: 'serverNews', news: [item] },
+    message: { kind: 'serverNews', news: [update] },
   });
 }
 
-function room(box: TestBox, nowMs: number): number {
+function capacity(box: TestBox, nowMs: number): number {
   const view = box.state.servers.get('engine-1');
   return view === undefined ? 0 : spareCapacity(box.state, view, 'patient', nowMs);
 }
 
 test('a hot engine leaves a box its exact share', () => {
   const box = createTestBox();
-  hearPeer(box, 10);
+  receiveHeartbeat(box, 10);
   updateSharingBoxes(box.state);
-  expect(room(box, 20)).equal(4);
-  hot(box, 20, 'hot');
-  expect(room(box, 30)).equal(2);
-  hot(box, 40, 'cool');
-  expect(room(box, 50)).equal(4);
+  expect(capacity(box, 20)).equal(4);
+  receiveLoadUpdate(box, 20, 'hot');
+  expect(capacity(box, 30)).equal(2);
+  receiveLoadUpdate(box, 40, 'cool');
+  expect(capacity(box, 50)).equal(4);
 });
 
 test('an engine that is not heard of leaves part of its window', () => {
   const box = createTestBox();
-  expect(room(box, 60_000)).equal(4);
-  hearPeer(box, 60_000);
+  expect(capacity(box, 60_000)).equal(4);
+  receiveHeartbeat(box, 60_000);
   updateSharingBoxes(box.state);
-  expect(room(box, 60_000)).equal(2);
+  expect(capacity(box, 60_000)).equal(2);
 });
 
 test('the first rank counts only engines that a plan allows', () => {
@@ -74,13 +74,13 @@
   const moved = box.state.servers.get('engine-2');
   if (moved === undefined) throw new Error('no engine-2');
   moved.spec = { ...moved.spec, zone: 'zone-b' };
-  hear(box, 20, 'engine-2');
+  reportServer(box, 20, 'engine-2');
   expect(chooseServer(box.state, record, 20)?.spec.id).equal('engine-2');
 });
 
 test('news of another site go on to the own site once', () => {
   const box = createTestBox();
-  hearPeer(box, 10);
+  receiveHeartbeat(box, 10);
   const moved = box.state.servers.get('engine-2');
   if (moved === undefined) throw new Error('no engine-2');
   box.send(20, {
