--- a/packages/reedlug-decisions/src/plans/rules.ts
+++ b/packages/reedlug-decisions/src/plans/rules.ts
@@ -30,7 +30,7 @@
 
 /** The rules for a request. */
 export function rulesFor(state: BoxState, spec: RequestSpec): ServerRules {
-  const offReclaimable = isKeptOffReclaimable(state, spec.requestClass);
+  const offReclaimable = isKeptOff(state, spec.requestClass);
   const move = itemValue<PoolMove>(state, itemName.poolMove(spec.pool));
   if (move === undefined) return { avoidReclaimable: offReclaimable, move: undefined };
   const goesToNew = spec.affinityHash / HASH_RANGE < movedShare(move, state.epochMs);
@@ -48,7 +48,7 @@
   return rules.move.runsAtNewSite === isNew;
 }
 
-function isKeptOffReclaimable(state: BoxState, requestClass: RequestClass): boolean {
+function isKeptOff(state: BoxState, requestClass: RequestClass): boolean {
   const rule = itemValue<KeepOff>(state, itemName.keepOff(requestClass));
   if (rule === undefined) return false;
   return state.epochMs >= rule.startsAtEpochMs && state.epochMs < rule.endsAtEpochMs;
@@ -56,8 +56,5 @@
 
 /** False while any class is kept off reclaimable boxes: placement then buys on demand. */
 export function reclaimableAllowed(state: BoxState): boolean {
-  return (
-    !isKeptOffReclaimable(state, RequestClass.urgent) &&
-    !isKeptOffReclaimable(state, RequestClass.patient)
-  );
+  return !isKeptOff(state, RequestClass.urgent) && !isKeptOff(state, RequestClass.patient);
 }
