--- a/packages/reedlug-decisions/src/plans/rules.ts
+++ b/packages/reedlug-decisions/src/plans/rules.ts
@@ -30,12 +30,12 @@
 
 /** The rules for a request. */
 export function rulesFor(state: BoxState, spec: RequestSpec): ServerRules {
-  const offReclaimable = isKeptOff(state, spec.requestClass);
+  const avoidReclaimable = isKeptOff(state, spec.requestClass);
   const move = itemValue<PoolMove>(state, itemName.poolMove(spec.pool));
-  if (move === undefined) return { avoidReclaimable: offReclaimable, move: undefined };
+  if (move === undefined) return { avoidReclaimable, move: undefined };
   const goesToNew = spec.affinityHash / HASH_RANGE < movedShare(move, state.epochMs);
   return {
-    avoidReclaimable: offReclaimable,
+    avoidReclaimable,
     move: { toSite: move.toSite, runsAtNewSite: goesToNew },
   };
 }
