--- a/packages/reedlug-decisions/src/plans/rules.ts
+++ b/packages/reedlug-decisions/src/plans/rules.ts
@@ -33,10 +33,10 @@
   const avoidReclaimable = isKeptOff(state, spec.requestClass);
   const move = itemValue<PoolMove>(state, itemName.poolMove(spec.pool));
   if (move === undefined) return { avoidReclaimable, move: undefined };
-  const goesToNew = spec.affinityHash / HASH_RANGE < movedShare(move, state.epochMs);
+  const runsAtNewSite = spec.affinityHash / HASH_RANGE < movedShare(move, state.epochMs);
   return {
     avoidReclaimable,
-    move: { toSite: move.toSite, runsAtNewSite: goesToNew },
+    move: { toSite: move.toSite, runsAtNewSite },
   };
 }
 
