--- a/packages/reedlug-decisions/src/types/effect.ts
+++ b/packages/reedlug-decisions/src/types/effect.ts
@@ -1,25 +1,25 @@
-/** Everything that the reducer asks of the outside. Effects are data. */
+/** Effects: the actions that the reducer requests from the daemon, described as data. */
 import type { ConfigSnapshot, Outcome, TableOp } from 'reedlug-coordination';
 import type { CloudRequest, DesiredEngineState } from './order.js';
 import type { PeerMessage, RelayedAnswer } from './peer.js';
 import type { OperatorAnswer } from './plan.js';
 import type { KvTicket, Reason } from './request.js';
 
-/** Timing of a request, for the histograms. */
+/** Timing of a request, for the latency histograms. */
 export interface RequestTimes {
   waitedMs: number | undefined;
   firstTokenMs: number | undefined;
   wholeMs: number;
 }
 
-/** An effect. */
+/** One action that the daemon carries out after an event. */
 export type Effect =
   | {
       type: 'sendAttempt';
       attemptId: string;
       requestId: string;
       serverId: string;
-      /** Tokens of the answer that the caller has; the server goes on after them. */
+      /** Number of answer tokens that the caller already has; the server continues after them. */
       resumeOffset: number;
       kvTicket: KvTicket | undefined;
       timeoutMs: number;
@@ -40,16 +40,16 @@
       outcome: Outcome;
       reason: Reason;
       retryAfterMs: number | undefined;
-      /** The attempt whose answer is the caller's, where a plain service answered. */
+      /** The attempt whose answer goes to the caller; undefined unless a server answered. */
       attemptId: string | undefined;
       status: number | undefined;
       promptTokens: number;
       completionTokens: number;
       cachedTokens: number;
       times: RequestTimes;
-      /** The request that this one followed, where it did. */
+      /** The request that this one followed; undefined if it followed none. */
       sourceRequestId: string | undefined;
-      /** Answer of a plain service that another box relayed. */
+      /** Answer of a plain service that another box relayed; undefined otherwise. */
       answer: RelayedAnswer | undefined;
     }
   | { type: 'requestTable'; opId: string; op: TableOp }
--- a/packages/reedlug-decisions/src/types/event.ts
+++ b/packages/reedlug-decisions/src/types/event.ts
@@ -1,4 +1,4 @@
-/** Everything that the reducer hears of. All times are on the box's monotonic clock. */
+/** Events: the inputs of the reducer. All times are on the box's monotonic clock. */
 import type { TableAnswer, ConfigSnapshot } from 'reedlug-coordination';
 import type { CommandResult, EngineReport } from './order.js';
 import type { PeerMessage } from './peer.js';
@@ -6,14 +6,14 @@
 import type { KvTicket, RefusalReason, RequestSpec } from './request.js';
 import type { ServerSpec } from './settings.js';
 
-/** An entry of the platform's box list; it lags behind reality. */
+/** An entry of the platform's box list, which may be out of date. */
 export interface BoxListEntry {
   spec: ServerSpec;
   incarnation: number;
   leaving: boolean;
 }
 
-/** The variants of an event, without its time. */
+/** The variants of an event, without the time. */
 export type EventBody =
   | { type: 'tick'; epochMs: number }
   | { type: 'requestArrived'; spec: RequestSpec }
--- a/packages/reedlug-decisions/src/types/index.ts
+++ b/packages/reedlug-decisions/src/types/index.ts
@@ -1,4 +1,4 @@
-/** All types of the decisions. */
+/** All types of the decisions package. */
 export * from './effect.js';
 export * from './event.js';
 export * from './order.js';
--- a/packages/reedlug-decisions/src/types/order.ts
+++ b/packages/reedlug-decisions/src/types/order.ts
@@ -1,6 +1,6 @@
-/** Orders to engines and the cloud, and the wanted states behind them. */
+/** Orders to engines, requests to the cloud, and the desired states of engines. */
 
-/** The end state that an engine should reach; an order repeats it, so a second one harms nothing. */
+/** The state that an engine should reach. An order carries all of it, so a repeated order is harmless. */
 export interface DesiredEngineState {
   model: string;
   version: string;
@@ -8,7 +8,7 @@
   role: 'serve' | 'drain';
 }
 
-/** What an engine reports of itself. */
+/** The status that an engine reports about itself. */
 export interface EngineReport {
   incarnation: number;
   running: number;
@@ -19,11 +19,11 @@
   leaving: boolean;
   /** Share of the KV cache in use, 0 to 1. */
   kvUsedShare: number;
-  /** Share of recent prompt tokens found in the cache, 0 to 1. */
+  /** Share of recent prompt tokens that were found in the KV cache, 0 to 1. */
   kvHitShare: number;
 }
 
-/** A request to the cloud. */
+/** A request to the cloud to start or stop a machine. */
 export type CloudRequest =
   | {
       kind: 'start';
@@ -31,12 +31,12 @@
       machineClass: string;
       reclaimable: boolean;
       pool: string;
-      /** Makes a repeated start harmless. */
+      /** Idempotency token of the start: repeating it starts no second machine. */
       startToken: string;
       fence: number;
     }
   | { kind: 'stop'; serverId: string; fence: number };
 
-/** The three-way answer of the cloud and of an order. */
+/** The result of a cloud request or an order; `unknown` means that it may or may not have run. */
 export type CommandResult =
   { kind: 'done' } | { kind: 'refused'; reason: string } | { kind: 'unknown' };
--- a/packages/reedlug-decisions/src/types/peer.ts
+++ b/packages/reedlug-decisions/src/types/peer.ts
@@ -1,4 +1,4 @@
-/** Messages between entry boxes. */
+/** Messages that entry boxes send to each other. */
 import type { ConfigDelta, ConfigSnapshot, Outcome } from 'reedlug-coordination';
 import type { ConfirmedPlan } from './plan.js';
 import type { Reason, RequestSpec } from './request.js';
@@ -9,33 +9,33 @@
   requestsPerSecond: number;
 }
 
-/** Load of a pool's engines in one zone, as the box that probes them sees it. */
+/** Load of a pool's engines in one zone, as reported by the box that probes them. */
 export interface PoolLoad {
   pool: string;
   zone: string;
   engines: number;
   slots: number;
-  /** Requests running or waiting. */
+  /** Number of requests running or waiting. */
   busy: number;
 }
 
-/** An exception about a backend server. */
+/** A change in the state or load of a backend server, announced to peers. */
 export interface ServerUpdate {
   serverId: string;
   incarnation: number;
   news: 'live' | 'silent' | 'leaving' | 'gone' | 'hot' | 'cool';
-  /** Ms from now until it leaves, for `leaving`. */
+  /** Time until the server stops, in ms, for `leaving`. */
   leavesInMs: number | undefined;
 }
 
-/** A conversation whose cached prefix is not where peers would look first. */
+/** The location of a cached prefix that is not at the server that peers would try first. */
 export interface CacheUpdate {
   affinityHash: number;
   serverId: string;
   tokens: number;
 }
 
-/** What a box knows of a request, for another box. */
+/** The progress of a request at one box, sent to a box that follows the request. */
 export interface RequestSnapshot {
   requestId: string;
   workspaceId: string;
@@ -44,18 +44,18 @@
   outcome: Outcome | undefined;
   reason: Reason | undefined;
   status: number | undefined;
-  /** Answer of a plain service; put in and taken out by the daemon. */
+  /** Answer of a plain service, which the daemon fills in on sending and reads on receipt. */
   answer: RelayedAnswer | undefined;
 }
 
-/** The answer of a plain service on its way over the peer link. */
+/** The answer of a plain service as it is sent over the peer link. */
 export interface RelayedAnswer {
   contentType: string;
-  /** The body's bytes, one character each. */
+  /** Bytes of the body, one character per byte. */
   latin1: string;
 }
 
-/** A message to a peer. */
+/** A message to a peer, by kind. */
 export type PeerMessage =
   | {
       kind: 'heartbeat';
@@ -63,7 +63,7 @@
       zone: string;
       revision: number;
       draining: boolean;
-      /** Undefined when it is not their turn; the last ones told stay. */
+      /** Undefined in heartbeats that carry no demands; the receiver keeps the last ones. */
       demands: readonly WorkspaceDemand[] | undefined;
       poolLoads: readonly PoolLoad[];
     }
@@ -86,7 +86,7 @@
       tokens: readonly string[];
       claimHeld: boolean;
       claimVersion: number;
-      /** The caller's body, put in and taken out by the daemon. */
+      /** Body of the caller's request, which the daemon fills in on sending and reads on receipt. */
       payload: string | undefined;
     }
   | { kind: 'handoverTaken'; requestId: string };
--- a/packages/reedlug-decisions/src/types/plan.ts
+++ b/packages/reedlug-decisions/src/types/plan.ts
@@ -1,9 +1,9 @@
-/** Intents, plans and the answers to operators. */
+/** Intents of operators, the plans drafted from them, and the answers to operators. */
 import type { ConfigChange } from 'reedlug-coordination';
 import type { DesiredEngineState } from './order.js';
 import type { RequestClass } from './settings.js';
 
-/** What an operator wants; times are epoch milliseconds. */
+/** A change that an operator wants. Times are epoch milliseconds. */
 export type Intent =
   | {
       kind: 'createWorkspace';
@@ -40,26 +40,26 @@
   | { kind: 'haltMove'; model: string; atShare: number }
   | { kind: 'restore'; changes: readonly ConfigChange[] };
 
-/** One step of a plan. */
+/** One step of a plan, for display to the operator. */
 export interface PlanStep {
   atEpochMs: number;
   text: string;
 }
 
-/** A revision that a plan rests on; 0 means that the item must not exist. */
+/** The revision of an item for which a plan was drafted; 0 means that the item must not exist. */
 export interface PlanBasis {
   name: string;
   revision: number;
 }
 
-/** A self-contained plan: any box can check and confirm it. */
+/** A self-contained plan, which any box can check and confirm. */
 export interface Plan {
   planId: string;
   operatorId: string;
   createdAtEpochMs: number;
   intent: Intent;
   steps: readonly PlanStep[];
-  /** Boxes that the plan starts and stops. */
+  /** Machines that the plan starts (positive `countDelta`) and stops (negative). */
   boxes: readonly {
     zone: string;
     machineClass: string;
@@ -68,24 +68,24 @@
   }[];
   costPerHourBefore: number;
   costPerHourAfter: number;
-  /** Cached tokens that may have to be recomputed. */
+  /** Number of cached tokens that may have to be recomputed. */
   tokensAtStake: number;
   risks: readonly string[];
   changes: readonly ConfigChange[];
-  /** What undoes it: the same items as they are now. */
+  /** Changes that undo the plan: the same items with their values at the time of drafting. */
   undo: readonly ConfigChange[];
   basis: readonly PlanBasis[];
   digest: string;
 }
 
-/** What an operator asks. */
+/** A request from an operator. */
 export type OperatorRequest =
   | { kind: 'plan'; operatorId: string; intent: Intent; planId: string }
   | { kind: 'confirm'; plan: Plan }
   | { kind: 'listPlans' }
   | { kind: 'undo'; operatorId: string; planId: string; newPlanId: string };
 
-/** A confirmed plan as the log keeps it. */
+/** A confirmed plan as it is kept in the configuration log. */
 export interface ConfirmedPlan {
   planId: string;
   operatorId: string;
@@ -94,7 +94,7 @@
   undo: readonly ConfigChange[];
 }
 
-/** The answer to an operator. */
+/** The answer to a request from an operator. */
 export type OperatorAnswer =
   | { kind: 'planned'; plan: Plan }
   | { kind: 'invalid'; faults: readonly string[] }
--- a/packages/reedlug-decisions/src/types/request.ts
+++ b/packages/reedlug-decisions/src/types/request.ts
@@ -1,29 +1,29 @@
-/** A caller's request, its attempts and its record. */
+/** Types of a caller's request, its attempts and its record. */
 import type { AttemptLedger, Outcome, Reach } from 'reedlug-coordination';
 import type { RequestClass, ServerKind } from './settings.js';
 
-/** A request as it was accepted from a caller; the body stays with the daemon. */
+/** A request as it was received from a caller. The daemon keeps the body. */
 export interface RequestSpec {
   requestId: string;
   workspaceId: string;
   requestClass: RequestClass;
   kind: ServerKind;
-  /** Model or service name. */
+  /** Name of the model or service. */
   pool: string;
-  /** Model version that the caller expects; empty for any. */
+  /** Model version that the caller expects; empty for any version. */
   version: string;
   repeatable: boolean;
   idempotencyKey: string | undefined;
-  /** Digest of method, path and body. */
+  /** Digest of the method, the path and the body. */
   digest: string;
   deadlineAtMs: number;
-  /** Hash of workspace plus conversation or prompt prefix. */
+  /** Hash of the workspace and the conversation or prompt prefix. */
   affinityHash: number;
   promptTokens: number;
   maxTokens: number;
 }
 
-/** Why a request was refused or given up. */
+/** Why a request was settled with its outcome. */
 export const Reason = {
   draining: 'draining',
   notReady: 'notReady',
@@ -50,7 +50,7 @@
 } as const;
 export type RefusalReason = (typeof RefusalReason)[keyof typeof RefusalReason];
 
-/** One try of a request at one server. */
+/** One attempt to run a request at one server. */
 export interface Attempt {
   attemptId: string;
   serverId: string;
@@ -59,11 +59,11 @@
   progressAtMs: number;
   firstTokenAtMs: number | undefined;
   reach: Reach;
-  /** True while the attempt holds a place at its server. */
+  /** True while the attempt occupies a slot at its server. */
   open: boolean;
 }
 
-/** Where a request stands. */
+/** The phase that a request is in. */
 export type RequestPhase =
   | { kind: 'claiming'; sinceMs: number }
   | { kind: 'queued'; sinceMs: number; notBeforeMs: number }
@@ -72,12 +72,12 @@
   | {
       kind: 'following';
       sourceRequestId: string;
-      /** The box that was asked; undefined while all peers are asked. */
+      /** The box that is asked; undefined while all peers are asked. */
       holderId: string | undefined;
-      /** Until when an answer is waited for; moved on by each answer. */
+      /** When following stops unless an answer arrives; each answer extends it. */
       giveUpAtMs: number;
       nextLookupAtMs: number;
-      /** True once the claim's row is read again, after nobody had the request. */
+      /** True once the claim's row is read again because no peer had the request. */
       rereadingClaim: boolean;
     }
   | { kind: 'handing'; toBoxId: string; sinceMs: number; tries: number }
@@ -89,41 +89,41 @@
       atMs: number;
     };
 
-/** Everything that a box holds about a request. */
+/** The state of a request at a box. */
 export interface RequestRecord {
   spec: RequestSpec;
   arrivedAtMs: number;
   phase: RequestPhase;
   attempts: Attempt[];
   ledger: AttemptLedger;
-  /** Tokens handed to the caller so far. */
+  /** Number of tokens delivered to the caller so far. */
   deliveredCount: number;
-  /** True while a claim row of this box is open for it. */
+  /** True while this box holds the claim of the request in the table. */
   claimHeld: boolean;
   claimVersion: number;
-  /** Where the KV cache of a moved run waits. */
+  /** Ticket for the exported KV cache of a moved run. */
   kvTicket: KvTicket | undefined;
-  /** Servers that refused or lost it; avoided while others remain. */
+  /** Servers that refused or lost the request; used only if no other server is available. */
   avoidedServers: Set<string>;
   cachedTokens: number;
-  /** Expected work, used in the queues. */
+  /** Expected work in prompt-token equivalents, used by the queues. */
   cost: number;
   waitedMs: number | undefined;
   firstTokenMs: number | undefined;
-  /** True while a retry has not yet been granted by the budget. */
+  /** True while a retry still has to be granted by the retry budget. */
   needsRetryBudget: boolean;
-  /** When the caller's connection went away, while its stream is kept for a reconnect. */
+  /** When the caller disconnected; the stream is kept for a reconnect. */
   callerGoneAtMs: number | undefined;
-  /** Offset below which a reconnected caller already has the tokens. */
+  /** Number of tokens that a reconnected caller already has. */
   reconnectOffset: number;
-  /** Tokens that the caller had when another box handed the request over. */
+  /** Number of tokens that the caller had when another box handed the request over. */
   handoverOffset: number;
 }
 
-/** Names exported KV cache at its source. */
+/** Identifies exported KV cache at its source server. */
 export interface KvTicket {
   ticketId: string;
   sourceServerId: string;
-  /** Offset of the next token of the answer. */
+  /** Offset of the next answer token. */
   offset: number;
 }
--- a/packages/reedlug-decisions/src/types/settings.ts
+++ b/packages/reedlug-decisions/src/types/settings.ts
@@ -1,10 +1,10 @@
-/** Settings that the decisions rest on; plain data, checked before it gets here. */
+/** Settings of the decisions package, as plain data that the caller has already validated. */
 
 /** How urgent a request is. */
 export const RequestClass = { urgent: 'urgent', patient: 'patient' } as const;
 export type RequestClass = (typeof RequestClass)[keyof typeof RequestClass];
 
-/** How engines are chosen. All but `affinity` are baselines to measure against. */
+/** How engines are chosen. All policies except `affinity` are baselines for comparison. */
 export const RoutingPolicy = {
   affinity: 'affinity',
   roundRobin: 'roundRobin',
@@ -13,11 +13,11 @@
 } as const;
 export type RoutingPolicy = (typeof RoutingPolicy)[keyof typeof RoutingPolicy];
 
-/** How the number of requests in progress at an engine is bounded. */
+/** How the number of requests in progress at an engine is limited. */
 export const WindowPolicy = { fixed: 'fixed', cacheAware: 'cacheAware' } as const;
 export type WindowPolicy = (typeof WindowPolicy)[keyof typeof WindowPolicy];
 
-/** How boxes are bought. */
+/** How machine offers are chosen. */
 export const PlacementPolicy = {
   effectivePrice: 'effectivePrice',
   cheapestFirst: 'cheapestFirst',
@@ -25,11 +25,11 @@
 } as const;
 export type PlacementPolicy = (typeof PlacementPolicy)[keyof typeof PlacementPolicy];
 
-/** How many engines a pool has: by its load, or as many as the settings list. */
+/** How the size of a pool is chosen: by its load, or the number of servers in the settings. */
 export const SizingPolicy = { byLoad: 'byLoad', fixed: 'fixed' } as const;
 export type SizingPolicy = (typeof SizingPolicy)[keyof typeof SizingPolicy];
 
-/** What a backend server is. */
+/** The kind of a backend server. */
 export const ServerKind = { engine: 'engine', service: 'service' } as const;
 export type ServerKind = (typeof ServerKind)[keyof typeof ServerKind];
 
@@ -38,50 +38,50 @@
   id: string;
   kind: ServerKind;
   zone: string;
-  /** Model name of an engine, service name of a plain service. */
+  /** Model name of an engine, or service name of a plain service. */
   pool: string;
-  /** Version of the model that requests expect; empty where none is stated. */
+  /** Model version that requests may ask for; empty if none is stated. */
   version: string;
-  /** Requests that the server runs at once. */
+  /** Number of requests that the server runs concurrently. */
   slots: number;
   machineClass: string;
   reclaimable: boolean;
-  /** False when the server takes orders without looking at their fence. */
+  /** False if the server accepts orders without checking their fencing token. */
   checksFence: boolean;
-  /** Where it listens, such as `http://10.0.0.7:8000`. */
+  /** Base URL, such as `http://10.0.0.7:8000`. */
   address: string;
 }
 
 /** An availability zone. */
 export interface ZoneSpec {
   name: string;
-  /** The site (region) that the zone belongs to. */
+  /** Site (region) that the zone belongs to. */
   site: string;
 }
 
-/** A machine class that the cloud offers in a zone. */
+/** A machine class that the cloud offers in a zone, with its price and reclaim rate. */
 export interface OfferSpec {
   machineClass: string;
   zone: string;
   reclaimable: boolean;
   pricePerHour: number;
-  /** Expected reclaims an hour of one box of this kind. */
+  /** Expected reclaims per hour of one machine of this kind. */
   reclaimsPerHour: number;
 }
 
-/** A pool of engines that placement keeps at size. */
+/** A pool of engines whose size placement maintains. */
 export interface PoolSpec {
   model: string;
   version: string;
   slotsPerEngine: number;
   minEngines: number;
   maxEngines: number;
-  /** Engines that are kept on demand for urgent work. */
+  /** Minimum number of on-demand engines, kept for urgent requests. */
   onDemandFloor: number;
   checksFence: boolean;
 }
 
-/** Limits of one workspace over all boxes. */
+/** Limits of one workspace across all boxes. */
 export interface WorkspaceLimits {
   id: string;
   requestsPerSecond: number;
@@ -97,11 +97,11 @@
   peerAddress: string;
 }
 
-/** What a deployment weighs; the two users differ only here. */
+/** Weights of the routing cost; deployments differ only in these. */
 export interface CostWeights {
   /** Cost of recomputing 1,000 prompt tokens. */
   recomputePerThousandTokens: number;
-  /** Cost of one second that a request waits. */
+  /** Cost of one second of waiting for a request. */
   waitPerSecond: number;
 }
 
@@ -111,51 +111,51 @@
   window: WindowPolicy;
   placement: PlacementPolicy;
   sizing: SizingPolicy;
-  /** Share of a pool's slots that should be in use; lower keeps more caches warm. */
+  /** Target share of a pool's slots in use; a lower share keeps more caches warm. */
   targetUse: number;
-  /** Move KV cache off engines that leave. */
+  /** Whether the KV cache is moved off draining engines. */
   kvMove: boolean;
-  /** Route over the engines of the whole site, or of the box's own zone first. */
+  /** True to route across the whole site, false to prefer engines in the box's own zone. */
   routeOverSite: boolean;
   weights: CostWeights;
-  /** Slots of each engine that patient requests leave free. */
+  /** Slots of each engine that patient requests may not use. */
   urgentReservedSlots: number;
-  /** One of this many dispatches goes to a patient request that waits. */
+  /** After this many urgent dispatches in a row, a waiting patient request is dispatched. */
   patientFloorEvery: number;
-  /** A patient request waits at most this long for the engine that has its prefix. */
+  /** Longest wait of a patient request for a full engine that is cheaper, such as the one with its prefix. */
   longestHoldMs: number;
-  /** Requests beyond the slots that may wait inside an engine. */
+  /** Number of requests beyond the slots that may wait inside an engine. */
   engineQueueAllowance: number;
   retryShare: number;
   retryCapacity: number;
   retryBaseMs: number;
   retryCapMs: number;
-  /** After this long without an answer an urgent repeatable look-up is tried a second time. */
+  /** Time without an answer after which an urgent repeatable look-up is sent to a second server. */
   secondTryAfterMs: number;
-  /** First token that an answer should have, by class. */
+  /** Target time to first token of each request class. */
   urgentTargetMs: number;
   patientTargetMs: number;
-  /** A pool's move halts when more than this share of answers at the new site miss their target. */
+  /** A pool move halts when more than this share of answers at the new site miss their target. */
   haltMissShare: number;
-  /** Typical prompt work and generation speed, used until measured. */
+  /** Typical speeds of prefill and generation, used where no measurement exists. */
   prefillTokensPerMs: number;
   interTokenMs: number;
-  /** Speed of a KV move between engines. */
+  /** Speed of a KV cache transfer between engines. */
   kvTokensPerMs: number;
   crossZoneMs: number;
 }
 
-/** Times and sizes of the control part. */
+/** Intervals, timeouts and batch sizes of the control functions. */
 export interface ControlSettings {
   heartbeatMs: number;
-  /** One heartbeat in so many carries the demand of busy workspaces. */
+  /** Every n-th heartbeat carries the demand of busy workspaces. */
   demandsEveryHeartbeats: number;
   suspectAfterMs: number;
   deadAfterMs: number;
   probeEveryMs: number;
   probeFailuresToSuspect: number;
   configPollMs: number;
-  /** Revisions between two snapshots to the object store. */
+  /** Number of revisions between two snapshots to the object store. */
   snapshotEveryRevisions: number;
   leaseTtlMs: number;
   leaseMarginMs: number;
@@ -163,28 +163,28 @@
   maxOrderFlightMs: number;
   claimGroupSize: number;
   claimTimeoutMs: number;
-  /** No new work reaches a server this long after the first word that it leaves. */
+  /** Time after the first draining notice beyond which a server must receive no new requests. */
   leavingGraceMs: number;
   stallMs: number;
   firstTokenTimeoutMs: number;
   serviceTimeoutMs: number;
-  /** How long outcomes are kept for later questions. */
+  /** How long the records of settled requests are kept for look-ups. */
   retentionMs: number;
   lookupTimeoutMs: number;
   drainNotReadyMs: number;
-  /** How long a stream is kept for a caller that lost its connection. */
+  /** How long a stream is kept for a caller that has disconnected. */
   reconnectGraceMs: number;
-  /** Open requests are handed to peers this long before the box itself is reclaimed. */
+  /** Time before the reclaim of the box at which its open requests are handed to peers. */
   handoverMs: number;
   placementEveryMs: number;
   startBackoffMs: number;
-  /** Loads of model weights that one site asks of the weight store in a minute. */
+  /** Rate at which one site may load model weights from the weight store, per minute. */
   weightLoadsPerMinute: number;
-  /** Notice that placement gives before it stops an engine. */
+  /** Time between the announced retirement of an engine and its stop. */
   retireMs: number;
 }
 
-/** All settings of one box's decisions. */
+/** All settings that the decisions of one box depend on. */
 export interface DecisionSettings {
   boxId: string;
   zone: string;
@@ -195,7 +195,7 @@
   offers: readonly OfferSpec[];
   pools: readonly PoolSpec[];
   workspaces: readonly WorkspaceLimits[];
-  /** Services that remove duplicates themselves, so that a keyed request may run without the table. */
+  /** Services that deduplicate requests themselves, so a keyed request may run without the table. */
   deduplicatingServices: readonly string[];
   policy: PolicySettings;
   control: ControlSettings;
