--- a/packages/reedlug-decisions/src/defaults.ts
+++ b/packages/reedlug-decisions/src/defaults.ts
@@ -1,4 +1,4 @@
-/** Defaults of the policy and control settings; chosen by measurement where docs/measurements.md says so. */
+/** Default policy and control settings; docs/measurements.md holds the measurements behind them. */
 import {
   PlacementPolicy,
   RoutingPolicy,
@@ -8,7 +8,7 @@
   type PolicySettings,
 } from './types/settings.js';
 
-/** The policy without any tuning. */
+/** Default policy settings. */
 export const DEFAULT_POLICY: PolicySettings = {
   routing: RoutingPolicy.affinity,
   window: WindowPolicy.fixed,
@@ -36,7 +36,7 @@
   crossZoneMs: 1.5,
 };
 
-/** Times and sizes of the control part. */
+/** Default intervals, timeouts and batch sizes of the control functions. */
 export const DEFAULT_CONTROL: ControlSettings = {
   heartbeatMs: 1000,
   demandsEveryHeartbeats: 5,
--- a/packages/reedlug-decisions/src/index.ts
+++ b/packages/reedlug-decisions/src/index.ts
@@ -1,4 +1,4 @@
-/** The decisions of reedlug: state, reducer, invariants, policies and plans. */
+/** The decisions of reedlug as a reducer over events: state, policies, plans and invariants. */
 export * from './defaults.js';
 export * from './invariants/index.js';
 export * from './mutations.js';
--- a/packages/reedlug-decisions/src/mutations.ts
+++ b/packages/reedlug-decisions/src/mutations.ts
@@ -1,31 +1,31 @@
 /**
- * Deliberate faults by which the checker itself is checked. None is ever on in
- * production; each breaks one invariant.
+ * Injected faults that test the checker itself. Each one breaks an invariant;
+ * none is enabled in production.
  */
 export const Mutation = {
-  /** Sends a request again that may not be repeated. */
+  /** Retries a request that may not be repeated. */
   retryNonRepeatable: 'retryNonRepeatable',
-  /** Calls a lost request `notRun`. */
+  /** Reports `notRun` for a lost request. */
   callLossNotRun: 'callLossNotRun',
-  /** Tells an outcome twice. */
+  /** Reports an outcome twice. */
   settleTwice: 'settleTwice',
-  /** Forgets a request that goes back to its queue. */
+  /** Drops a request that should go back to its queue. */
   forgetRequeued: 'forgetRequeued',
-  /** Takes tokens of any attempt, whatever their offset. */
+  /** Delivers the tokens of any attempt, whatever their offset. */
   takeAnyTokens: 'takeAnyTokens',
-  /** Believes a list that says that a leaving server lives. */
+  /** Trusts the box list although a server is known to be draining. */
   trustStaleList: 'trustStaleList',
-  /** Applies a late revision over a newer one. */
+  /** Applies an older revision over a newer one. */
   applyOlderRevision: 'applyOlderRevision',
-  /** Takes the lease under the first fence again. */
+  /** Acquires the lease with a fencing token that was used before. */
   reuseFence: 'reuseFence',
-  /** Sends orders after the lease's margin. */
+  /** Sends orders after the safety margin of the lease has begun. */
   skipLeaseMargin: 'skipLeaseMargin',
-  /** Does not give a place at a server back. */
+  /** Does not release the slot of a closed attempt. */
   leakPlace: 'leakPlace',
   /** Sends a keyed request before its claim is confirmed. */
   skipClaim: 'skipClaim',
-  /** Runs a keyed request again when the claim's holder is gone. */
+  /** Runs a keyed request again when the holder of its claim is gone. */
   rerunWhenHolderGone: 'rerunWhenHolderGone',
 } as const;
 export type Mutation = (typeof Mutation)[keyof typeof Mutation];
--- a/packages/reedlug-decisions/src/reduce.ts
+++ b/packages/reedlug-decisions/src/reduce.ts
@@ -1,7 +1,7 @@
 /**
- * The reducer over all events: the one place where events meet the slices.
+ * The reducer, which passes each event to the slice that handles it.
  *
- * State is mutated in place; what is asked of the outside comes back as data.
+ * The state is mutated in place; requested actions are returned as data (effects).
  */
 import type { Effect } from './types/effect.js';
 import type { BoxEvent, EventOf } from './types/event.js';
@@ -51,7 +51,7 @@
 import { probeServers } from './slices/probes.js';
 import { onCallerGone, requestsTick } from './slices/timers.js';
 
-/** Takes an event; returns what is asked of the outside. */
+/** Applies an event to the state and returns the resulting effects. */
 export function reduce(state: BoxState, event: BoxEvent): Effect[] {
   state.nowMs = Math.max(state.nowMs, event.nowMs);
   const step: Step = { nowMs: state.nowMs, effects: [] };
--- a/packages/reedlug-decisions/src/state.ts
+++ b/packages/reedlug-decisions/src/state.ts
@@ -1,8 +1,8 @@
 /**
- * State of one box's decisions.
+ * State of the decisions of one box.
  *
- * Slices mutate their own part in place: copying maps of thousands of engines
- * for each event does not fit the processor share that control may use.
+ * Slices mutate their own part of the state in place: copying maps of thousands
+ * of engines for each event would exceed the processor share of the control functions.
  */
 import {
   createConfigReplica,
@@ -28,65 +28,65 @@
 import type { RequestRecord } from './types/request.js';
 import type { DecisionSettings, ServerSpec, WorkspaceLimits } from './types/settings.js';
 
-/** What the box holds about a backend server besides its membership. */
+/** The state that a box keeps about a backend server, except its membership. */
 export interface ServerView {
   spec: ServerSpec;
   idHash: number;
-  /** Ids of this box's open attempts there. */
+  /** Ids of this box's open attempts at the server. */
   openAttempts: Set<string>;
-  /** Prompt tokens of this box's attempts that have no first token yet. */
+  /** Prompt tokens of this box's attempts that have not returned a first token yet. */
   pendingPrefillTokens: number;
   report: EngineReport | undefined;
   reportedAtMs: number;
-  /** This box's open attempts when the report was made. */
+  /** Number of this box's open attempts when the report was received. */
   openAttemptsAtReport: number;
   probeFailures: number;
-  /** Measured time between tokens, smoothed; 0 until measured. */
+  /** Smoothed time between tokens, in ms; 0 until measured. */
   interTokenMs: number;
   /** Window of the cache-aware policy, in requests. */
   cacheAwareWindow: number;
-  /** Sequence number of the last cache event. */
+  /** Sequence number of the last cache event that was received. */
   cacheSequence: number;
-  /** True after a gap in the cache events, until the engine's own figures agree again. */
+  /** True after a gap in the cache events, until the engine reports matching cached tokens. */
   cacheUncertain: boolean;
   exportBusyUntilMs: number;
-  /** Until when the server counts as nearly full, by the box that probes it. */
+  /** Until when the server counts as hot (nearly full), as reported by the box that probes it. */
   hotUntilMs: number;
-  /** When this box last told its peers that the server is hot; undefined when it is not. */
+  /** When this box last announced to its peers that the server is hot; undefined if it is not. */
   hotAnnouncedAtMs: number | undefined;
-  /** This box's place at the server, worked out when the live boxes have changed. */
+  /** This box's rank at the server, recomputed when `version` is not that of the sharing boxes. */
   cachedShareRank: { version: number; shareRank: number };
 }
 
-/** The live boxes that share a zone's servers, as hashes of their ids. */
+/** The live boxes that share the servers of a zone, as hashes of their ids. */
 export interface SharingBoxes {
-  /** Grows when the boxes change. */
+  /** Increases when the set of boxes changes. */
   version: number;
   idsKey: string;
   hashes: readonly number[];
 }
 
-/** The queues of one pool. */
+/** The queues of one pool and their measured throughput. */
 export interface PoolQueues {
   urgent: FairQueue;
   patient: FairQueue;
-  /** Urgent dispatches since the last patient one. */
+  /** Number of urgent dispatches since the last patient one. */
   urgentStreak: number;
-  /** Work dispatched since the last heartbeat, in the units of a request's cost. */
+  /** Sum of the costs of the requests dispatched since the last heartbeat. */
   dispatchedCost: number;
-  /** Work dispatched in one ms while requests waited, smoothed; 0 until measured. */
+  /** Smoothed cost dispatched per ms while requests waited; 0 until measured. */
   drainPerMs: number;
-  /** Time between tokens over the pool's engines, smoothed; 0 until measured. */
+  /** Smoothed time between tokens across the pool's engines, in ms; 0 until measured. */
   interTokenMs: number;
 }
 
-/** Where a conversation's cached prefix was last seen. */
+/** The server where the cached prefix of a conversation was last seen. */
 export interface PrefixLocation {
   serverId: string;
   tokens: number;
 }
 
-/** A box among the peers. */
+/** The last heartbeat data of a peer. */
 export interface PeerView {
   revision: number;
   draining: boolean;
@@ -94,19 +94,19 @@
   poolLoads: readonly PoolLoad[];
 }
 
-/** One workspace's limit at this box. */
+/** The limits and demand of a workspace at this box. */
 export interface WorkspaceView {
   limits: WorkspaceLimits;
   bucket: TokenBucket;
   sharePerSecond: number;
-  /** Requests asked for since the last heartbeat. */
+  /** Number of requests received since the last heartbeat. */
   asked: number;
   demandPerSecond: number;
-  /** Unsettled requests at this box. */
+  /** Number of unsettled requests at this box. */
   inProgress: number;
 }
 
-/** What a table operation under way is for. */
+/** The purpose of a table operation in flight. */
 export type TableOpPurpose =
   | { kind: 'claims'; group: ClaimGroup }
   | { kind: 'claimOutcomes'; requestIds: readonly string[] }
@@ -115,11 +115,11 @@
   | { kind: 'configScan' }
   | { kind: 'confirm'; askId: string; plan: Plan; tries: number; step: ConfirmStep };
 
-/** Steps of confirming a plan. */
+/** A step of confirming a plan. */
 export type ConfirmStep =
   { kind: 'write'; revision: number } | { kind: 'readBack'; revision: number };
 
-/** A start or stop asked of the cloud and not yet seen in the box list. */
+/** A start that was requested from the cloud and is not yet in the box list. */
 export interface PendingStart {
   askId: string;
   sentAtMs: number;
@@ -129,27 +129,27 @@
   pool: string;
 }
 
-/** A refused kind of box, left alone for a while. */
+/** Back-off of an offer whose starts were refused. */
 export interface OfferBackoff {
   untilMs: number;
   refusals: number;
 }
 
-/** Answers of a moving pool at its new site, in one window. */
+/** Counts of the answers of a moving pool at its new site within one time window. */
 export interface MoveWatch {
   sinceMs: number;
   seen: number;
   missed: number;
 }
 
-/** A confirm that is in the table and waits to be in force at the peers. */
+/** A confirmed plan that is in the table and is not yet known to be in force in every zone. */
 export interface PendingConfirm {
   askId: string;
   revision: number;
   untilMs: number;
 }
 
-/** The whole state. */
+/** The whole state of the decisions of one box. */
 export interface BoxState {
   settings: DecisionSettings;
   random: RandomGenerator;
@@ -158,30 +158,30 @@
   idCounter: number;
 
   requests: Map<string, RequestRecord>;
-  /** Requests that are not settled. */
+  /** Ids of the requests that are not settled. */
   unsettled: Set<string>;
-  /** Settled requests in the order in which they were settled. */
+  /** Ids of the settled requests, in the order in which they were settled. */
   settledOrder: string[];
   pools: Map<string, PoolQueues>;
   workspaces: Map<string, WorkspaceView>;
-  /** Boxes that share the windows of each zone's servers. */
+  /** Boxes that share the windows of the servers of each zone, by zone. */
   sharingBoxes: Map<string, SharingBoxes>;
 
   servers: Map<string, ServerView>;
   serversByPool: Map<string, ServerView[]>;
   serversByZone: Map<string, ServerView[]>;
   serversByPoolSite: Map<string, ServerView[]>;
-  /** Servers that this box probes, for one set of live boxes and known servers. */
+  /** Servers that this box probes; `key` names the live boxes and servers it was computed for. */
   probedServers: { key: string; views: readonly ServerView[] };
   serverMembers: Membership;
-  /** Servers that leave, for boxes that are new to us. */
+  /** Ids of draining servers, which are announced to newly seen boxes. */
   drainingServers: Set<string>;
   roundRobinTurn: number;
   prefixLocations: Map<number, PrefixLocation>;
-  /** Where the peers believe a conversation's prefix to be, where it is not the first rank. */
+  /** The server at which peers expect a prefix, where it is not the first-ranked one. */
   announcedPrefixServers: Map<number, string>;
   pendingCacheUpdates: CacheUpdate[];
-  /** Share of prompt tokens found at the first-ranked engine without a sight, smoothed. */
+  /** Smoothed share of prompt tokens found in the cache when no prefix location was known. */
   priorHitShare: number;
 
   boxMembers: Membership;
@@ -202,43 +202,43 @@
   nextCatchUpAtMs: number;
   configScanInFlight: boolean;
   configSourceSeen: boolean;
-  /** True once the replica had every revision it had heard of. */
+  /** True once the replica had reached the highest revision that it knew of. */
   caughtUpOnce: boolean;
   lastSnapshotRevision: number;
   confirmedPlans: ConfirmedPlan[];
   pendingConfirms: PendingConfirm[];
-  /** Answers at the new site of pools on a move, since a time. */
+  /** Counts of answers at the new site of pools on a move, by model. */
   moveWatches: Map<string, MoveWatch>;
 
   lease: LeaseState;
   nextLeasePollAtMs: number;
-  /** Loads of weights that may be ordered now. */
+  /** Limits how many model weight loads are ordered. */
   weightLoadBucket: TokenBucket;
   ordersSent: Map<string, { atMs: number; wantedKey: string }>;
   pendingStarts: Map<string, PendingStart>;
   offerBackoff: Map<string, OfferBackoff>;
   nextPlacementAtMs: number;
-  /** Smoothed load of each pool, in requests. */
+  /** Smoothed load of each pool, in requests, by model. */
   smoothedPoolLoad: Map<string, number>;
-  /** When a reclaim that placement had not asked for was last told. */
+  /** When the last reclaim notice for a server was received. */
   lastReclaimAtMs: number;
-  /** When a stop of a server was last asked of the cloud. */
+  /** When the stop of a server was last requested from the cloud, by server id. */
   stopsRequestedAtMs: Map<string, number>;
 
   retryBudget: RetryBudget;
   draining: { sinceMs: number; leavesAtMs: number | undefined } | undefined;
   stoppedReported: boolean;
-  /** Deliberate faults for tests of the checker; empty in production. */
+  /** Injected faults for tests of the checker; empty in production. */
   mutations: ReadonlySet<Mutation>;
 }
 
-/** Time and effects of the event at hand. */
+/** The time and the effects of the event that is being handled. */
 export interface Step {
   nowMs: number;
   effects: Effect[];
 }
 
-/** Returns the state of a box that has just started. */
+/** Returns the initial state of a box. */
 export function createBoxState(params: {
   settings: DecisionSettings;
   seed: number;
@@ -325,24 +325,24 @@
   };
 }
 
-/** The site of a zone; the zone's own name when the settings do not know it. */
+/** Returns the site of a zone, or the zone's name if the settings do not contain it. */
 export function siteOfZone(settings: DecisionSettings, zone: string): string {
   return settings.zones.find((spec) => spec.name === zone)?.site ?? zone;
 }
 
-/** Key of a pool's servers at one site. */
+/** Returns the key of a pool's servers at one site. */
 export function poolSiteKey(pool: string, site: string): string {
   return `${pool}@${site}`;
 }
 
-/** An id that no other box and no earlier life of this box has used. */
+/** Returns an id that no other box and no earlier incarnation of this box uses. */
 export function nextId(state: BoxState, prefix: string): string {
   state.idCounter += 1;
   const { boxId, incarnation } = state.settings;
   return `${prefix}-${boxId}-${incarnation}-${state.idCounter}`;
 }
 
-/** A random number in [0, 1). */
+/** Returns a pseudo-random number in [0, 1). */
 export function nextRandom(state: BoxState): number {
   const RANGE = 0x1_0000_0000;
   return (state.random.unsafeNext() >>> 0) / RANGE;
