--- a/packages/reedlug-decisions/src/policy/cacheView.ts
+++ b/packages/reedlug-decisions/src/policy/cacheView.ts
@@ -1,26 +1,26 @@
 /**
- * Where cached prefixes are, as far as this box has seen.
+ * Locations of cached prefixes, as far as this box knows them.
  *
- * Cache events are late and have gaps. A gap makes a server's sights
+ * Cache events arrive late and with gaps. A gap makes the locations at a server
  * uncertain; the cached tokens that an engine reports with each answer correct
- * the view. Without a sight, the first-ranked engine is credited with the
- * share of prompt tokens that such requests were found to hit.
+ * this view. Without a known location, the first-ranked engine is expected to hold
+ * the share of prompt tokens that earlier requests of this kind found in its cache.
  */
 import type { EventOf } from '../types/event.js';
 import type { CacheUpdate } from '../types/peer.js';
 import type { RequestSpec } from '../types/request.js';
 import type { BoxState, ServerView } from '../state.js';
 
-/** Sights kept; the oldest goes first. */
+/** Maximum number of prefix locations kept; the oldest is dropped first. */
 export const MAX_PREFIX_LOCATIONS = 20_000;
-/** News of prefixes sent in one heartbeat at most. */
+/** Maximum number of cache updates sent to peers per heartbeat. */
 const MAX_PENDING_CACHE_UPDATES = 200;
-/** Weight of the newest answer in the smoothed hit share. */
+/** Weight of the newest answer in the smoothed cache hit share. */
 const HIT_SMOOTHING = 0.05;
-/** Credit of a sight whose server had a gap in its cache events. */
+/** Share of the expected tokens that counts if the server had a gap in its cache events. */
 const UNCERTAIN_CREDIT = 0.5;
 
-/** Prompt tokens that a server is expected to find in its cache. */
+/** Returns the number of prompt tokens that a server is expected to find in its cache. */
 export function expectedCachedTokens(
   state: BoxState,
   spec: RequestSpec,
@@ -36,7 +36,7 @@
   return Math.min(spec.promptTokens, location.tokens) * credit;
 }
 
-/** Notes that a server now holds the conversation's prefix up to `tokens`. */
+/** Records that a server holds the prefix of a conversation, `tokens` long. */
 export function recordPrefixLocation(
   state: BoxState,
   affinityHash: number,
@@ -46,7 +46,7 @@
   putBounded(state.prefixLocations, affinityHash, { serverId, tokens });
 }
 
-/** Puts an entry as the newest; the oldest goes when there are too many. */
+/** Sets an entry as the newest one and drops the oldest one above the limit. */
 function putBounded<T>(entries: Map<number, T>, affinityHash: number, entry: T): void {
   entries.delete(affinityHash);
   entries.set(affinityHash, entry);
@@ -55,7 +55,10 @@
   if (oldest.done !== true) entries.delete(oldest.value);
 }
 
-/** Notes where this box's own answer left a prefix, and has peers told if they would look elsewhere. */
+/**
+ * Records where an answer of this box left a prefix, and queues an update for the peers
+ * if they would expect the prefix at another server.
+ */
 export function recordOwnPrefixLocation(
   state: BoxState,
   update: CacheUpdate,
@@ -80,7 +83,7 @@
   else putBounded(state.announcedPrefixServers, affinityHash, serverId);
 }
 
-/** Takes a peer's news of prefixes. */
+/** Applies the cache updates of a peer. */
 export function onCacheUpdates(state: BoxState, updates: readonly CacheUpdate[]): void {
   for (const { affinityHash, serverId, tokens } of updates) {
     recordPrefixLocation(state, affinityHash, serverId, tokens);
@@ -88,7 +91,7 @@
   }
 }
 
-/** Learns from an engine's report of cached tokens how far the view can be trusted. */
+/** Corrects the view by the number of cached tokens that an engine reports with an answer. */
 export function recordCacheHit(
   state: BoxState,
   params: { spec: RequestSpec; view: ServerView; cachedTokens: number; hadLocation: boolean },
@@ -104,7 +107,7 @@
   state.priorHitShare += HIT_SMOOTHING * (share - state.priorHitShare);
 }
 
-/** Takes a cache event; a jump in its sequence number is a gap. */
+/** Applies a cache event. A jump in the sequence number means that events were missed. */
 export function onCacheChanged(state: BoxState, event: EventOf<'cacheChanged'>): void {
   const view = state.servers.get(event.serverId);
   if (view === undefined || event.sequence <= view.cacheSequence) return;
@@ -118,7 +121,7 @@
   }
 }
 
-/** Forgets every sight of a server that is gone. */
+/** Drops all prefix locations at a server that is gone. */
 export function forgetServerPrefixes(state: BoxState, serverId: string): void {
   for (const [affinityHash, location] of state.prefixLocations) {
     if (location.serverId === serverId) state.prefixLocations.delete(affinityHash);
--- a/packages/reedlug-decisions/src/policy/routing.ts
+++ b/packages/reedlug-decisions/src/policy/routing.ts
@@ -1,9 +1,9 @@
 /**
- * Choice of a server for a request.
+ * Selects a server for a request.
  *
- * `affinity` ranks the servers by rendezvous hash of the conversation and takes
- * the cheapest by one figure: waiting, prompt work not in the cache, and the
- * recomputed tokens, weighed by the settings. The other policies are baselines.
+ * `affinity` ranks the servers by the rendezvous hash of the conversation and selects
+ * the one with the lowest expected cost: waiting time, uncached prompt work and
+ * recomputed tokens, weighted by the settings. The other policies are baselines.
  */
 import { rendezvousWeight } from 'reedlug-coordination';
 import type { RequestRecord, RequestSpec } from '../types/request.js';
@@ -15,16 +15,19 @@
 import { expectedCachedTokens } from './cacheView.js';
 import { otherBoxesLoad, spareCapacity } from './windows.js';
 
-/** First ranks of a conversation that are weighed against each other. */
+/** Number of top-ranked servers of a conversation whose costs are compared. */
 const SHORTLIST_LENGTH = 16;
-/** Servers looked at beyond a full shortlist. */
+/** Maximum number of servers checked outside a shortlist without spare capacity. */
 const MAX_FALLBACK_CANDIDATES = 64;
-/** A second of waiting of an urgent request weighs this many times a patient one's. */
+/** Factor of the waiting cost of an urgent request over that of a patient one. */
 const URGENT_WAIT_FACTOR = 8;
-/** Slowdown of generation at a full engine, as a share of one second's wait per slot share. */
+/**
+ * Waiting time added for the slower generation at a full engine, in ms. It grows with
+ * the square of the load.
+ */
 const CROWDING_WAIT_MS = 400;
 
-/** The server for a request, or undefined when none has room. */
+/** Returns the server for a request, or undefined if the request has to wait. */
 export function chooseServer(
   state: BoxState,
   record: RequestRecord,
@@ -44,7 +47,7 @@
   );
 }
 
-/** Listed servers with room; own zone first where settings say so. */
+/** Returns the servers with spare capacity, only those of the own zone if the settings prefer them. */
 function candidatesFor(
   state: BoxState,
   record: RequestRecord,
@@ -60,7 +63,10 @@
   return own.length > 0 ? own : found;
 }
 
-/** Beyond a full shortlist: a few servers from a random place on, the first that has room. */
+/**
+ * Returns a server outside a shortlist that has no spare capacity: the first one with
+ * spare capacity among a few servers from a random position on.
+ */
 function fallbackCandidates(
   state: BoxState,
   record: RequestRecord,
@@ -88,7 +94,7 @@
   return spareCapacity(state, view, record.spec.requestClass, nowMs) > 0;
 }
 
-/** Servers of a request's pool: those of the own site, of all sites where it has none or moves. */
+/** Returns the pool's servers at the own site, or at all sites if it has none here or is on a move. */
 function poolServers(
   state: BoxState,
   spec: RequestSpec,
@@ -113,9 +119,9 @@
 }
 
 /**
- * Servers that may run a request, with room or without: the first ranks of its
- * conversation, best first, so that the cost of a choice does not grow with the
- * fleet.
+ * Returns the top-ranked servers that may run a request, best first, with or without
+ * spare capacity. The length is limited so that the cost of routing does not grow with
+ * the fleet.
  */
 export function shortlist(state: BoxState, spec: RequestSpec, rules: ServerRules): ServerView[] {
   const weights: number[] = [];
@@ -136,7 +142,7 @@
   return views;
 }
 
-/** The shortlist, and the server where the conversation's prefix was last seen. */
+/** Returns the shortlist and the server where the conversation's prefix was last seen. */
 function shortlistWithHolder(state: BoxState, spec: RequestSpec, rules: ServerRules): ServerView[] {
   const listed = shortlist(state, spec, rules);
   const location = state.prefixLocations.get(spec.affinityHash);
@@ -146,13 +152,13 @@
   if (holder !== undefined && isEligible(state, spec, rules, holder)) {
     return [...listed, holder];
   }
-  // A prefix out of reach is none: without this no engine would be credited, and the
-  // boxes would each choose another one.
+  // A prefix at a server that cannot be used is dropped: with the location kept, no engine
+  // would be expected to hold the prefix, and each box would choose a different engine.
   state.prefixLocations.delete(spec.affinityHash);
   return listed;
 }
 
-/** A request that names a version goes only to engines that report it. */
+/** True if the engine runs the model version that the request names, or if it names none. */
 function versionMatches(view: ServerView, version: string): boolean {
   if (version === '') return true;
   return (view.report?.version ?? view.spec.version) === version;
@@ -189,7 +195,7 @@
   );
 }
 
-/** The server with the highest rendezvous weight for a key. */
+/** Returns the server with the highest rendezvous weight for a key. */
 export function firstRanked(
   affinityHash: number,
   servers: readonly ServerView[],
@@ -220,7 +226,7 @@
   return worthWaiting ? undefined : best;
 }
 
-/** Cost of waiting until a full server has a place, less what was waited already. */
+/** Returns the cost of waiting for a slot at a full server; infinite once waiting is not allowed. */
 function waitCost(state: BoxState, record: RequestRecord, view: ServerView, nowMs: number): number {
   if (record.phase.kind !== 'queued' || record.spec.requestClass === RequestClass.urgent) {
     return Number.POSITIVE_INFINITY;
@@ -241,7 +247,7 @@
   return load + crossZoneMs;
 }
 
-/** The expected cost of running a request at an engine, in the units of the settings' weights. */
+/** Returns the expected cost of running a request at an engine, in the units of the weights. */
 export function engineCost(
   state: BoxState,
   record: RequestRecord,
--- a/packages/reedlug-decisions/src/policy/windows.ts
+++ b/packages/reedlug-decisions/src/policy/windows.ts
@@ -1,10 +1,10 @@
 /**
- * How many requests may be in progress at an engine.
+ * Window of a server: the number of requests that may be in progress there.
  *
- * `fixed`: the engine's slots plus an allowance, less what other boxes have
- * there by the engine's last report; an even share where no fresh report is
- * known. `cacheAware`: additive increase and multiplicative decrease on cache
- * use and hit share, after CONCUR (see docs/design/windows.md).
+ * `fixed`: the engine's slots plus an allowance for its queue. `cacheAware`: additive
+ * increase and multiplicative decrease by cache use and hit share, after CONCUR (see
+ * docs/design/windows.md). A box uses what other boxes leave free by the last report
+ * of the server, a part of the window without a fresh report, and at least an even share.
  */
 import { hashString, liveInZone, rendezvousWeight } from 'reedlug-coordination';
 import type { EngineReport } from '../types/order.js';
@@ -12,20 +12,20 @@
 import type { BoxState, ServerView, SharingBoxes } from '../state.js';
 import { siteOfZone } from '../state.js';
 
-/** How long a report says something about the other boxes' load. */
+/** Maximum age of a report from which the load of other boxes is computed, in ms. */
 const REPORT_MAX_AGE_MS = 2500;
 
-/** Part of a window that a box may use at a server that is not hot and of which it has no report. */
+/** Share of the window that a box may use at a server without a fresh report, if it is not hot. */
 const NO_REPORT_SHARE = 0.5;
 
-/** CONCUR's constants: thresholds of cache use and hit share, step and cut. */
+/** Constants of CONCUR: thresholds of cache use and hit share, increase and decrease factor. */
 const CACHE_USE_LOW = 0.2;
 const CACHE_USE_HIGH = 0.5;
 const CACHE_HIT_THRESHOLD = 0.2;
 const WINDOW_STEP = 2;
 const WINDOW_CUT = 0.5;
 
-/** Takes an engine's report into the view. */
+/** Stores the report of an engine and adapts its cache-aware window. */
 export function recordReport(
   state: BoxState,
   view: ServerView,
@@ -48,13 +48,13 @@
   if (thrashing) view.cacheAwareWindow = Math.max(1, view.cacheAwareWindow * WINDOW_CUT);
 }
 
-/** Requests that other boxes have at a server, by its last fresh report. */
+/** Returns the number of requests of other boxes at a server, or undefined without a fresh report. */
 export function otherBoxesLoad(view: ServerView, nowMs: number): number | undefined {
   if (view.report === undefined || nowMs - view.reportedAtMs > REPORT_MAX_AGE_MS) return undefined;
   return Math.max(0, view.report.running + view.report.waiting - view.openAttemptsAtReport);
 }
 
-/** How many more requests of a class this box may send to a server now. */
+/** Returns how many more requests of a class this box may send to a server. */
 export function spareCapacity(
   state: BoxState,
   view: ServerView,
@@ -68,8 +68,9 @@
 }
 
 /**
- * This box's part of a server's window: its exact share while the server is
- * hot, what a fresh report leaves otherwise, and part of the whole unheard.
+ * Returns the part of a server's window that this box may use: its exact share while
+ * the server is hot, otherwise what other boxes leave free by a fresh report, or a
+ * fixed part of the window without one.
  */
 function windowShare(state: BoxState, view: ServerView, window: number, nowMs: number): number {
   const share = exactShare(state, view, window);
@@ -79,7 +80,7 @@
   return Math.max(share, free);
 }
 
-/** Shares of all boxes sum to the whole; the remainder goes to the first ranks. */
+/** Returns this box's share. The shares of all boxes add up to the window; first ranks get the remainder. */
 function exactShare(state: BoxState, view: ServerView, window: number): number {
   const sharing = state.sharingBoxes.get(view.spec.zone);
   const boxes = Math.max(1, sharing?.hashes.length ?? 1);
@@ -87,7 +88,7 @@
   return base + (shareRank(state, view, sharing) < window % boxes ? 1 : 0);
 }
 
-/** Place of this box among those that share a server, by rendezvous; 0 is the first. */
+/** Returns the rendezvous rank of this box among those that share a server; 0 is the first. */
 function shareRank(state: BoxState, view: ServerView, sharing: SharingBoxes | undefined): number {
   if (sharing === undefined) return 0;
   if (view.cachedShareRank.version === sharing.version) return view.cachedShareRank.shareRank;
@@ -112,7 +113,7 @@
   return Math.min(reserved, Math.floor(view.spec.slots / 2));
 }
 
-/** Notes which boxes share each zone's servers; their places are worked out when needed. */
+/** Updates which boxes share the servers of each zone; share ranks are computed when needed. */
 export function updateSharingBoxes(state: BoxState): void {
   for (const { name } of state.settings.zones) {
     const ids = sharingBoxIds(state, name);
@@ -124,7 +125,7 @@
   }
 }
 
-/** Boxes that send to a zone's servers: the live ones of its site, or of the zone. */
+/** Returns the boxes that send to a zone's servers: the live ones of its site, or of the zone. */
 function sharingBoxIds(state: BoxState, zone: string): string[] {
   const { settings } = state;
   if (!settings.policy.routeOverSite) return liveInZone(state.boxMembers, zone);
