--- a/packages/reedlug-decisions/src/slices/admission.ts
+++ b/packages/reedlug-decisions/src/slices/admission.ts
@@ -1,8 +1,8 @@
 /**
- * Admission: what is accepted, what is refused at once and with what retry time.
+ * Admission: accepts a request or refuses it with a reason and a retry time.
  *
- * A refusal is `notRun` and is told at once; nothing is held back until near
- * its deadline.
+ * A refusal has the outcome `notRun` and is sent at once; no request is held until
+ * shortly before its deadline only to be refused.
  */
 import { laneLength } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
@@ -18,9 +18,9 @@
 import { priorityOf } from '../plans/rules.js';
 import { isReady } from './readiness.js';
 
-/** Retry time where nothing better is known, in ms. */
+/** Retry time where no better estimate exists, in ms. */
 const DEFAULT_RETRY_MS = 1000;
-/** Shortest retry time told, in ms. */
+/** Minimum retry time sent to callers, in ms. */
 const MIN_RETRY_MS = 50;
 
 /** A refusal with its retry time. */
@@ -29,7 +29,7 @@
   retryAfterMs: number;
 }
 
-/** Takes a request from a caller. */
+/** Accepts or refuses a request from a caller. */
 export function onRequestArrived(
   state: BoxState,
   step: Step,
@@ -47,7 +47,7 @@
   else admit(state, step, record);
 }
 
-/** Puts an accepted request into its queue and lets the queue run. */
+/** Puts an accepted request into its queue and dispatches from the queue. */
 export function admit(state: BoxState, step: Step, record: RequestRecord): void {
   const { nowMs } = step;
   enterQueue(state, record, { nowMs, notBeforeMs: nowMs, atFront: false });
@@ -59,7 +59,7 @@
   return requestClass === spec.requestClass ? spec : { ...spec, requestClass };
 }
 
-/** Only a keyed request that may not be repeated needs a claim. */
+/** True for a keyed request that may not be repeated. */
 function needsClaim(spec: RequestSpec): boolean {
   return spec.idempotencyKey !== undefined && !spec.repeatable;
 }
@@ -98,14 +98,14 @@
   return undefined;
 }
 
-/** The least time in which the request could be answered once it runs, in ms. */
+/** Returns the shortest time in which a running request could be answered, in ms. */
 export function shortestRunMs(state: BoxState, spec: RequestSpec): number {
   if (spec.kind === ServerKind.service) return 0;
   const { policy } = state.settings;
   return policy.crossZoneMs + policy.interTokenMs;
 }
 
-/** Expected wait in the queue from the work ahead and the pool's speed, in ms. */
+/** Returns the expected wait in the queue, in ms, from the work ahead and the pool's speed. */
 export function expectedWaitMs(state: BoxState, spec: RequestSpec): number {
   if (spec.kind === ServerKind.service) return 0;
   const queues = queuesOf(state, spec.pool);
@@ -115,7 +115,7 @@
   return speed === 0 ? DEFAULT_RETRY_MS : Math.ceil(ahead / speed);
 }
 
-/** Expected time of the answer itself, with the prompt's share that is usually cached. */
+/** Returns the expected run time in ms, given the share of prompt tokens that is usually cached. */
 function expectedRunMs(state: BoxState, spec: RequestSpec): number {
   if (spec.kind === ServerKind.service) return 0;
   const { policy } = state.settings;
@@ -123,7 +123,7 @@
   return policy.crossZoneMs + promptMs + spec.maxTokens * poolInterTokenMs(state, spec.pool);
 }
 
-/** Time between tokens in a pool, as measured, or the settings' figure. */
+/** Returns the measured time between tokens of a pool, or the default of the settings. */
 function poolInterTokenMs(state: BoxState, pool: string): number {
   const measuredMs = queuesOf(state, pool).interTokenMs;
   return measuredMs > 0 ? measuredMs : state.settings.policy.interTokenMs;
@@ -133,7 +133,7 @@
   return spec.requestClass === RequestClass.patient ? queues.urgent.costSum : 0;
 }
 
-/** Work that a pool's engines do in one ms, as this box's share of them. */
+/** Returns this box's share of the cost that a pool's engines process per ms. */
 function poolCostPerMs(state: BoxState, pool: string): number {
   const { policy, boxes } = state.settings;
   let slots = 0;
--- a/packages/reedlug-decisions/src/slices/claimWrites.ts
+++ b/packages/reedlug-decisions/src/slices/claimWrites.ts
@@ -1,8 +1,9 @@
 /**
  * Claims of keyed requests that may not be repeated, and their outcomes.
  *
- * While a group is under way new claims gather for the next one, so that the
- * table sees few writes under load and a lone claim does not wait.
+ * A claim is a row in the table by which one box becomes the holder of an idempotency
+ * key. While a group of claims is in flight, new claims are collected for the next
+ * group. The table thus receives few writes under load, and a single claim does not wait.
  */
 import {
   claimRowKey,
@@ -25,14 +26,14 @@
 import { log } from './log.js';
 import { giveUp, isUnsettled, phaseOf, settle } from './requests.js';
 
-/** Retry time told when the table did not answer, in ms. */
+/** Retry time in the answer to the caller if the table did not answer, in ms. */
 const UNAVAILABLE_RETRY_MS = 2000;
-/** Wait before outcome writes are tried again after a failure, in ms. */
+/** Delay before outcomes are written again after a failure, in ms. */
 const OUTCOME_RETRY_MS = 1000;
-/** Outcomes written in one operation. */
+/** Maximum number of outcomes written in one operation. */
 const OUTCOME_GROUP_SIZE = 25;
 
-/** Asks for a request's claim; `expectVersion` above 0 takes over a row whose outcome is `notRun`. */
+/** Requests a claim. An `expectVersion` above 0 takes over a row whose outcome is `notRun`. */
 export function requestClaim(
   state: BoxState,
   step: Step,
@@ -77,7 +78,7 @@
   sendClaimGroup(state, step, group, op);
 }
 
-/** Takes the next group; two claims on one key never share a group. */
+/** Removes the next group from the pending claims; a group has at most one claim per key. */
 function nextClaimGroup(state: BoxState): PendingClaim[] {
   const group: PendingClaim[] = [];
   const remaining: PendingClaim[] = [];
@@ -97,7 +98,7 @@
   step.effects.push({ type: 'requestTable', opId, op });
 }
 
-/** Takes the table's answer for a group of claims. */
+/** Handles the table's answer for a group of claims. */
 export function onClaimsAnswered(
   state: BoxState,
   step: Step,
@@ -120,7 +121,7 @@
   const pending = group.claims.find((item) => item.value.requestId === verdict.requestId);
   if (verdict.kind === 'held') record.claimVersion = (pending?.expectVersion ?? 0) + 1;
   if (record.phase.kind !== 'claiming') {
-    // The caller was told `notRun` while the table was silent; the row must say so too.
+    // The request was settled as `notRun` while the table did not answer; the row must say so too.
     if (verdict.kind === 'held') releaseLateClaim(state, step, record);
     return;
   }
@@ -147,7 +148,7 @@
   if (!isUnsettled(record)) queueOutcome(state, step, record);
 }
 
-/** A key that is taken: take over what did not run, else follow the holder's request. */
+/** Handles a key that another request holds: takes over one that did not run, else follows it. */
 function onClaimTaken(
   state: BoxState,
   step: Step,
@@ -167,7 +168,7 @@
   });
 }
 
-/** Without the table a keyed request runs only where the service removes duplicates itself. */
+/** Without an answer of the table, runs a request only if its service deduplicates requests itself. */
 function continueWithoutTable(state: BoxState, step: Step, record: RequestRecord): void {
   const { pool } = record.spec;
   const service = state.config.items.get(`service/${pool}`)?.value as
@@ -177,7 +178,7 @@
   else giveUp(state, step, record, Reason.claimUnavailable, UNAVAILABLE_RETRY_MS);
 }
 
-/** Gives up on a claim that the table has not answered in time. */
+/** Gives up a claim that the table has not answered in time. */
 export function claimingTick(
   state: BoxState,
   step: Step,
@@ -190,13 +191,13 @@
   continueWithoutTable(state, step, record);
 }
 
-/** Queues the outcome of a claimed request for the table. */
+/** Queues the outcome of a claimed request to be written to the table. */
 export function queueOutcome(state: BoxState, step: Step, record: RequestRecord): void {
   state.pendingOutcomes.push(record.spec.requestId);
   sendOutcomes(state, step);
 }
 
-/** Sends waiting outcomes, one group at a time. */
+/** Writes pending outcomes, one group at a time. */
 export function sendOutcomes(state: BoxState, step: Step): void {
   if (state.outcomesInFlight || state.pendingOutcomes.length === 0) return;
   if (step.nowMs < state.outcomesNotBeforeMs) return;
@@ -218,9 +219,10 @@
 }
 
 /**
- * Takes the table's answer for outcomes. Rows in conflict were already changed
- * (by this very write when its answer was lost) and are left; the rest is
- * written again, later when the table is in trouble.
+ * Handles the table's answer for outcomes. Rows in conflict have already been changed,
+ * possibly by this write if an earlier answer was lost, and are left as they are. The
+ * other outcomes are written again, after a delay if the table is throttled or did not
+ * answer.
  */
 export function onOutcomesAnswered(
   state: BoxState,
@@ -252,7 +254,7 @@
   });
 }
 
-/** Settles a follower of a key whose holder's answer is stored in the table. */
+/** Settles a request that follows a key by the outcome that is stored in the table. */
 export function settleFromRow(
   state: BoxState,
   step: Step,
--- a/packages/reedlug-decisions/src/slices/config.ts
+++ b/packages/reedlug-decisions/src/slices/config.ts
@@ -1,6 +1,7 @@
 /**
- * Configuration: two readers a zone poll the revision log and push deltas to
- * the boxes of their zone; heartbeats carry the revision and whoever is behind asks.
+ * Configuration: two readers per zone poll the revision log and push deltas to the
+ * boxes of their zone. Heartbeats carry the revision, and a box that is behind requests
+ * the missing deltas from a peer.
  */
 import {
   applyDeltas,
@@ -24,27 +25,27 @@
 
 /** Key prefix of the revision log in the table. */
 export const CONFIG_LOG_PREFIX = 'config/log/';
-/** Digits of a revision in its key, so that keys sort as numbers do. */
+/** Number of digits of a revision in its key; the padding makes keys sort numerically. */
 const REVISION_DIGITS = 12;
-/** Deltas read or pushed at once. */
+/** Maximum number of deltas in one scan or message. */
 const MAX_DELTAS_PER_BATCH = 64;
-/** Boxes a zone that poll the table. */
+/** Number of boxes per zone that poll the table. */
 const READERS_PER_ZONE = 2;
-/** Confirmed plans kept for `plans` and `undo`. */
+/** Maximum number of confirmed plans kept for `plans` and `undo`. */
 const MAX_KEPT_PLANS = 200;
 
-/** The value of a log row: a delta and what is needed to name and undo its plan. */
+/** The value of a log row: a delta, and the data that identifies and undoes its plan. */
 export interface ConfigLogValue {
   delta: ConfigDelta;
   plan: ConfirmedPlan;
 }
 
-/** The key of a revision in the log. */
+/** Returns the key of a revision in the log. */
 export function configLogKey(revision: number): string {
   return CONFIG_LOG_PREFIX + String(revision).padStart(REVISION_DIGITS, '0');
 }
 
-/** Polls the log when this box is a reader of its zone and a poll is due. */
+/** Polls the log when due, if this box is a reader of its zone. */
 export function configTick(state: BoxState, step: Step): void {
   pendingConfirmsTick(state, step);
   moveWatchTick(state, step);
@@ -54,14 +55,14 @@
   if (isReader(state)) scanLog(state, step);
 }
 
-/** A reader by rank among the live boxes of the zone; a box that hears none is one itself. */
+/** True for the first live boxes of the zone, and for a box that does not count as live itself. */
 function isReader(state: BoxState): boolean {
   const { boxId, zone } = state.settings;
   const rank = liveInZone(state.boxMembers, zone).indexOf(boxId);
   return rank < READERS_PER_ZONE;
 }
 
-/** Reads the log after the applied revision. */
+/** Requests the log rows after the applied revision. */
 export function scanLog(state: BoxState, step: Step): void {
   const opId = nextId(state, 'op');
   state.configScanInFlight = true;
@@ -76,7 +77,7 @@
   step.effects.push({ type: 'requestTable', opId, op });
 }
 
-/** Takes the rows of a poll. */
+/** Applies the rows of a scan, and scans again if there may be more. */
 export function onConfigScanned(state: BoxState, step: Step, answer: TableAnswer): void {
   state.configScanInFlight = false;
   if (answer.kind !== 'done') return;
@@ -94,14 +95,14 @@
   snapshotWhenDue(state, step);
 }
 
-/** Remembers a confirmed plan. */
+/** Records a confirmed plan; the oldest one is dropped above the limit. */
 export function recordPlan(state: BoxState, plan: ConfirmedPlan): void {
   if (state.confirmedPlans.some((known) => known.planId === plan.planId)) return;
   state.confirmedPlans.push(plan);
   if (state.confirmedPlans.length > MAX_KEPT_PLANS) state.confirmedPlans.shift();
 }
 
-/** Applies deltas and pushes to the peers what was new here. */
+/** Applies deltas and optionally pushes those that were new to the boxes of the zone. */
 export function acceptDeltas(
   state: BoxState,
   step: Step,
@@ -122,13 +123,13 @@
   return { kind: 'configDeltas', deltas, plans };
 }
 
-/** The fault that the checker must find: a late delta is applied whatever its revision. */
+/** Injected fault that the checker must find: applies a delta older than the current revision. */
 function applyOlderDelta(state: BoxState, deltas: readonly ConfigDelta[]): void {
   const older = deltas.find((delta) => delta.revision < state.config.revision);
   if (older !== undefined) state.config.revision = older.revision;
 }
 
-/** Takes deltas that a peer pushed. */
+/** Applies deltas that a peer pushed. */
 export function onConfigDeltas(
   state: BoxState,
   step: Step,
@@ -139,14 +140,14 @@
   acceptDeltas(state, step, message.deltas, false);
 }
 
-/** Notes a peer's revision; a peer that is reachable makes a source. */
+/** Records a peer's revision; a reachable peer counts as a source of the configuration. */
 export function recordPeerRevision(state: BoxState, revision: number): void {
   state.configSourceSeen = true;
   state.config.highestHeard = Math.max(state.config.highestHeard, revision);
   updateCaughtUp(state);
 }
 
-/** Asks a peer that is ahead, when this box is behind what it has heard. */
+/** Requests deltas from a peer that is ahead, if this box is behind the highest known revision. */
 function requestMissingDeltas(state: BoxState, step: Step): void {
   if (state.config.revision >= state.config.highestHeard) return;
   if (step.nowMs < state.nextCatchUpAtMs) return;
@@ -159,7 +160,7 @@
   }
 }
 
-/** Serves a peer that is behind: deltas while they are kept, else the whole state. */
+/** Sends a peer that is behind the missing deltas, or a snapshot if they are no longer kept. */
 export function onConfigAsk(
   state: BoxState,
   step: Step,
@@ -174,7 +175,7 @@
   step.effects.push({ type: 'sendPeer', boxId: from, message });
 }
 
-/** Takes a snapshot from a peer or from the object store. */
+/** Applies a snapshot from a peer or from the object store. */
 export function onConfigSnapshot(
   state: BoxState,
   step: Step,
@@ -188,7 +189,7 @@
   log(step, 'configSnapshotApplied', { revision: snapshot.revision });
 }
 
-/** Writes a snapshot every so many revisions, so that a fresh box reads little of the log. */
+/** Writes a snapshot after a number of revisions, so that a new box reads little of the log. */
 function snapshotWhenDue(state: BoxState, step: Step): void {
   const { snapshotEveryRevisions } = state.settings.control;
   if (state.config.revision < state.lastSnapshotRevision + snapshotEveryRevisions) return;
--- a/packages/reedlug-decisions/src/slices/dispatch.ts
+++ b/packages/reedlug-decisions/src/slices/dispatch.ts
@@ -1,4 +1,4 @@
-/** Dispatch: the next request of a pool goes to a server while one has room. */
+/** Dispatch: sends queued requests to servers while they have spare capacity. */
 import { Reach, startAttempt, takeFair, takeRetry, type FairQueue } from 'reedlug-coordination';
 import type { Attempt, RequestRecord } from '../types/request.js';
 import { ServerKind } from '../types/settings.js';
@@ -8,7 +8,7 @@
 import { queuesOf } from './queues.js';
 import { serverMember } from './servers.js';
 
-/** Sends requests of a pool to servers until the queues are empty or nothing has room. */
+/** Sends requests of a pool until its queues are empty or no server has spare capacity. */
 export function dispatchPool(state: BoxState, step: Step, pool: string): void {
   const queues = queuesOf(state, pool);
   while (queues.urgent.size + queues.patient.size > 0) {
@@ -16,7 +16,7 @@
   }
 }
 
-/** Urgent goes before patient; one in every few dispatches is a patient one that waits. */
+/** Dispatches urgent requests first, but a waiting patient one after a number of urgent ones. */
 function dispatchNext(state: BoxState, step: Step, queues: PoolQueues): boolean {
   const isPatientTurn =
     queues.patient.size > 0 && queues.urgentStreak >= state.settings.policy.patientFloorEvery;
@@ -48,7 +48,7 @@
   return true;
 }
 
-/** A retry waits for its backoff, and for the budget to grant it. */
+/** True unless a retry still has to wait for its back-off or for the retry budget. */
 function mayDispatch(state: BoxState, record: RequestRecord, nowMs: number): boolean {
   if (record.phase.kind !== 'queued' || nowMs < record.phase.notBeforeMs) return false;
   if (!record.needsRetryBudget) return true;
--- a/packages/reedlug-decisions/src/slices/failedAttempts.ts
+++ b/packages/reedlug-decisions/src/slices/failedAttempts.ts
@@ -1,8 +1,8 @@
 /**
- * Attempts that a server refused or lost.
+ * Attempts that a server refused or whose connection was lost.
  *
- * A connection lost after the first byte is a retry for a repeatable request
- * and `unknown` for any other.
+ * After a lost connection that may have reached the server, a repeatable request is
+ * retried; any other has the outcome `unknown`.
  */
 import { MemberSource, Reach } from 'reedlug-coordination';
 import type { BoxState, ServerView, Step } from '../state.js';
@@ -13,7 +13,7 @@
 import { retryOrGiveUp, requeue } from './retries.js';
 import { applyServerStatement } from './servers.js';
 
-/** Takes a server's refusal before running; the request may go elsewhere at once. */
+/** Handles a refusal before the run; the request may be sent to another server at once. */
 export function onAttemptRefused(
   state: BoxState,
   step: Step,
@@ -49,7 +49,7 @@
   }
 }
 
-/** Takes the loss of an attempt's connection. */
+/** Handles the loss of an attempt's connection. */
 export function onAttemptLost(state: BoxState, step: Step, event: EventOf<'attemptLost'>): void {
   const found = findAttempt(state, event.attemptId);
   if (found === undefined) return;
@@ -64,7 +64,7 @@
   if (openAttempt(record) === undefined) retryOrGiveUp(state, step, record);
 }
 
-/** Closes a request's lost attempts at a server that is gone, as if each connection had been lost. */
+/** Fails the open attempts at a dead server as if each connection had been lost. */
 export function failAttemptsAt(state: BoxState, step: Step, view: ServerView): void {
   for (const attemptId of [...view.openAttempts]) {
     const found = findAttempt(state, attemptId);
--- a/packages/reedlug-decisions/src/slices/following.ts
+++ b/packages/reedlug-decisions/src/slices/following.ts
@@ -1,9 +1,9 @@
 /**
- * Following: a request that another box runs, seen from here.
+ * Following a request that another box (the holder) runs.
  *
- * A retry under a claimed key, or a caller that reconnects at another box, asks
- * the holder over the peer link until there is an outcome. When the holder is
- * gone and no peer has the request the answer is `unknown`, never a second run.
+ * For a retry under a claimed key, or a caller that reconnects at another box, this box
+ * polls the holder over the peer link until there is an outcome. If the holder is gone
+ * and no peer has the request, the outcome is `unknown`; it is never run a second time.
  */
 import {
   claimRowKey,
@@ -29,12 +29,12 @@
 import { addRecord, createRecord, phaseOf, settle } from './requests.js';
 import { settleFromRow } from './claimWrites.js';
 
-/** Time between two questions to the holder, in ms. */
+/** Interval between two look-ups at the holder, in ms. */
 const LOOKUP_INTERVAL_MS = 100;
 
 type FollowingPhase = Extract<RequestPhase, { kind: 'following' }>;
 
-/** Starts to follow a request of another box, or of this one. */
+/** Starts to follow a request of another box or of this one. */
 export function startFollowing(
   state: BoxState,
   step: Step,
@@ -62,15 +62,15 @@
   followTick(state, step, record, record.phase);
 }
 
-/** The holder if it can be asked; undefined asks every live peer. */
+/** Returns the holder if it can be asked; undefined means that every live peer is asked. */
 function reachableHolder(state: BoxState, holderId: string | undefined): string | undefined {
-  // An earlier life of this very box cannot be asked; the peers may have its request.
+  // An earlier incarnation of this box cannot be asked, but its peers may have the request.
   if (holderId === undefined || holderId === state.settings.boxId) return undefined;
   const member = state.boxMembers.members.get(holderId);
   return member === undefined || member.state === MemberState.dead ? undefined : holderId;
 }
 
-/** Asks when due and gives up when nobody has answered for too long. */
+/** Sends a look-up when due, and treats the holder as lost if no answer arrives in time. */
 export function followTick(
   state: BoxState,
   step: Step,
@@ -101,7 +101,7 @@
   phase: FollowingPhase,
 ): void {
   if (phase.holderId !== undefined) {
-    // The holder may have handed the request to a peer before it went.
+    // The holder may have handed the request over to a peer before it stopped.
     phase.holderId = undefined;
     phase.giveUpAtMs = step.nowMs + state.settings.control.lookupTimeoutMs;
     phase.nextLookupAtMs = step.nowMs;
@@ -118,7 +118,7 @@
   settle(state, step, record, { outcome: Outcome.unknown, reason: Reason.holderGone });
 }
 
-/** The holder may have written the outcome before it went; the row is asked once more. */
+/** Reads the row of the claim again, as the holder may have written the outcome before it stopped. */
 function rereadClaim(
   state: BoxState,
   step: Step,
@@ -134,7 +134,7 @@
   step.effects.push({ type: 'requestTable', opId, op: { kind: 'read', keys } });
 }
 
-/** Takes the row of a claim whose holder is gone. */
+/** Settles a request by the row of its claim, if the lost holder wrote an outcome. */
 export function onClaimReread(
   state: BoxState,
   step: Step,
@@ -150,7 +150,7 @@
   else settleFromRow(state, step, record, value.outcome, value.status);
 }
 
-/** Follows a request that this very box holds; says whether it does. */
+/** Follows a request that this box holds itself; returns false if it does not hold it. */
 function followLocally(
   state: BoxState,
   step: Step,
@@ -163,7 +163,7 @@
   return true;
 }
 
-/** What this box knows of a request, from an offset on. */
+/** Returns the progress of a request from an offset on. */
 function requestSnapshot(source: RequestRecord, fromOffset: number): RequestSnapshot {
   const settled = phaseOf(source, 'settled');
   return {
@@ -178,7 +178,7 @@
   };
 }
 
-/** Answers a peer's question about a request. */
+/** Answers a peer's look-up of a request. */
 export function onLookup(
   state: BoxState,
   step: Step,
@@ -197,7 +197,7 @@
   step.effects.push({ type: 'sendPeer', boxId: from, message: { kind: 'sight', sight } });
 }
 
-/** Takes a peer's answer for every follower of that request. */
+/** Applies a peer's answer to every request that follows the one looked up. */
 export function onRequestSnapshot(
   state: BoxState,
   step: Step,
@@ -213,7 +213,7 @@
   }
 }
 
-/** A holder that does not have the request any more; the other peers are asked next. */
+/** Handles a holder that does not have the request any more; the other peers are asked next. */
 export function onNotHere(state: BoxState, step: Step, from: string, requestId: string): void {
   for (const record of followersOf(state, requestId)) {
     const phase = phaseOf(record, 'following');
@@ -252,7 +252,7 @@
   });
 }
 
-/** A caller that reconnects: follows its request from the offset that it has. */
+/** Lets a reconnected caller follow its request from the offset that it has reached. */
 export function onFollowAsked(state: BoxState, step: Step, event: EventOf<'followAsked'>): void {
   const spec: RequestSpec = followerSpec(state, event);
   const record = createRecord(spec, step.nowMs);
--- a/packages/reedlug-decisions/src/slices/handover.ts
+++ b/packages/reedlug-decisions/src/slices/handover.ts
@@ -1,9 +1,9 @@
 /**
- * Planned stop and reclaim of the entry box itself.
+ * Shutdown of the entry box itself, planned or by a reclaim.
  *
- * A planned stop finishes what is in progress. A box that is reclaimed hands
- * open requests to peers shortly before; the caller reconnects with its request
- * id and last offset at any entry box.
+ * A planned shutdown finishes the requests in progress. A box that is being reclaimed
+ * hands its open requests over to peers shortly before; the caller reconnects with its
+ * request id and last offset at any entry box.
  */
 import { Outcome } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
@@ -17,19 +17,19 @@
 import { addRecord, createRecord, giveUp, mayHaveReached, phaseOf, settle } from './requests.js';
 import { leaveQueue } from './queues.js';
 
-/** How long a peer may take to say that it has taken a request, in ms. */
+/** Time in which a peer has to acknowledge a handover, in ms. */
 const HANDOVER_ACK_TIMEOUT_MS = 300;
-/** Peers tried for a repeatable request. */
+/** Maximum number of peers tried for a repeatable request. */
 const MAX_PEERS_TRIED = 3;
 
-/** Begins a planned stop. */
+/** Begins a planned shutdown. */
 export function onStopAsked(state: BoxState, step: Step): void {
   if (state.draining !== undefined) return;
   state.draining = { sinceMs: step.nowMs, leavesAtMs: undefined };
   log(step, 'draining', { open: state.unsettled.size });
 }
 
-/** Takes the notice that this box itself will be reclaimed. */
+/** Begins the shutdown after a notice that this box will be reclaimed. */
 export function onBoxReclaimNoticed(
   state: BoxState,
   step: Step,
@@ -41,7 +41,7 @@
   state.draining.leavesAtMs = Math.min(known, event.leavesAtMs);
 }
 
-/** Hands requests over when the box's own end is near, and ends when nothing is left. */
+/** Hands requests over shortly before the reclaim, and reports `stopped` when no work is left. */
 export function drainTick(state: BoxState, step: Step): void {
   const { draining } = state;
   if (draining === undefined) return;
@@ -63,7 +63,7 @@
   }
 }
 
-/** A run that may not be repeated stays where it is; one that has not left yet may go. */
+/** True unless the request may not be repeated and may have reached a server. */
 function mayHandOver(record: RequestRecord): boolean {
   switch (record.phase.kind) {
     case 'queued':
@@ -97,7 +97,7 @@
   step.effects.push({ type: 'sendPeer', boxId: toBoxId, message });
 }
 
-/** Tries the next peer when one does not answer; only what is repeatable goes to a second one. */
+/** Tries the next peer if one does not acknowledge; only a repeatable request goes to a second one. */
 export function handoverTick(
   state: BoxState,
   step: Step,
@@ -116,11 +116,11 @@
     giveUp(state, step, record, Reason.handedOver);
     return;
   }
-  // The peer may have taken it and run it.
+  // The peer may have accepted the request and run it.
   settle(state, step, record, { outcome: Outcome.unknown, reason: Reason.handedOver });
 }
 
-/** Takes a request over from a box that is reclaimed. */
+/** Takes over a request from a box that is being reclaimed. */
 export function onHandover(
   state: BoxState,
   step: Step,
@@ -146,7 +146,7 @@
   admit(state, step, record);
 }
 
-/** The peer has the request; the caller is told to reconnect. */
+/** Settles a request that a peer has taken over; its reason makes the caller reconnect. */
 export function onHandoverTaken(
   state: BoxState,
   step: Step,
@@ -156,7 +156,7 @@
   const record = state.requests.get(requestId);
   const phase = record === undefined ? undefined : phaseOf(record, 'handing');
   if (record === undefined || phase?.toBoxId !== from) return;
-  // The new holder writes the outcome of the claim.
+  // The new holder writes the outcome into the row of the claim.
   record.claimHeld = false;
   settle(state, step, record, { outcome: Outcome.unknown, reason: Reason.handedOver });
 }
--- a/packages/reedlug-decisions/src/slices/limits.ts
+++ b/packages/reedlug-decisions/src/slices/limits.ts
@@ -1,8 +1,8 @@
 /**
- * Limits of workspaces: one limit for all boxes, split by recent demand.
+ * Rate limits of workspaces: one limit across all boxes, split by recent demand.
  *
- * While a box is silent and not known to be gone, shares may shrink but not
- * grow, so that two sides of a cut never use more than the whole together.
+ * While a box is silent without having announced its shutdown, shares may shrink but
+ * not grow, so that the two sides of a network partition never exceed the limit together.
  */
 import {
   createTokenBucket,
@@ -18,19 +18,19 @@
 
 /** Weight of the newest interval in the smoothed demand. */
 const DEMAND_SMOOTHING = 0.3;
-/** Demand below which a workspace is left out of the heartbeats, in requests a second. */
+/** Demand below which a workspace is left out of the heartbeats, in requests per second. */
 const MIN_REPORTED_DEMAND = 0.05;
-/** Retry time told to a workspace whose share is zero, in ms. */
+/** Retry time for a workspace whose share is zero, in ms. */
 const NO_SHARE_RETRY_MS = 1000;
 
-/** The limits of a workspace: confirmed configuration first, then the settings. */
+/** Returns the limits of a workspace from the confirmed configuration, or else from the settings. */
 export function limitsOf(state: BoxState, workspaceId: string): WorkspaceLimits | undefined {
   const item = state.config.items.get(`workspace/${workspaceId}`);
   if (item !== undefined) return item.value as WorkspaceLimits;
   return state.settings.workspaces.find((limits) => limits.id === workspaceId);
 }
 
-/** The view of a workspace, made on first use; undefined for one that does not exist. */
+/** Returns the state of a workspace, created on first use; undefined if it does not exist. */
 export function workspaceView(state: BoxState, workspaceId: string): WorkspaceView | undefined {
   const known = state.workspaces.get(workspaceId);
   if (known !== undefined) return known;
@@ -51,14 +51,14 @@
   return view;
 }
 
-/** Counts a request and takes it from the share; returns 0 or the ms until it would pass. */
+/** Counts a request against the share; returns 0, or the time until it would be admitted in ms. */
 export function consumeLimit(view: WorkspaceView, nowMs: number): number {
   view.asked += 1;
   if (view.sharePerSecond <= 0) return NO_SHARE_RETRY_MS;
   return takeTokens(view.bucket, 1, nowMs);
 }
 
-/** Busy workspaces' demand, for the heartbeat. */
+/** Returns the demand of busy workspaces, for the heartbeat. */
 export function demandsOf(state: BoxState): WorkspaceDemand[] {
   const demands: WorkspaceDemand[] = [];
   for (const [workspaceId, view] of state.workspaces) {
@@ -69,7 +69,7 @@
   return demands;
 }
 
-/** Smooths the demand of the last interval and splits every limit anew. */
+/** Updates the smoothed demand by the last interval and recomputes the share of every limit. */
 export function updateShares(state: BoxState, nowMs: number): void {
   const seconds = state.settings.control.heartbeatMs / 1000;
   const growthFrozen = isAnyBoxSilent(state);
@@ -103,7 +103,7 @@
   return demands.find((demand) => demand.workspaceId === workspaceId)?.requestsPerSecond ?? 0;
 }
 
-/** Only a box that said that it leaves is gone; a silent one may be on the other side of a cut. */
+/** True if a box has announced its shutdown; a silent one may be behind a network partition. */
 function hasAnnouncedShutdown(state: BoxState, boxId: string): boolean {
   return state.boxMembers.members.get(boxId)?.leavingSinceMs !== undefined;
 }
--- a/packages/reedlug-decisions/src/slices/log.ts
+++ b/packages/reedlug-decisions/src/slices/log.ts
@@ -1,4 +1,4 @@
-/** Short form of the log effect. */
+/** Helper that creates log effects. */
 import type { Step } from '../state.js';
 
 /** Adds a log line to the effects. */
--- a/packages/reedlug-decisions/src/slices/openAttempts.ts
+++ b/packages/reedlug-decisions/src/slices/openAttempts.ts
@@ -1,23 +1,23 @@
-/** Open attempts: how one is found, and how it is closed. */
+/** Lookup, closing and cancellation of open attempts. */
 import type { BoxState, Step } from '../state.js';
 import type { Attempt, RequestRecord } from '../types/request.js';
 import { ServerKind } from '../types/settings.js';
 import { recordOfAttempt } from './requests.js';
 
-/** An attempt with its request. */
+/** An attempt and the record of its request. */
 export interface FoundAttempt {
   record: RequestRecord;
   attempt: Attempt;
 }
 
-/** The attempt with an id, with its request. */
+/** Returns the attempt with an id, and the record of its request. */
 export function findAttempt(state: BoxState, attemptId: string): FoundAttempt | undefined {
   const record = recordOfAttempt(state, attemptId);
   const attempt = record?.attempts.find((candidate) => candidate.attemptId === attemptId);
   return record === undefined || attempt === undefined ? undefined : { record, attempt };
 }
 
-/** Gives an attempt's place at its server back. */
+/** Closes an attempt and releases its slot at the server. */
 export function closeAttempt(state: BoxState, record: RequestRecord, attempt: Attempt): void {
   if (!attempt.open) return;
   attempt.open = false;
@@ -27,7 +27,7 @@
   if (attempt.firstTokenAtMs === undefined) view.pendingPrefillTokens -= record.spec.promptTokens;
 }
 
-/** Closes an attempt and tells its server to stop. */
+/** Closes an attempt and cancels it at its server. */
 export function cancelAttempt(
   state: BoxState,
   step: Step,
@@ -45,7 +45,7 @@
   for (const attempt of record.attempts) cancelAttempt(state, step, record, attempt);
 }
 
-/** The open attempt of a request that was sent last. */
+/** Returns the open attempt of a request that was sent last. */
 export function openAttempt(record: RequestRecord): Attempt | undefined {
   return record.attempts.findLast((attempt) => attempt.open);
 }
--- a/packages/reedlug-decisions/src/slices/orders.ts
+++ b/packages/reedlug-decisions/src/slices/orders.ts
@@ -1,9 +1,11 @@
 /**
- * Orders to engines, sent under the lease as wanted end states.
+ * Orders to engines, which bring them to their desired states. Only the holder of the
+ * site's lease, one box at a time, sends orders.
  *
- * An order repeats the whole wanted state, so that a second one harms nothing.
- * To an engine that does not check fences a change of model or role waits until
- * the engine is out of routing and idle.
+ * An order carries the whole desired state, so a repeated order is harmless. It also
+ * carries the fencing token (fence) of the lease, by which an engine rejects the orders
+ * of an earlier holder. An engine that does not check fences is sent a change of its
+ * model or version only when it receives no requests and is idle.
  */
 import {
   leaseAnswered,
@@ -21,14 +23,14 @@
 import { WANTED_PREFIX } from '../plans/items.js';
 import { log } from './log.js';
 
-/** Boxes of a site that try to hold the lease. */
+/** Number of boxes of a site that try to acquire the lease. */
 const LEASE_CANDIDATES = 2;
-/** Time between two looks at the lease, in ms. */
+/** Interval between two checks of the lease, in ms. */
 const LEASE_POLL_INTERVAL_MS = 100;
-/** An order that has not shown in a report is sent again after this long, in ms. */
+/** Time after which an order that no report confirms is sent again, in ms. */
 const ORDER_RETRY_MS = 5000;
 
-/** Keeps the lease and sends what differs from the wanted states. */
+/** Maintains the lease and sends orders to engines that differ from their desired state. */
 export function ordersTick(state: BoxState, step: Step): void {
   pollLease(state, step);
   for (const [name, item] of state.config.items) {
@@ -50,7 +52,7 @@
   step.effects.push({ type: 'requestTable', opId, op });
 }
 
-/** The first live boxes of the site by id; a box that leaves does not take the lease. */
+/** True for the first live boxes of the site by id, unless this box is shutting down. */
 function isCandidate(state: BoxState): boolean {
   if (state.draining !== undefined) return false;
   const { settings } = state;
@@ -61,7 +63,7 @@
   return ids.sort().slice(0, LEASE_CANDIDATES).includes(settings.boxId);
 }
 
-/** Takes the table's answer to a lease operation. */
+/** Handles the table's answer to a lease operation. */
 export function onLeaseAnswered(
   state: BoxState,
   step: Step,
@@ -74,7 +76,7 @@
   if (before !== after) log(step, 'leaseChanged', { fence: after ?? 0, held: after !== undefined });
 }
 
-/** The fence for an order to a server now, or undefined. */
+/** Returns the fence for an order to a server, or undefined if no order may be sent now. */
 export function fenceFor(state: BoxState, nowMs: number, checksFence: boolean): number | undefined {
   const { lastFence } = state.lease;
   if (state.mutations.has('skipLeaseMargin') && lastFence > 0) return lastFence;
@@ -114,7 +116,7 @@
   );
 }
 
-/** An order that loads weights waits for the store's rate; any other goes at once. */
+/** Applies the rate limit of the weight store to an order that loads model weights. */
 function weightLoadAllowed(
   state: BoxState,
   report: EngineReport,
@@ -129,7 +131,7 @@
   return report.model !== wanted.model || report.version !== wanted.version;
 }
 
-/** A harmful order to an engine that checks no fence waits until it is drained and idle. */
+/** True if an engine that does not check fences must be drained and idle before the order. */
 function mustWait(view: ServerView, wanted: DesiredEngineState): boolean {
   const { report, spec } = view;
   if (spec.checksFence || report === undefined) return false;
@@ -137,7 +139,7 @@
   return report.role === 'serve' || report.running + report.waiting > 0;
 }
 
-/** Takes the answer to an order; what it did is believed only from the engine's report. */
+/** Logs the answer to an order. Only the engine's report tells whether the order took effect. */
 export function onOrderAnswered(
   state: BoxState,
   step: Step,
--- a/packages/reedlug-decisions/src/slices/peerLinks.ts
+++ b/packages/reedlug-decisions/src/slices/peerLinks.ts
@@ -1,4 +1,4 @@
-/** Heartbeats to peers, who is live, and who is asked for what. */
+/** Heartbeats to peers, their membership, and the choice of peers that receive a message. */
 import {
   liveInZone,
   membershipTick,
@@ -16,16 +16,16 @@
 import { log } from './log.js';
 import { measureDrain } from './queues.js';
 
-/** Live boxes of each other site that a box keeps a heartbeat with. */
+/** Number of boxes of each other site to which a box sends heartbeats. */
 const PEERS_PER_OTHER_SITE = 2;
 
-/** The other boxes of the settings. */
+/** Returns the ids of the other boxes in the settings. */
 export function otherBoxIds(state: BoxState): string[] {
   const { boxes, boxId } = state.settings;
   return boxes.filter((box) => box.id !== boxId).map((box) => box.id);
 }
 
-/** Sends a message to every peer that this box keeps a heartbeat with. */
+/** Sends a message to every peer that receives heartbeats from this box. */
 export function sendToPeers(state: BoxState, step: Step, message: PeerMessage): void {
   for (const boxId of heartbeatPeerIds(state))
     step.effects.push({ type: 'sendPeer', boxId, message });
@@ -40,7 +40,10 @@
   }
 }
 
-/** All boxes of the own site, and a few of each other one, so that traffic does not grow with the fleet. */
+/**
+ * Returns all boxes of the own site and a few of each other site, so that the traffic
+ * between sites does not grow with the fleet.
+ */
 export function heartbeatPeerIds(state: BoxState): string[] {
   const { settings } = state;
   const ownSite = siteOfZone(settings, settings.zone);
@@ -62,7 +65,7 @@
   return [...items.slice(by), ...items.slice(0, by)];
 }
 
-/** Sends heartbeats when due and lets silence act on the peers. */
+/** Sends the heartbeat when due and marks peers without heartbeats as suspect or dead. */
 export function peersTick(state: BoxState, step: Step): void {
   if (step.nowMs < state.nextHeartbeatAtMs) return;
   state.nextHeartbeatAtMs = step.nowMs + state.settings.control.heartbeatMs;
@@ -77,7 +80,7 @@
   sendToPeers(state, step, heartbeatMessage(state));
 }
 
-/** Tells where prefixes are that peers would look for elsewhere. */
+/** Sends the locations of prefixes that peers would expect at another server. */
 function sendCacheUpdates(state: BoxState, step: Step): void {
   if (state.pendingCacheUpdates.length === 0) return;
   const news = state.pendingCacheUpdates;
@@ -105,7 +108,7 @@
   };
 }
 
-/** Takes a heartbeat; a box that is new to us is told what we know of the servers. */
+/** Applies a heartbeat, and sends the known servers to a box that is new or was silent. */
 export function onHeartbeat(
   state: BoxState,
   step: Step,
@@ -138,7 +141,7 @@
   noteMember(state.boxMembers, from, statement, nowMs);
 }
 
-/** Tells a box that is new to us of the servers probed here, and of those that leave. */
+/** Sends a box the servers probed here, the draining ones and those of other sites. */
 function sendKnownServers(state: BoxState, step: Step, boxId: string): void {
   const ids = new Set(state.probedServers.views.map(({ spec }) => spec.id));
   for (const id of state.drainingServers) ids.add(id);
@@ -152,7 +155,7 @@
   step.effects.push({ type: 'sendPeer', boxId, message: { kind: 'serverNews', news } });
 }
 
-/** Peers that may take over a request, own zone first. */
+/** Returns the live peers, those of the own zone first. */
 export function livePeerIds(state: BoxState): string[] {
   const { boxId, zone } = state.settings;
   const own: string[] = [];
--- a/packages/reedlug-decisions/src/slices/placement.ts
+++ b/packages/reedlug-decisions/src/slices/placement.ts
@@ -1,9 +1,9 @@
 /**
- * Placement: the lease holder keeps each pool at its size.
+ * Placement: the lease holder keeps each pool of engines at its target size.
  *
- * Offers are ranked by effective price: the price plus what an expected reclaim
- * costs. Engines are spread over zones and machine classes; refused starts back
- * off per offer and the next one is tried.
+ * Offers are ranked by effective price: the price plus the cost of expected reclaims.
+ * Engines are spread over zones. When a start is refused, its offer is backed off and
+ * the next one is tried.
  */
 import { backoffMs, MemberSource, MemberState } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
@@ -24,31 +24,31 @@
 import { poolLoads } from './probes.js';
 import { applyServerStatement, serverMember } from './servers.js';
 
-/** Weight of the newest load in the smoothed one. */
+/** Weight of the newest load in the smoothed load. */
 const LOAD_SMOOTHING = 0.05;
-/** Share of the load of now that a pool grows with at once. */
+/** Share of the current load that a pool is sized for at once, before the smoothed load follows. */
 const GROWTH_SHARE = 0.8;
-/** An engine is swapped for one that costs less than it by this factor. */
+/** An engine is replaced if its price exceeds that of the best offer by this factor. */
 const SWAP_FACTOR = 1.3;
-/** Calm that must have passed before engines are given back, in ms. */
+/** Time without reclaims or refused starts before engines are stopped, in ms. */
 const SCALE_DOWN_COOLDOWN_MS = 90_000;
-/** A stop that has not shown is asked again after this long, in ms. */
+/** Time after which a stop without visible effect is requested again, in ms. */
 const STOP_RETRY_MS = 10_000;
-/** A start that has not shown in the box list after this long is forgotten, in ms. */
+/** Time after which a start that is not in the box list is given up, in ms. */
 const START_TIMEOUT_MS = 60_000;
-/** Longest back-off of a refused offer, in ms. */
+/** Maximum back-off of a refused offer, in ms. */
 const MAX_BACKOFF_MS = 120_000;
-/** Cost of one expected reclaim, as a share of an hour's price. */
+/** Cost of one reclaim, in hours of the machine's price. */
 const RECLAIM_COST_HOURS = 0.25;
 
-/** Engines of a pool that stay, with those being started. */
+/** The engines of a pool that are not draining, and those being started. */
 interface PoolCount {
   pool: PoolSpec;
   engines: ServerView[];
   starting: PendingStart[];
 }
 
-/** Brings pools to their size when this box holds the lease and it is time. */
+/** Adjusts the size of the pools when due, if this box holds the lease. */
 export function placementTick(state: BoxState, step: Step): void {
   expirePendingStarts(state, step.nowMs);
   if (step.nowMs < state.nextPlacementAtMs) return;
@@ -75,7 +75,7 @@
   else startCheaperEngine(state, step, count, fence);
 }
 
-/** While boxes are being taken or starts refused nothing is given back. */
+/** True for a while after reclaims and refused starts, during which no engine is stopped. */
 function inScaleDownCooldown(state: BoxState, nowMs: number): boolean {
   for (const { untilMs } of state.offerBackoff.values()) {
     if (untilMs + SCALE_DOWN_COOLDOWN_MS > nowMs) return true;
@@ -103,7 +103,7 @@
   return member.state === MemberState.live || member.state === MemberState.listed;
 }
 
-/** Engines wanted: as the settings list them, or by the load that the boxes have told. */
+/** Returns the target size: as listed in the settings, or by the load that the boxes report. */
 function wantedEngines(state: BoxState, pool: PoolSpec): number {
   switch (state.settings.policy.sizing) {
     case SizingPolicy.fixed:
@@ -122,7 +122,7 @@
   return clamp(listed.length, pool);
 }
 
-/** Grows with the load of now and shrinks with the smoothed one. */
+/** Returns the size for the load: it grows with the current load and shrinks with the smoothed one. */
 function enginesForLoad(state: BoxState, pool: PoolSpec): number {
   const busy = siteLoad(state, pool);
   const smoothed = state.smoothedPoolLoad.get(pool.model) ?? busy;
@@ -136,7 +136,7 @@
   return Math.min(pool.maxEngines, Math.max(pool.minEngines, count));
 }
 
-/** Requests running or waiting in the site, each told by one box. */
+/** Returns the number of requests running or waiting at the site; each is reported by one box. */
 function siteLoad(state: BoxState, pool: PoolSpec): number {
   const { settings } = state;
   const site = siteOfZone(settings, settings.zone);
@@ -177,7 +177,7 @@
   step.effects.push({ type: 'askCloud', askId, ask });
 }
 
-/** The offer with the lowest effective price, spread over zones, that is not backed off. */
+/** Returns the allowed offer with the lowest effective price, leaving out backed-off offers. */
 export function bestOffer(state: BoxState, nowMs: number, count: PoolCount): OfferSpec | undefined {
   let best: OfferSpec | undefined;
   let bestPrice = Number.POSITIVE_INFINITY;
@@ -213,7 +213,7 @@
   return spread.length > 0 ? spread : available;
 }
 
-/** Share of a pool that may stand in one zone, so that losing the zone leaves the rest. */
+/** Returns the maximum share of a pool in one zone, which limits what the loss of a zone costs. */
 function maxZoneShare(state: BoxState, site: string): number {
   const zones = state.settings.zones.filter((zone) => zone.site === site).length;
   return 1 / Math.max(1, zones);
@@ -227,7 +227,7 @@
   return offer.pricePerHour * (1 + reclaimCost) * (1 + inZone);
 }
 
-/** Share of the pool that already stands in a zone; losing it should hurt little. */
+/** Returns the share of the pool that is already in a zone. */
 function shareInZone(zone: string, count: PoolCount): number {
   const total = count.engines.length + count.starting.length;
   if (total === 0) return 0;
@@ -236,14 +236,14 @@
   return (engines + starting) / total;
 }
 
-/** Retires the dearest engine: its streams finish or move, then it is stopped. */
+/** Retires the most expensive engine: its streams finish or move, then it is stopped. */
 function retireMostExpensive(state: BoxState, step: Step, count: PoolCount): void {
   if (isAnyRetiring(state, count.pool)) return;
   const candidate = mostExpensiveEngine(state, count);
   if (candidate !== undefined) announceRetirement(state, step, candidate);
 }
 
-/** Buys a cheaper engine for a dear one; the dear one is retired once there are too many. */
+/** Starts a cheaper engine; the most expensive one is retired once there are too many. */
 function startCheaperEngine(state: BoxState, step: Step, count: PoolCount, fence: number): void {
   if (state.settings.policy.sizing === SizingPolicy.fixed || count.starting.length > 0) return;
   if (isAnyRetiring(state, count.pool)) return;
@@ -276,7 +276,10 @@
   applyServerStatement(state, step, view.spec.id, statement, true);
 }
 
-/** Stops engines whose time to leave has passed; a holder that died before is made up for. */
+/**
+ * Stops draining engines whose stop time has passed, also those whose retirement an
+ * earlier lease holder announced.
+ */
 function stopRetired(state: BoxState, step: Step, fence: number): void {
   for (const view of state.servers.values()) {
     const member = serverMember(state, view.spec.id);
@@ -309,7 +312,7 @@
   return `${offer.zone}/${offer.machineClass}/${offer.reclaimable ? 'reclaimable' : 'onDemand'}`;
 }
 
-/** Takes the cloud's answer; a refusal backs the offer off, an unknown waits for the box list. */
+/** Handles the answer of the cloud: a refusal backs the offer off, `unknown` waits for the box list. */
 export function onCloudAnswered(
   state: BoxState,
   step: Step,
@@ -332,7 +335,7 @@
   log(step, 'startRefused', { offer: key, againInMs: Math.round(delayMs) });
 }
 
-/** A started box carries its start token as its id; once listed, its start is over. */
+/** Ends the start of a listed server. The id of a started machine is its start token. */
 export function removePendingStart(state: BoxState, serverId: string): void {
   state.pendingStarts.delete(serverId);
 }
--- a/packages/reedlug-decisions/src/slices/probes.ts
+++ b/packages/reedlug-decisions/src/slices/probes.ts
@@ -1,8 +1,8 @@
 /**
- * Probes of backend servers and what they tell of load.
+ * Probes of backend servers, and updates to peers about their load.
  *
- * Each server is probed by one live box of its zone, by rendezvous; peers hear
- * only when one gets nearly full and when that is over.
+ * Each server is probed by one live box of its zone, chosen by rendezvous hashing.
+ * Peers receive an update only when a server becomes hot (nearly full) or cools down.
  */
 import { hashString, liveInZone, rendezvousWeight } from 'reedlug-coordination';
 import type { EngineReport } from '../types/order.js';
@@ -13,10 +13,11 @@
 import { sendToPeers } from './peerLinks.js';
 import { HOT_DURATION_MS, serverAcceptsRequests } from './servers.js';
 
-/** Share of its slots in use from which a server is hot, and below which it is cool again. */
+/** Share of used slots from which a server is hot, and below which it is cool again. */
 const HOT_SHARE = 0.75;
 const COOL_SHARE = 0.6;
-/** Tells peers when a server gets nearly full, again while it stays so, and when it is over. */
+
+/** Announces to peers that a server is hot, repeatedly while it stays so, and that it is cool again. */
 export function announceLoad(
   state: BoxState,
   step: Step,
@@ -45,7 +46,7 @@
   sendToPeers(state, step, { kind: 'serverNews', news: [update] });
 }
 
-/** Sends the probes that are due from this box. */
+/** Sends the probes of this box when they are due. */
 export function probeServers(state: BoxState, step: Step): void {
   if (step.nowMs < state.nextProbeAtMs) return;
   state.nextProbeAtMs = step.nowMs + state.settings.control.probeEveryMs;
@@ -54,7 +55,7 @@
   }
 }
 
-/** The servers that this box probes; worked out again when boxes or servers have changed. */
+/** Returns the servers that this box probes; recomputed when the boxes or servers change. */
 function probedServers(state: BoxState): readonly ServerView[] {
   const zones = probedZones(state);
   const boxes = probingBoxIds(state);
@@ -70,7 +71,7 @@
   return views;
 }
 
-/** The own zone, and zones of the site in which no box is heard. */
+/** Returns the own zone and the zones of the site without a live box. */
 function probedZones(state: BoxState): string[] {
   const { settings } = state;
   const site = siteOfZone(settings, settings.zone);
@@ -92,7 +93,7 @@
   hash: number;
 }
 
-/** The box with the highest rendezvous weight at a server. */
+/** Returns the box with the highest rendezvous weight for a server. */
 function probingBoxFor(view: ServerView, boxes: readonly ProbingBox[]): string | undefined {
   let owner: string | undefined;
   let ownerWeight = -1;
@@ -105,7 +106,7 @@
   return owner;
 }
 
-/** The loads of the engines that this box probes, and of its own queues. */
+/** Returns the load of the engines that this box probes and of its own queues, by pool and zone. */
 export function poolLoads(state: BoxState): PoolLoad[] {
   const loads = new Map<string, PoolLoad>();
   const freshAfterMs = state.nowMs - state.settings.control.probeEveryMs * 3;
--- a/packages/reedlug-decisions/src/slices/queues.ts
+++ b/packages/reedlug-decisions/src/slices/queues.ts
@@ -1,13 +1,13 @@
-/** The queues of a pool: urgent and patient, each fair over workspaces. */
+/** The urgent and the patient queue of a pool, each fair among workspaces. */
 import { createFairQueue, pushFair, removeFair, type FairQueue } from 'reedlug-coordination';
 import type { RequestRecord } from '../types/request.js';
 import { RequestClass } from '../types/settings.js';
 import type { BoxState, PoolQueues } from '../state.js';
 
-/** Work that a workspace gains each round, in prompt tokens. */
+/** Cost credited to each workspace per round of the fair queue, in prompt tokens. */
 const QUANTUM_TOKENS = 2000;
 
-/** The queues of a pool, made on first use. */
+/** Returns the queues of a pool, created on first use. */
 export function queuesOf(state: BoxState, pool: string): PoolQueues {
   const known = state.pools.get(pool);
   if (known !== undefined) return known;
@@ -23,10 +23,10 @@
   return queues;
 }
 
-/** Weight of the newest interval in the smoothed drain of a pool. */
+/** Weight of the newest interval in the smoothed drain rate of a pool. */
 const DRAIN_SMOOTHING = 0.3;
 
-/** Measures how fast waiting work drains; call it on each heartbeat. */
+/** Measures how fast waiting work is dispatched; called on each heartbeat. */
 export function measureDrain(state: BoxState, intervalMs: number): void {
   for (const queues of state.pools.values()) {
     const perMs = queues.dispatchedCost / intervalMs;
@@ -38,7 +38,7 @@
   }
 }
 
-/** The queue of a class. */
+/** Returns the queue of a request class. */
 export function queueFor(queues: PoolQueues, requestClass: RequestClass): FairQueue {
   switch (requestClass) {
     case RequestClass.urgent:
@@ -48,7 +48,7 @@
   }
 }
 
-/** Puts a request into its queue; one that was in progress goes to the front. */
+/** Puts a request into its queue, at the front if `atFront` is set. */
 export function enterQueue(
   state: BoxState,
   record: RequestRecord,
@@ -60,7 +60,7 @@
   pushFair(queueFor(queuesOf(state, spec.pool), spec.requestClass), entry, params.atFront);
 }
 
-/** Takes a request out of its queue, if it is in one. */
+/** Removes a request from its queue, if it is in one. */
 export function leaveQueue(state: BoxState, record: RequestRecord): void {
   if (record.phase.kind !== 'queued') return;
   const { spec } = record;
--- a/packages/reedlug-decisions/src/slices/reclaim.ts
+++ b/packages/reedlug-decisions/src/slices/reclaim.ts
@@ -1,10 +1,10 @@
 /**
- * Announced reclaims of backend servers.
+ * Evacuation of backend servers that are draining, such as after a reclaim notice.
  *
- * Each stream at a leaving server finishes in time, or moves with its KV cache,
- * or goes on elsewhere from its prompt and the tokens already sent, by what
- * fits before the deadline. Cached prefixes of conversations that are not
- * running are moved after the streams, the largest first.
+ * Depending on the time left, a stream finishes at the server, moves to another one
+ * with its KV cache, or resumes at another one from its prompt and the tokens already
+ * sent. Cached prefixes of idle conversations are moved after the streams, the largest
+ * first.
  */
 import { MemberState, Reach } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
@@ -19,21 +19,21 @@
 import { phaseOf, recordOfAttempt } from './requests.js';
 import { serverMember, serverAcceptsRequests } from './servers.js';
 
-/** Kept free before a server goes, for the last words of its streams, in ms. */
+/** Time reserved before a server stops for the last messages of its streams, in ms. */
 const FINISH_MARGIN_MS = 250;
-/** Fixed part of one KV move, in ms. */
+/** Fixed duration of a KV cache move without the transfer, in ms. */
 const MOVE_SETUP_MS = 20;
-/** A move that has not answered after this long is taken as failed, in ms. */
+/** Time without an answer after which a move counts as failed, in ms. */
 const MOVE_TIMEOUT_MS = 2000;
-/** Cached prefixes smaller than this are not worth a move, in tokens. */
+/** Minimum size of a cached prefix that is moved, in tokens. */
 const MIN_MOVED_TOKENS = 256;
-/** Cached prefixes moved at most off one server by one box. */
+/** Maximum number of cached prefixes that one box moves off one server. */
 const MAX_MOVED_PREFIXES = 64;
 
-/** How a stream gets through the reclaim of its server. */
+/** How a stream continues when its server stops. */
 type EvacuationMethod = 'finish' | 'move' | 'resume';
 
-/** Moves a leaving server's work; safe to call again when the time left gets shorter. */
+/** Evacuates a draining server; may be called again when its stop moves closer. */
 export function evacuate(state: BoxState, step: Step, view: ServerView): void {
   const streams = streamsAt(state, view);
   if (streams.length > 0) {
@@ -48,7 +48,7 @@
   attempt: Attempt;
 }
 
-/** Running streams at a server, those with the most tokens at stake first. */
+/** Returns the running streams at a server, those with the most tokens at stake first. */
 function streamsAt(state: BoxState, view: ServerView): RunningStream[] {
   const streams: RunningStream[] = [];
   for (const attemptId of view.openAttempts) {
@@ -84,7 +84,10 @@
   }
 }
 
-/** The cheapest way that fits: finishing costs nothing, a move little, a resume the prompt. */
+/**
+ * Returns the cheapest method that fits the time left: finishing costs nothing, a move
+ * little, and a resume recomputes the prompt.
+ */
 function evacuationMethod(
   state: BoxState,
   step: Step,
@@ -137,7 +140,7 @@
   return moveTargets(state, view).length > 0;
 }
 
-/** Servers of the same pool that stay. */
+/** Returns the other servers of the same pool that accept requests. */
 function moveTargets(state: BoxState, view: ServerView): ServerView[] {
   const pool = state.serversByPool.get(view.spec.pool) ?? [];
   return pool.filter((other) => other !== view && serverAcceptsRequests(state, other));
@@ -157,7 +160,7 @@
   step.effects.push({ type: 'exportKv', attemptId, serverId: view.spec.id });
 }
 
-/** Takes the answer to an export: the source has stopped and its cache waits under a ticket. */
+/** Handles the answer to an export: on success the source has stopped and keeps the cache under a ticket. */
 export function onKvExported(state: BoxState, step: Step, event: EventOf<'kvExported'>): void {
   const record = recordOfAttempt(state, event.attemptId);
   const phase = record === undefined ? undefined : phaseOf(record, 'moving');
@@ -177,7 +180,7 @@
   }
 }
 
-/** Without a move a repeatable stream resumes elsewhere; any other stays where it may still run. */
+/** Continues a stream whose move failed: a repeatable one resumes elsewhere, any other stays in place. */
 function continueWithoutMove(
   state: BoxState,
   step: Step,
@@ -194,7 +197,7 @@
   requeue(state, step, record, true);
 }
 
-/** Ends a move that takes too long. */
+/** Ends a move that has timed out. */
 export function movingTick(
   state: BoxState,
   step: Step,
@@ -207,7 +210,7 @@
   else continueWithoutMove(state, step, record, attempt);
 }
 
-/** Moves cached prefixes of idle conversations to where their next request will look first. */
+/** Moves cached prefixes of idle conversations to the servers that rank first for them. */
 function moveIdlePrefixes(state: BoxState, step: Step, view: ServerView): void {
   if (!state.settings.policy.kvMove || view.spec.kind !== ServerKind.engine) return;
   const leavesAtMs = serverMember(state, view.spec.id)?.leavesAtMs;
@@ -241,7 +244,7 @@
   return prefixes.sort((a, b) => b[1] - a[1]).slice(0, MAX_MOVED_PREFIXES);
 }
 
-/** Notes where a moved prefix now is. */
+/** Records the new location of a moved prefix. */
 export function onCacheMoved(state: BoxState, event: EventOf<'cacheMoved'>): void {
   const member = serverMember(state, event.serverId);
   if (member?.state === MemberState.dead) return;
--- a/packages/reedlug-decisions/src/slices/requests.ts
+++ b/packages/reedlug-decisions/src/slices/requests.ts
@@ -1,4 +1,4 @@
-/** Records of requests: creation, phases, and the one way to settle them. */
+/** Records of requests: creation, phases and settlement. */
 import { createAttemptLedger, Outcome, outcomeWhenGivenUp, Reach } from 'reedlug-coordination';
 import {
   Reason,
@@ -13,14 +13,14 @@
 import { queueOutcome } from './claimWrites.js';
 import { leaveQueue } from './queues.js';
 
-/** Settled requests kept at most, whatever their age. */
+/** Maximum number of settled requests kept, whatever their age. */
 const MAX_SETTLED_REQUESTS = 20_000;
-/** Work of a request besides its tokens, in tokens. */
+/** Fixed cost of a request in addition to its tokens, in prompt tokens. */
 const REQUEST_BASE_COST = 16;
-/** A generated token costs as much as this many prompt tokens. */
+/** Cost of a generated token, in prompt tokens. */
 export const GENERATED_TOKEN_COST = 4;
 
-/** Makes the record of an accepted request. */
+/** Creates the record of an accepted request. */
 export function createRecord(spec: RequestSpec, nowMs: number): RequestRecord {
   return {
     spec,
@@ -52,12 +52,12 @@
   if (view !== undefined) view.inProgress += 1;
 }
 
-/** The record of an attempt's request. */
+/** Returns the record of the request that an attempt belongs to. */
 export function recordOfAttempt(state: BoxState, attemptId: string): RequestRecord | undefined {
   return state.requests.get(attemptId.slice(0, attemptId.lastIndexOf('.')));
 }
 
-/** Settles a request that is given up on, by what its attempts may have done. */
+/** Settles a request without an answer; its outcome depends on what its attempts may have done. */
 export function giveUp(
   state: BoxState,
   step: Step,
@@ -73,7 +73,7 @@
   settle(state, step, record, { outcome: reported, reason, retryAfterMs });
 }
 
-/** What is told when a request is settled. */
+/** The result with which a request is settled. */
 export interface Settlement {
   outcome: Outcome;
   reason: Reason;
@@ -83,7 +83,7 @@
   answer?: RelayedAnswer | undefined;
 }
 
-/** Gives a request its one outcome and tells the caller. */
+/** Sets the only outcome of a request and reports it to the caller. */
 export function settle(
   state: BoxState,
   step: Step,
@@ -124,7 +124,7 @@
   if (state.mutations.has('settleTwice') && last !== undefined) step.effects.push(last);
 }
 
-/** Refuses a request that was never accepted; it leaves no record. */
+/** Refuses a request before it is accepted; no record is kept. */
 export function refuse(
   step: Step,
   spec: RequestSpec,
@@ -153,7 +153,7 @@
   return record.phase.kind !== 'settled';
 }
 
-/** The phase of one kind, or undefined. */
+/** Returns the phase of a request if it is of the given kind. */
 export function phaseOf<K extends RequestPhase['kind']>(
   record: RequestRecord,
   kind: K,
@@ -169,7 +169,7 @@
   );
 }
 
-/** Forgets settled requests past their retention, oldest first. */
+/** Deletes the records of settled requests past their retention, oldest first. */
 export function forgetSettled(state: BoxState, step: Step): void {
   const { retentionMs } = state.settings.control;
   let forgotten = 0;
--- a/packages/reedlug-decisions/src/slices/retries.ts
+++ b/packages/reedlug-decisions/src/slices/retries.ts
@@ -1,4 +1,4 @@
-/** What follows on an attempt without an answer: another one, or a final word. */
+/** Retries after an attempt without an answer, or the final outcome of the request. */
 import { backoffMs, MemberState } from 'reedlug-coordination';
 import { nextRandom, type BoxState, type Step } from '../state.js';
 import { Reason, type RequestRecord } from '../types/request.js';
@@ -7,10 +7,10 @@
 import { giveUp, mayHaveReached } from './requests.js';
 import { serverMember } from './servers.js';
 
-/** Retry time told with a request that failed at its servers, in ms. */
+/** Retry time in the answer to a request that failed at its servers, in ms. */
 const FAILED_RETRY_MS = 500;
 
-/** After a loss: a repeatable request goes on elsewhere, any other is given up as `unknown`. */
+/** Retries a request that may be repeated or that reached no server; gives up any other. */
 export function retryOrGiveUp(state: BoxState, step: Step, record: RequestRecord): void {
   const mayRepeat = record.spec.repeatable || !mayHaveReached(record);
   if (!mayRepeat && !state.mutations.has('retryNonRepeatable')) {
@@ -24,14 +24,14 @@
   requeue(state, step, record, causedByServerStop(state, record));
 }
 
-/** A retry that an announced reclaim has caused is not taken from the budget. */
+/** True if the server of the last attempt is draining or dead; such a retry is free of the budget. */
 function causedByServerStop(state: BoxState, record: RequestRecord): boolean {
   const last = record.attempts.at(-1);
   const member = last === undefined ? undefined : serverMember(state, last.serverId);
   return member?.leavingSinceMs !== undefined || member?.state === MemberState.dead;
 }
 
-/** Puts a request in progress back at the front of its queue; free of the budget when `owedNothing`. */
+/** Puts a request back at the front of its queue; `skipsBudget` exempts it from the retry budget. */
 export function requeue(
   state: BoxState,
   step: Step,
--- a/packages/reedlug-decisions/src/slices/servers.ts
+++ b/packages/reedlug-decisions/src/slices/servers.ts
@@ -1,8 +1,9 @@
 /**
- * Backend servers: what is known of them, probes, and news to peers.
+ * State of the backend servers, and updates about them to and from peers.
  *
- * Each server is probed by one live box of the zone, by rendezvous; the others
- * learn only exceptions. Leaving is sticky for an incarnation.
+ * Each server is probed by one live box of its zone, chosen by rendezvous hashing; the
+ * other boxes receive only changes of its state. A server that is draining (member
+ * state `leaving`: it will stop soon) stays so for the rest of its incarnation.
  */
 import {
   hashString,
@@ -29,10 +30,10 @@
 import { removePendingStart } from './placement.js';
 import { recordReport } from '../policy/windows.js';
 
-/** How long news that a server is hot are believed, in ms. */
+/** How long an update that a server is hot stays valid, in ms. */
 export const HOT_DURATION_MS = 6000;
 
-/** Takes a server into the view if it is new or its description changed. */
+/** Adds a server to the state, or updates its description. */
 export function upsertServer(state: BoxState, spec: ServerSpec): ServerView {
   const known = state.servers.get(spec.id);
   if (known !== undefined && known.spec.pool === spec.pool && known.spec.zone === spec.zone) {
@@ -92,12 +93,12 @@
   );
 }
 
-/** The member record of a server, if any source has named it. */
+/** Returns the membership record of a server, or undefined if no source has named it. */
 export function serverMember(state: BoxState, serverId: string): Member | undefined {
   return state.serverMembers.members.get(serverId);
 }
 
-/** True when a server may be given new work. */
+/** True if a server may receive new requests. */
 export function serverAcceptsRequests(state: BoxState, view: ServerView): boolean {
   const member = serverMember(state, view.spec.id);
   if (member === undefined) return false;
@@ -106,7 +107,7 @@
   return reportAllowsRequests(view);
 }
 
-/** The engine's own report goes before what the settings say it runs. */
+/** Checks the engine's own report, which takes precedence over the settings. */
 function reportAllowsRequests(view: ServerView): boolean {
   const { report, spec } = view;
   if (report === undefined || spec.kind === ServerKind.service) return true;
@@ -114,7 +115,7 @@
   return report.model === spec.pool;
 }
 
-/** Takes the settings' own servers in at the start; they still have to be heard. */
+/** Registers the servers of the settings at the start; they are not live until they respond. */
 export function registerConfiguredServers(state: BoxState, nowMs: number): void {
   for (const spec of state.settings.servers) {
     upsertServer(state, spec);
@@ -128,7 +129,7 @@
   }
 }
 
-/** Takes a statement about a server and does what follows from a change of state. */
+/** Applies a statement about a server and acts on a change of its state. */
 export function applyServerStatement(
   state: BoxState,
   step: Step,
@@ -168,7 +169,7 @@
   if (news !== undefined) sendToPeers(state, step, { kind: 'serverNews', news: [news] });
 }
 
-/** The exception to tell about a member; undefined for one that is only listed. */
+/** Returns the update to send about a member, or undefined for one that is only listed. */
 export function serverUpdateFor(member: Member, nowMs: number): ServerUpdate | undefined {
   const base = { serverId: member.id, incarnation: member.incarnation, leavesInMs: undefined };
   switch (member.state) {
@@ -190,8 +191,8 @@
 }
 
 /**
- * Takes a peer's news about servers. Few boxes hear those of another site; what
- * is new to one of them goes on to its own site.
+ * Applies a peer's updates about servers. Only a few boxes receive those of another
+ * site; they forward to their own site what is new to them.
  */
 export function onServerUpdates(
   state: BoxState,
@@ -217,7 +218,7 @@
   return siteOfZone(settings, zone) === siteOfZone(settings, settings.zone);
 }
 
-/** Servers of other sites that are up; one box of a zone tells them to boxes that are new to it. */
+/** Returns the servers of other sites, which one box per zone sends to newly seen boxes. */
 export function otherSiteServerIds(state: BoxState): string[] {
   const { boxId, zone } = state.settings;
   if (liveInZone(state.boxMembers, zone)[0] !== boxId) return [];
@@ -231,7 +232,7 @@
   if (view !== undefined) view.hotUntilMs = update.news === 'hot' ? nowMs + HOT_DURATION_MS : 0;
 }
 
-/** What news say of a server's life; nothing for those of its load. */
+/** Returns the membership statement of an update, or undefined for an update about load. */
 function statementFrom(update: ServerUpdate, step: Step): MemberStatement | undefined {
   const { incarnation } = update;
   switch (update.news) {
@@ -254,7 +255,7 @@
   }
 }
 
-/** Takes a reclaim notice for a server. */
+/** Marks a server as draining after a reclaim notice. */
 export function onReclaimNoticed(
   state: BoxState,
   step: Step,
@@ -262,7 +263,7 @@
 ): void {
   const { serverId, leavesAtMs } = event;
   state.lastReclaimAtMs = step.nowMs;
-  // A notice may name a life of the box that this process has not met yet, or none.
+  // A notice may name an incarnation of the server that this box has not seen yet, or none (0).
   const known = serverMember(state, serverId)?.incarnation ?? 0;
   const incarnation = Math.max(event.incarnation, event.incarnation === 0 ? known : 0);
   const statement: MemberStatement = {
@@ -274,7 +275,7 @@
   applyServerStatement(state, step, serverId, statement, true);
 }
 
-/** Takes the platform's box list, which lags: it names servers and may say that they leave. */
+/** Applies the platform's box list, which may be out of date: it names servers and draining ones. */
 export function onBoxListRead(state: BoxState, step: Step, event: EventOf<'boxListRead'>): void {
   for (const entry of event.entries) {
     upsertServer(state, entry.spec);
@@ -289,7 +290,7 @@
   }
 }
 
-/** Takes an answer to a probe; undefined means that there was none. */
+/** Applies the result of a probe; an undefined report means that there was no answer. */
 export function onServerReported(
   state: BoxState,
   step: Step,
@@ -319,7 +320,7 @@
   }
 }
 
-/** Takes what a server reports of itself, in a probe's answer or beside a response. */
+/** Applies a server's report about itself, from a probe or from the end of a response. */
 export function onReport(
   state: BoxState,
   step: Step,
--- a/packages/reedlug-decisions/src/slices/serviceAttempts.ts
+++ b/packages/reedlug-decisions/src/slices/serviceAttempts.ts
@@ -1,4 +1,4 @@
-/** Attempts at plain services: the first answer is the caller's. */
+/** Attempts at plain services: the first answer goes to the caller. */
 import { Outcome, Reach } from 'reedlug-coordination';
 import type { BoxState, Step } from '../state.js';
 import type { EventOf } from '../types/event.js';
@@ -9,10 +9,10 @@
 import { requeue } from './retries.js';
 import { applyServerStatement } from './servers.js';
 
-/** HTTP statuses by which a plain service says that it did not run the request. */
+/** HTTP statuses by which a plain service states that it did not run the request. */
 const NOT_RUN_STATUSES: readonly number[] = [429, 503];
 
-/** Takes the answer of a plain service; the first one is the caller's. */
+/** Handles the answer of a plain service; the first one goes to the caller. */
 export function onServiceAnswered(
   state: BoxState,
   step: Step,
--- a/packages/reedlug-decisions/src/slices/streamAttempts.ts
+++ b/packages/reedlug-decisions/src/slices/streamAttempts.ts
@@ -1,4 +1,4 @@
-/** Attempts at engines: tokens and ends. Words of an older attempt are dropped. */
+/** Attempts at engines: their tokens and end markers. Those of an older attempt are dropped. */
 import { acceptEnd, acceptTokens, Outcome, Reach } from 'reedlug-coordination';
 import { rulesFor } from '../plans/rules.js';
 import { recordCacheHit, recordOwnPrefixLocation } from '../policy/cacheView.js';
@@ -13,10 +13,10 @@
 import { retryOrGiveUp } from './retries.js';
 import { onReport } from './servers.js';
 
-/** Weight of the newest time between tokens in the smoothed one. */
+/** Weight of the newest time between tokens in the smoothed time. */
 const TOKEN_INTERVAL_SMOOTHING = 0.1;
 
-/** Takes tokens from an engine. */
+/** Accepts tokens from an engine and delivers them to the caller. */
 export function onAttemptProgress(
   state: BoxState,
   step: Step,
@@ -76,12 +76,12 @@
   queues.interTokenMs = smoothed(queues.interTokenMs, perTokenMs);
 }
 
-/** Moves a figure towards its newest value; the first value stands as it is. */
+/** Returns the exponentially smoothed value; the first value is taken as it is. */
 function smoothed(before: number, newest: number): number {
   return before === 0 ? newest : before + TOKEN_INTERVAL_SMOOTHING * (newest - before);
 }
 
-/** Hands the caller every token that it does not have yet. */
+/** Delivers every token that the caller does not have yet. */
 export function deliverNewTokens(step: Step, record: RequestRecord): void {
   const { ledger, spec } = record;
   record.deliveredCount = Math.max(record.deliveredCount, record.reconnectOffset);
@@ -95,7 +95,7 @@
   record.deliveredCount = ledger.tokens.length;
 }
 
-/** Takes an engine's end marker. */
+/** Handles the end marker of an engine. */
 export function onAttemptEnded(state: BoxState, step: Step, event: EventOf<'attemptEnded'>): void {
   const found = findAttempt(state, event.attemptId);
   if (found === undefined) return;
--- a/packages/reedlug-decisions/src/slices/timers.ts
+++ b/packages/reedlug-decisions/src/slices/timers.ts
@@ -1,4 +1,4 @@
-/** What time alone brings about in requests: deadlines, stalls, second tries, lost callers. */
+/** Timers of requests: deadlines, stalled streams, second attempts and disconnected callers. */
 import { takeRetry } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
 import { Reason, type Attempt, type RequestRecord } from '../types/request.js';
@@ -15,10 +15,10 @@
 import { movingTick } from './reclaim.js';
 import { claimingTick } from './claimWrites.js';
 
-/** Retry time told with a request whose deadline has passed, in ms. */
+/** Retry time in the answer to a request whose deadline has passed, in ms. */
 const DEADLINE_RETRY_MS = 500;
 
-/** Lets time act on every unsettled request, then on the queues. */
+/** Checks the timers of every unsettled request, then dispatches from the queues. */
 export function requestsTick(state: BoxState, step: Step): void {
   for (const requestId of [...state.unsettled]) {
     const record = state.requests.get(requestId);
@@ -53,7 +53,7 @@
   }
 }
 
-/** Cancels a stream whose caller has not come back; a keyed request that may not be repeated goes on. */
+/** Gives up a request whose caller has not reconnected; one that holds a claim continues. */
 function giveUpIfCallerGone(state: BoxState, step: Step, record: RequestRecord): boolean {
   const { callerGoneAtMs } = record;
   if (callerGoneAtMs === undefined || record.claimHeld) return false;
@@ -63,7 +63,7 @@
   return true;
 }
 
-/** Gives up at once on what can no longer be answered in time. */
+/** Gives up a queued request as soon as it can no longer be answered by its deadline. */
 function queuedTick(state: BoxState, step: Step, record: RequestRecord): void {
   const latestStartMs = record.spec.deadlineAtMs - shortestRunMs(state, record.spec);
   if (step.nowMs < latestStartMs) return;
@@ -82,7 +82,7 @@
   else secondTryTick(state, step, record, attempt);
 }
 
-/** A silent stream is taken as lost. */
+/** Retries or gives up a stream that has made no progress for too long. */
 function stallTick(state: BoxState, step: Step, record: RequestRecord, attempt: Attempt): void {
   const { control } = state.settings;
   const limitMs =
@@ -93,7 +93,7 @@
   retryOrGiveUp(state, step, record);
 }
 
-/** An urgent repeatable look-up without an answer is tried once more elsewhere. */
+/** Sends an urgent repeatable request without an answer to a second server as well. */
 function secondTryTick(state: BoxState, step: Step, record: RequestRecord, attempt: Attempt): void {
   const { spec } = record;
   if (!spec.repeatable || spec.requestClass !== RequestClass.urgent) return;
@@ -105,7 +105,7 @@
   if (takeRetry(state.retryBudget)) sendAttempt(state, step, record, view);
 }
 
-/** Notes that a caller's connection went away. */
+/** Records that the caller of a request has disconnected. */
 export function onCallerGone(state: BoxState, step: Step, event: EventOf<'callerGone'>): void {
   const record = state.requests.get(event.requestId);
   if (record === undefined || !isUnsettled(record)) return;
