--- a/packages/reedlug-decisions/src/plans/confirm.ts
+++ b/packages/reedlug-decisions/src/plans/confirm.ts
@@ -1,11 +1,11 @@
 /**
- * Confirming a plan: one transaction that adds the next revision to the log.
+ * Confirms a plan by a transaction that adds the next revision to the log.
  *
- * The log key of the next revision must not exist, and the items that the plan
- * touches must stand at the revisions it rests on. A conflict on the log key
- * alone means that another plan came first: this box catches up, checks the
- * plan's own items again and tries the revision after. A lost answer is settled
- * by reading the log row back and looking for the plan's own id.
+ * The log key of the next revision must not exist, and the items that the plan changes
+ * must have the revisions for which it was drafted. A conflict on the log key means that
+ * another plan was written first: this box applies it, checks the items of its own plan
+ * again and tries the following revision. After a lost answer, it reads the log row back
+ * and looks for the id of its plan.
  */
 import { itemRevision, liveInZone, type TableAnswer, type TableRow } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
@@ -15,12 +15,12 @@
 import { configLogKey, recordPlan, acceptDeltas, type ConfigLogValue } from '../slices/config.js';
 import { confirmedPlan, digestMatches, draftPlan, draftUndo } from './draft.js';
 
-/** Revisions tried before the operator is asked to confirm again. */
+/** Maximum number of attempts before the operator is asked to confirm again. */
 const MAX_TRIES = 16;
-/** How long the answer waits for the zones, in ms. */
+/** How long the answer waits until the plan is in force in every zone, in ms. */
 const ZONES_TIMEOUT_MS = 5000;
 
-/** Takes an operator's question or confirmation. */
+/** Handles a request from an operator. */
 export function onOperatorAsked(
   state: BoxState,
   step: Step,
@@ -54,7 +54,7 @@
   step.effects.push({ type: 'answerOperator', askId, answer: reply });
 }
 
-/** Confirms a plan whose digest fits; the answer comes under `askId`. */
+/** Starts to confirm a plan if its digest matches; the answer is sent under `askId`. */
 export function startConfirm(state: BoxState, step: Step, askId: string, plan: Plan): void {
   if (!digestMatches(plan)) {
     const fault = 'the plan is not as it was drafted: its digest does not fit; plan again';
@@ -83,7 +83,7 @@
   sendTableOp(state, step, askId, plan, tries, { kind: 'write', revision });
 }
 
-/** The first item of a plan that has changed since it was drafted, with who changed it. */
+/** Returns a conflict for the first item that has changed since the plan was drafted, or undefined. */
 function conflictOf(state: BoxState, plan: Plan): OperatorAnswer | undefined {
   for (const { name, revision } of plan.basis) {
     const current = itemRevision(state.config, name);
@@ -125,7 +125,7 @@
   return { delta: { revision, planId, author, changes }, plan: confirmedPlan(plan, revision) };
 }
 
-/** Takes the table's answer to a step of a confirm. */
+/** Handles the table's answer to a step of confirming a plan. */
 export function onConfirmAnswered(
   state: BoxState,
   step: Step,
@@ -177,7 +177,7 @@
   });
 }
 
-/** A row stands at the revision: ours after a lost answer, or another plan's that came first. */
+/** Handles an existing row at the revision: this plan's after a lost answer, or that of another plan. */
 function onRowExists(
   state: BoxState,
   step: Step,
@@ -199,7 +199,7 @@
   pendingConfirmsTick(state, step);
 }
 
-/** Answers confirms whose revision is in force in every zone, or whose time is over. */
+/** Answers confirmed plans that are in force in every zone or have waited long enough. */
 export function pendingConfirmsTick(state: BoxState, step: Step): void {
   const stillPending: PendingConfirm[] = [];
   for (const confirm of state.pendingConfirms) {
@@ -218,7 +218,7 @@
   state.pendingConfirms = stillPending;
 }
 
-/** Zones in which every live box that this box hears has the revision. */
+/** Returns the zones in which every live box has the revision, and the other ones. */
 function zonesWithRevision(
   state: BoxState,
   revision: number,
--- a/packages/reedlug-decisions/src/plans/draft.ts
+++ b/packages/reedlug-decisions/src/plans/draft.ts
@@ -1,4 +1,4 @@
-/** Drafting a plan from an intent: what would change, when, at what cost and risk. */
+/** Drafts a plan from an intent: the changes, their times, the cost and the risks. */
 import { createHash } from 'node:crypto';
 import { itemRevision, MemberState, type ConfigChange } from 'reedlug-coordination';
 import type { ConfirmedPlan, Intent, OperatorAnswer, Plan, PlanStep } from '../types/plan.js';
@@ -8,10 +8,10 @@
 import { intentFaults } from './intentFaults.js';
 import { itemName, itemValue, type PoolMove, type WorkspaceItem } from './items.js';
 
-/** A plan before its digest. */
+/** A plan without its digest. */
 type Draft = Omit<Plan, 'digest'>;
 
-/** Drafts a plan; nothing changes. */
+/** Drafts a plan without changing the state. */
 export function draftPlan(
   state: BoxState,
   params: { operatorId: string; planId: string; intent: Intent; epochMs: number },
@@ -48,7 +48,7 @@
   return draftPlan(state, { ...params, planId: params.newPlanId, intent });
 }
 
-/** SHA-256 of a plan without its digest field. */
+/** Returns the SHA-256 of a plan without its digest field. */
 export function digestOf(draft: Draft): string {
   const { planId, operatorId, createdAtEpochMs, intent, steps, boxes, costPerHourBefore } = draft;
   const { costPerHourAfter, tokensAtStake, risks, changes, undo, basis } = draft;
@@ -59,7 +59,7 @@
     .digest('hex');
 }
 
-/** True when a plan is as it was drafted. */
+/** True if a plan is unchanged since it was drafted. */
 export function digestMatches(plan: Plan): boolean {
   return digestOf(plan) === plan.digest;
 }
@@ -295,7 +295,7 @@
   return tokens;
 }
 
-/** What the log keeps of a plan. */
+/** Returns the part of a plan that is kept in the log. */
 export function confirmedPlan(plan: Plan, revision: number): ConfirmedPlan {
   const { planId, operatorId, intent, undo } = plan;
   return { planId, operatorId, revision, intent, undo };
--- a/packages/reedlug-decisions/src/plans/intentFaults.ts
+++ b/packages/reedlug-decisions/src/plans/intentFaults.ts
@@ -1,16 +1,16 @@
-/** Checks of an intent; every fault is listed, each with what would be right. */
+/** Validates an intent. Each fault says what would be valid. */
 import { RequestClass } from '../types/settings.js';
 import type { Intent } from '../types/plan.js';
 import type { BoxState } from '../state.js';
 import { limitsOf } from '../slices/limits.js';
 import { itemName } from './items.js';
 
-/** Longest move of a pool, in ms. */
+/** Maximum duration of a pool move, in ms. */
 const MAX_MOVE_MS = 90 * 24 * 3600 * 1000;
 const SHA256_PATTERN = /^[0-9a-f]{64}$/;
 const NAME_PATTERN = /^[a-z0-9][a-z0-9-]{0,62}$/;
 
-/** All faults of an intent against the configuration as it is now. */
+/** Returns all faults of an intent against the current configuration. */
 export function intentFaults(state: BoxState, intent: Intent, epochMs: number): string[] {
   switch (intent.kind) {
     case 'createWorkspace':
--- a/packages/reedlug-decisions/src/plans/items.ts
+++ b/packages/reedlug-decisions/src/plans/items.ts
@@ -1,38 +1,38 @@
-/** The configuration items that plans write, with their names and shapes. */
+/** Names and value types of the configuration items that plans write. */
 import type { BoxState } from '../state.js';
 import type { RequestClass, WorkspaceLimits } from '../types/settings.js';
 
-/** A pool on its way from one site to another. */
+/** A move of a pool from one site to another. */
 export interface PoolMove {
   toSite: string;
   startsAtEpochMs: number;
   endsAtEpochMs: number;
   steps: number;
-  /** Share of conversations at which the move was halted; undefined while it goes on. */
+  /** Share of conversations at which the move was halted; undefined if it is not halted. */
   haltedAtShare: number | undefined;
 }
 
-/** A class that is kept off reclaimable boxes in a window. */
+/** Period in which a request class does not use reclaimable machines. */
 export interface KeepOff {
   startsAtEpochMs: number;
   endsAtEpochMs: number;
 }
 
-/** A workspace's own class for requests that do not state one. */
+/** The request class that an operator has set for a workspace; it replaces that of the request. */
 export interface Priority {
   requestClass: RequestClass;
 }
 
-/** A workspace as plans create and change it. */
+/** A workspace that plans have created or changed. */
 export interface WorkspaceItem extends WorkspaceLimits {
-  /** Hash of its key; undefined for a workspace whose key stands in the settings. */
+  /** SHA-256 of its key; undefined if the key is in the settings. */
   keySha256: string | undefined;
 }
 
-/** Name prefix of the wanted states of engines. */
+/** Name prefix of the desired states of engines. */
 export const WANTED_PREFIX = 'wanted/';
 
-/** Names of items. */
+/** Functions that return the names of items. */
 export const itemName = {
   workspace: (workspaceId: string): string => `workspace/${workspaceId}`,
   service: (service: string): string => `service/${service}`,
@@ -42,14 +42,14 @@
   wanted: (serverId: string): string => `${WANTED_PREFIX}${serverId}`,
 } as const;
 
-/** The value of an item, or undefined. */
+/** Returns the value of an item, or undefined if it does not exist. */
 export function itemValue<T>(state: BoxState, name: string): T | undefined {
   return state.config.items.get(name)?.value as T | undefined;
 }
 
 const WORKSPACE_PREFIX = 'workspace/';
 
-/** The workspace that a plan has created with a key, by the key's hash. */
+/** Returns the id of the workspace that was created with a key, by the key's SHA-256. */
 export function workspaceOfKey(state: BoxState, keySha256: string): string | undefined {
   for (const [name, item] of state.config.items) {
     if (!name.startsWith(WORKSPACE_PREFIX)) continue;
--- a/packages/reedlug-decisions/src/plans/moveWatch.ts
+++ b/packages/reedlug-decisions/src/plans/moveWatch.ts
@@ -1,7 +1,7 @@
 /**
- * Watch over pools on a move: when too many answers at the new site miss their
- * target the move halts at the share that it has, by a plan of its own. An
- * operator goes on by undoing that plan.
+ * Monitors pools on a move. When too many answers at the new site miss their target,
+ * this box confirms a plan of its own that halts the move at its current share. An
+ * operator resumes the move by undoing that plan.
  */
 import { Outcome } from 'reedlug-coordination';
 import type { RequestRecord } from '../types/request.js';
@@ -14,14 +14,14 @@
 import { itemName, itemValue, type PoolMove } from './items.js';
 import { movedShare } from './rules.js';
 
-/** Name under which the watch confirms its plans. */
+/** Operator id under which the monitor confirms its plans. */
 const WATCH_OPERATOR_ID = 'reedlug';
-/** Length of one window, in ms. */
+/** Length of the window in which answers are counted, in ms. */
 const WINDOW_MS = 60_000;
-/** Answers that a window needs before it says anything. */
+/** Minimum number of answers in a window before a move can be halted. */
 const MIN_ANSWERS = 20;
 
-/** Counts an answer of a moving pool that ran at the new site. */
+/** Counts an answer of a moving pool if the request ran at the new site. */
 export function recordMoveAnswer(state: BoxState, record: RequestRecord, outcome: Outcome): void {
   const { pool } = record.spec;
   const move = itemValue<PoolMove>(state, itemName.poolMove(pool));
@@ -41,7 +41,7 @@
   return (record.firstTokenMs ?? 0) > (isUrgent ? urgentTargetMs : patientTargetMs);
 }
 
-/** Halts moves that miss their targets, and begins new windows. */
+/** Halts moves that miss their targets, and drops windows that are over. */
 export function moveWatchTick(state: BoxState, step: Step): void {
   for (const [model, watch] of state.moveWatches) {
     const failing = watch.missed / watch.seen > state.settings.policy.haltMissShare;
--- a/packages/reedlug-decisions/src/plans/rules.ts
+++ b/packages/reedlug-decisions/src/plans/rules.ts
@@ -1,4 +1,4 @@
-/** What the confirmed configuration says to routing, admission and placement. */
+/** Rules of the confirmed configuration for routing, admission and placement. */
 import type { RequestSpec } from '../types/request.js';
 import { RequestClass } from '../types/settings.js';
 import type { BoxState, ServerView } from '../state.js';
@@ -7,12 +7,12 @@
 
 const HASH_RANGE = 0x1_0000_0000;
 
-/** The class that an operator has set for a workspace, if any. */
+/** Returns the request class that an operator has set for a workspace, if any. */
 export function priorityOf(state: BoxState, workspaceId: string): RequestClass | undefined {
   return itemValue<Priority>(state, itemName.priority(workspaceId))?.requestClass;
 }
 
-/** Share of conversations that a moving pool serves at its new site now, in whole steps. */
+/** Returns the share of conversations that a moving pool serves at its new site, in whole steps. */
 export function movedShare(move: PoolMove, epochMs: number): number {
   if (move.haltedAtShare !== undefined) return move.haltedAtShare;
   const spanMs = Math.max(1, move.endsAtEpochMs - move.startsAtEpochMs);
@@ -21,14 +21,14 @@
   return steps / move.steps;
 }
 
-/** What confirmed rules say of the servers for one request; worked out once for all of them. */
+/** The rules for the servers of one request, computed once for all servers. */
 export interface ServerRules {
   avoidReclaimable: boolean;
-  /** Site at which the request must run, and whether it is that one or any other. */
+  /** The new site of a pool on a move, and whether the request runs there or at another site. */
   move: { toSite: string; runsAtNewSite: boolean } | undefined;
 }
 
-/** The rules for a request. */
+/** Returns the server rules for a request. */
 export function rulesFor(state: BoxState, spec: RequestSpec): ServerRules {
   const avoidReclaimable = isKeptOff(state, spec.requestClass);
   const move = itemValue<PoolMove>(state, itemName.poolMove(spec.pool));
@@ -40,7 +40,7 @@
   };
 }
 
-/** False when the rules keep a request off a server. */
+/** True if the rules allow a server for the request. */
 export function serverAllowed(state: BoxState, view: ServerView, rules: ServerRules): boolean {
   if (rules.avoidReclaimable && view.spec.reclaimable) return false;
   if (rules.move === undefined) return true;
@@ -54,7 +54,7 @@
   return state.epochMs >= rule.startsAtEpochMs && state.epochMs < rule.endsAtEpochMs;
 }
 
-/** False while any class is kept off reclaimable boxes: placement then buys on demand. */
+/** False while any class is kept off reclaimable machines; placement then starts on-demand ones only. */
 export function reclaimableAllowed(state: BoxState): boolean {
   return !isKeptOff(state, RequestClass.urgent) && !isKeptOff(state, RequestClass.patient);
 }
