--- a/packages/reedlug-decisions/src/invariants/effectInvariants.ts
+++ b/packages/reedlug-decisions/src/invariants/effectInvariants.ts
@@ -1,11 +1,11 @@
-/** Invariants over the effects of one event. */
+/** Invariants of the effects of one event. */
 import { mayHaveRun, Outcome, Reach } from 'reedlug-coordination';
 import type { Effect } from '../types/effect.js';
 import type { BoxState } from '../state.js';
 import type { InvariantMemory } from './memory.js';
 import { InvariantName, type Violation } from './violation.js';
 
-/** Checks one effect. */
+/** Returns the invariant that an effect violates, or undefined. */
 export function checkEffect(
   memory: InvariantMemory,
   state: BoxState,
@@ -60,7 +60,7 @@
   const graceMs = state.settings.control.leavingGraceMs;
   if (member?.leavingSinceMs === undefined) return undefined;
   if (state.nowMs - member.leavingSinceMs <= graceMs) return undefined;
-  const detail = `${effect.serverId} got new work ${state.nowMs - member.leavingSinceMs} ms after it was said to leave`;
+  const detail = `${effect.serverId} received a new request ${state.nowMs - member.leavingSinceMs} ms after its first draining notice`;
   return { name: InvariantName.noWorkForLeaving, detail };
 }
 
@@ -73,11 +73,11 @@
   const expected = memory.nextOffset.get(requestId) ?? firstOffset(state, requestId);
   memory.nextOffset.set(requestId, offset + tokens.length);
   if (offset === expected) return undefined;
-  const detail = `request ${requestId} got offset ${offset} where ${expected} was owed`;
+  const detail = `request ${requestId} got offset ${offset} instead of ${expected}`;
   return { name: InvariantName.gaplessTokens, detail };
 }
 
-/** A request that was handed over, or a reconnect, begins after the tokens that its caller has. */
+/** Returns the first offset of a request; after a handover or a reconnect the caller has some tokens. */
 function firstOffset(state: BoxState, requestId: string): number {
   const record = state.requests.get(requestId);
   return record === undefined ? 0 : Math.max(record.reconnectOffset, record.handoverOffset);
@@ -120,6 +120,6 @@
   memory.fence = fence;
   const endMs = held === undefined ? 0 : held.grantedAtMs + options.ttlMs - options.marginMs;
   if (state.nowMs < endMs) return undefined;
-  const detail = `an order left at ${state.nowMs} and the lease ended at ${endMs}`;
+  const detail = `an order was sent at ${state.nowMs} ms, but the lease ended at ${endMs} ms`;
   return { name: InvariantName.orderWithinLease, detail };
 }
--- a/packages/reedlug-decisions/src/invariants/index.ts
+++ b/packages/reedlug-decisions/src/invariants/index.ts
@@ -1,4 +1,4 @@
-/** Invariants, asserted inside the program in tests and in production. */
+/** Invariants that are checked after each event, in tests and in production. */
 import { reduce } from '../reduce.js';
 import type { BoxState } from '../state.js';
 import type { Effect } from '../types/effect.js';
@@ -11,7 +11,7 @@
 export { createInvariantMemory, type InvariantMemory } from './memory.js';
 export { BrokenInvariantError, InvariantName, type Violation } from './violation.js';
 
-/** The first invariant that an event and its effects break, or undefined. */
+/** Returns the first invariant that an event and its effects violate, or undefined. */
 export function findViolation(
   memory: InvariantMemory,
   state: BoxState,
@@ -26,8 +26,8 @@
 }
 
 /**
- * Reduces an event and throws `BrokenInvariantError` when an invariant does not hold
- * after it, before any effect is carried out.
+ * Applies an event and returns its effects. Throws `BrokenInvariantError` if an
+ * invariant does not hold afterwards, before any effect is carried out.
  */
 export function reduceChecked(memory: InvariantMemory, state: BoxState, event: BoxEvent): Effect[] {
   const effects = reduce(state, event);
--- a/packages/reedlug-decisions/src/invariants/memory.ts
+++ b/packages/reedlug-decisions/src/invariants/memory.ts
@@ -1,10 +1,10 @@
-/** What the invariants remember from event to event, apart from the state that they judge. */
+/** State that the invariants keep between events, separate from the state that they check. */
 export interface InvariantMemory {
   revision: number;
   fence: number;
-  /** Next offset owed to the caller of each request that has had tokens. */
+  /** Next token offset expected by the caller, of each request that has received tokens. */
   nextOffset: Map<string, number>;
-  /** Requests that were given their outcome and are still kept. */
+  /** Ids of the requests that have an outcome and whose records are still kept. */
   finished: Set<string>;
   ticks: number;
 }
--- a/packages/reedlug-decisions/src/invariants/stateInvariants.ts
+++ b/packages/reedlug-decisions/src/invariants/stateInvariants.ts
@@ -1,14 +1,14 @@
-/** Invariants over the state after an event; the sums are checked on some ticks only. */
+/** Invariants of the state after an event. The counts are checked on some ticks only. */
 import type { BoxState } from '../state.js';
 import type { InvariantMemory } from './memory.js';
 import { InvariantName, type Violation } from './violation.js';
 
-/** Ticks between two checks of the sums, which walk all requests in progress. */
+/** Number of ticks between two checks of the counts, which visit all requests in progress. */
 const COUNT_CHECK_INTERVAL_TICKS = 20;
-/** How long after its deadline a request may still wait for its outcome, in ms. */
+/** Time after its deadline within which a request must have an outcome, in ms. */
 const OUTCOME_GRACE_MS = 10_000;
 
-/** Checks the state; cheap on every event, thorough on some ticks. */
+/** Checks the state: revision and fence on every event, everything on some ticks. */
 export function checkState(
   memory: InvariantMemory,
   state: BoxState,
--- a/packages/reedlug-decisions/src/invariants/violation.ts
+++ b/packages/reedlug-decisions/src/invariants/violation.ts
@@ -1,4 +1,4 @@
-/** Names of the invariants, and what one says when it is broken. */
+/** Names of the invariants, and the error for a violation. */
 import ModernError from 'modern-errors';
 
 /** The invariants. */
@@ -16,13 +16,13 @@
 } as const;
 export type InvariantName = (typeof InvariantName)[keyof typeof InvariantName];
 
-/** A broken invariant. */
+/** A violated invariant. */
 export interface Violation {
   name: InvariantName;
   detail: string;
 }
 
-/** Stops the process; carries the violation and the event that brought it about. */
+/** Error that stops the process; carries the violation and the type of the event that caused it. */
 export const BrokenInvariantError = ModernError.subclass('BrokenInvariantError', {
   props: { violation: undefined as Violation | undefined, eventType: '' },
 });
