--- a/packages/reedlug-decisions/src/__tests__/__fixtures__/testBox.ts
+++ b/packages/reedlug-decisions/src/__tests__/__fixtures__/testBox.ts
@@ -1,4 +1,4 @@
-/** One box's reducer for tests: events in, effects out, with the invariants on. */
+/** A box for tests, whose reducer checks the invariants after each event. */
 import { DEFAULT_CONTROL, DEFAULT_POLICY } from '../../defaults.js';
 import { createInvariantMemory, reduceChecked } from '../../invariants/index.js';
 import { createBoxState, type BoxState } from '../../state.js';
@@ -10,13 +10,13 @@
 /** A box under test. */
 export interface TestBox {
   state: BoxState;
-  /** Gives an event at a time; returns its effects. */
+  /** Applies an event at a time and returns its effects. */
   send: (nowMs: number, event: EventBody) => Effect[];
-  /** Ticks every 50 ms from one time to another; returns all effects. */
+  /** Applies a tick every 50 ms from one time to another and returns all effects. */
   tickThrough: (fromMs: number, toMs: number) => Effect[];
 }
 
-/** An engine of the test deployment. */
+/** Returns an engine of the test deployment. */
 export function testEngine(id: string, changes: Partial<ServerSpec> = {}): ServerSpec {
   return {
     id,
@@ -33,12 +33,12 @@
   };
 }
 
-/** A plain service of the test deployment. */
+/** Returns a plain service of the test deployment. */
 export function testService(id: string): ServerSpec {
   return { ...testEngine(id), kind: 'service', pool: 'records', version: '' };
 }
 
-/** Settings of a deployment with two boxes in one zone. */
+/** Returns the settings of a deployment with two boxes in one zone. */
 export function testSettings(changes: Partial<DecisionSettings> = {}): DecisionSettings {
   return {
     boxId: 'box-1',
@@ -63,7 +63,7 @@
   };
 }
 
-/** Returns a box that is ready and has heard its servers. */
+/** Returns a box that is ready and has received a report from each of its servers. */
 export function createTestBox(changes: Partial<DecisionSettings> = {}): TestBox {
   const settings = testSettings(changes);
   const state = createBoxState({ settings, seed: 1, nowMs: 0 });
@@ -91,7 +91,7 @@
   for (const { id } of settings.servers) reportServer(box, 0, id);
 }
 
-/** Lets a server answer a probe. */
+/** Sends the box the report of an idle server, as if it had answered a probe. */
 export function reportServer(box: TestBox, nowMs: number, serverId: string, incarnation = 1): void {
   const spec = box.state.servers.get(serverId)?.spec;
   box.send(nowMs, {
@@ -111,7 +111,7 @@
   });
 }
 
-/** A draft for an engine. */
+/** Returns a draft, which is a repeatable request to an engine. */
 export function testDraft(requestId: string, changes: Partial<RequestSpec> = {}): RequestSpec {
   return {
     requestId,
@@ -131,7 +131,7 @@
   };
 }
 
-/** A notice for a plain service that may not be repeated. */
+/** Returns a notice, which is a request to a plain service that may not be repeated. */
 export function testNotice(requestId: string, key: string | undefined): RequestSpec {
   return testDraft(requestId, {
     requestClass: 'urgent',
@@ -145,7 +145,7 @@
   });
 }
 
-/** The first effect of a type, or undefined. */
+/** Returns the first effect of a type, or undefined. */
 export function effectOf<T extends Effect['type']>(
   effects: readonly Effect[],
   type: T,
@@ -153,7 +153,7 @@
   return effects.find((effect) => effect.type === type) as Extract<Effect, { type: T }> | undefined;
 }
 
-/** All effects of a type. */
+/** Returns all effects of a type. */
 export function effectsOf<T extends Effect['type']>(
   effects: readonly Effect[],
   type: T,
--- a/packages/reedlug-decisions/src/__tests__/orders.test.ts
+++ b/packages/reedlug-decisions/src/__tests__/orders.test.ts
@@ -10,7 +10,7 @@
 
 const WANTED: DesiredEngineState = { model: 'draft', version: 'v2', adapters: [], role: 'serve' };
 
-/** A box that holds the lease and has a wanted state for each engine. */
+/** Returns a box that holds the lease and has a desired state for each engine. */
 function holderBox(checksFence: boolean): TestBox {
   const servers = ['engine-1', 'engine-2', 'engine-3', 'engine-4'].map((id) =>
     testEngine(id, { checksFence }),
@@ -22,17 +22,17 @@
   return box;
 }
 
-test('loads of weights keep to the rate of their store', () => {
+test('orders that load weights keep to the rate limit of the weight store', () => {
   const box = holderBox(true);
   expect(effectsOf(box.tickThrough(50, 500), 'sendOrder')).length(2);
 });
 
-test('an order says how long it is valid, within the lease', () => {
+test('an order carries a validity that ends within the lease', () => {
   const [order] = effectsOf(holderBox(true).tickThrough(50, 100), 'sendOrder');
   expect(order).include({ fence: 3, validForMs: 5000 });
 });
 
-test('an engine that checks no fence is drained before it is changed', () => {
+test('an engine that checks no fence is drained before its model changes', () => {
   const box = holderBox(false);
   expect(effectsOf(box.tickThrough(5050, 5500), 'sendOrder')).deep.equal([]);
   const view = box.state.servers.get('engine-1');
@@ -42,7 +42,7 @@
   expect(orders.map(({ serverId }) => serverId)).deep.equal(['engine-1']);
 });
 
-test('an engine that checks no fence waits for the last holder', () => {
+test('an engine that checks no fence gets no order while those of the last holder may arrive', () => {
   const box = holderBox(false);
   const view = box.state.servers.get('engine-1');
   if (view?.report === undefined) throw new Error('no report');
--- a/packages/reedlug-decisions/src/__tests__/plans.test.ts
+++ b/packages/reedlug-decisions/src/__tests__/plans.test.ts
@@ -39,14 +39,14 @@
   return answer.plan;
 }
 
-test('a move goes on in whole steps and stops at its halt', () => {
+test('a move proceeds in whole steps and stays at the share at which it is halted', () => {
   expect([0, 249, 250, 999, 1000, 5000].map((at) => movedShare(MOVE, at))).deep.equal([
     0, 0, 0.25, 0.75, 1, 1,
   ]);
   expect(movedShare({ ...MOVE, haltedAtShare: 0.25 }, 5000)).equal(0.25);
 });
 
-test('a move that misses its targets halts by a plan', () => {
+test('a move that misses its targets is halted by a plan', () => {
   const box = movingBox();
   for (let index = 0; index < 25; index += 1) {
     const spec = testDraft(`d${index}`, { repeatable: false });
@@ -61,7 +61,7 @@
   expect(JSON.stringify(log?.value)).match(/"haltedAtShare":1/);
 });
 
-test('a lost answer to a confirm is settled by its own row', () => {
+test('a confirm whose answer is lost is settled by reading its row back', () => {
   const box = createTestBox();
   const plan = planOf(box, 'plan-1');
   const ask = { kind: 'confirm', plan } as const;
@@ -75,11 +75,11 @@
   const rows = [{ key: 'config/log/000000000001', version: 1, value }];
   const done = { kind: 'done', rows } as const;
   const after = box.send(40, { type: 'tableAnswered', opId: read?.opId ?? '', answer: done });
-  const told = effectOf([...after, ...box.tickThrough(50, 6000)], 'answerOperator');
-  expect(told?.answer).include({ kind: 'confirmed', revision: 1 });
+  const answered = effectOf([...after, ...box.tickThrough(50, 6000)], 'answerOperator');
+  expect(answered?.answer).include({ kind: 'confirmed', revision: 1 });
 });
 
-test('an undo restores what was there before', () => {
+test('an undo plan restores the previous values', () => {
   const box = createTestBox();
   const plan = planOf(box, 'plan-1');
   const item = { value: { requestClass: 'urgent' }, revision: 1, planId: 'plan-1', author: 'o' };
--- a/packages/reedlug-decisions/src/__tests__/requests.test.ts
+++ b/packages/reedlug-decisions/src/__tests__/requests.test.ts
@@ -14,7 +14,7 @@
   return box.send(nowMs, { type: 'requestArrived', spec });
 }
 
-test('a lost unkeyed notice is unknown and not sent again', () => {
+test('an unkeyed notice whose connection is lost is unknown and not sent again', () => {
   const box = createTestBox();
   const sent = effectOf(sendRequest(box, 10, testNotice('n1', undefined)), 'sendAttempt');
   const attemptId = sent?.attemptId ?? '';
@@ -23,7 +23,7 @@
   expect(effectsOf(box.tickThrough(50, 2000), 'sendAttempt')).deep.equal([]);
 });
 
-test('a notice whose connection was never made goes elsewhere or stays notRun', () => {
+test('a notice whose connection was never made goes to another server or ends as notRun', () => {
   const box = createTestBox();
   const sent = effectOf(sendRequest(box, 10, testNotice('n1', undefined)), 'sendAttempt');
   const attemptId = sent?.attemptId ?? '';
@@ -32,7 +32,7 @@
   expect(effectOf(effects, 'finishRequest')).include({ outcome: 'notRun', reason: 'deadline' });
 });
 
-test('a keyed notice leaves only after its claim is confirmed', () => {
+test('a keyed notice is sent only after its claim is confirmed', () => {
   const box = createTestBox();
   const effects = sendRequest(box, 10, testNotice('n1', 'k'));
   expect(effectOf(effects, 'sendAttempt')).equal(undefined);
@@ -42,7 +42,7 @@
   expect(effectOf(after, 'sendAttempt')?.requestId).equal('n1');
 });
 
-test('a silent table refuses a keyed notice as notRun', () => {
+test('a keyed notice is refused as notRun when the table does not answer', () => {
   const box = createTestBox();
   sendRequest(box, 10, testNotice('n1', 'k'));
   const finish = effectOf(box.tickThrough(50, 4000), 'finishRequest');
@@ -50,7 +50,7 @@
   expect(finish?.retryAfterMs).greaterThan(0);
 });
 
-test('the outcome in the row answers for a holder that is gone', () => {
+test('the outcome in the row of the claim settles a request whose holder is gone', () => {
   const box = createTestBox();
   const claim = effectOf(sendRequest(box, 10, testNotice('n2', 'k')), 'requestTable');
   const value = {
@@ -82,7 +82,7 @@
   expect(effectOf(effects, 'finishRequest')).include({ outcome: 'completed', status: 201 });
 });
 
-test('a draft resumes elsewhere after the tokens already sent', () => {
+test('a draft resumes at another engine after the tokens already sent', () => {
   const box = createTestBox();
   const first = effectOf(sendRequest(box, 10, testDraft('d1')), 'sendAttempt');
   const attemptId = first?.attemptId ?? '';
@@ -102,10 +102,10 @@
   expect(effectOf(box.send(510, { ...late, tokens: ['x'] }), 'deliverTokens')).equal(undefined);
 });
 
-test('a list cannot undo that a server leaves', () => {
+test('a box list does not end the draining of a server', () => {
   const box = createTestBox();
-  const leaves = { type: 'reclaimNoticed', serverId: 'engine-1', incarnation: 1 } as const;
-  box.send(10, { ...leaves, leavesAtMs: 9000 });
+  const reclaimNotice = { type: 'reclaimNoticed', serverId: 'engine-1', incarnation: 1 } as const;
+  box.send(10, { ...reclaimNotice, leavesAtMs: 9000 });
   const spec = box.state.servers.get('engine-1')?.spec;
   if (spec === undefined) throw new Error('no engine-1');
   box.send(20, { type: 'boxListRead', entries: [{ spec, incarnation: 1, leaving: false }] });
@@ -120,15 +120,15 @@
   }
 });
 
-test('a next life of a box takes work again', () => {
+test('the next incarnation of a server is live again', () => {
   const box = createTestBox();
-  const leaves = { type: 'reclaimNoticed', serverId: 'engine-1', incarnation: 1 } as const;
-  box.send(10, { ...leaves, leavesAtMs: 9000 });
+  const reclaimNotice = { type: 'reclaimNoticed', serverId: 'engine-1', incarnation: 1 } as const;
+  box.send(10, { ...reclaimNotice, leavesAtMs: 9000 });
   reportServer(box, 20, 'engine-1', 2);
   expect(box.state.serverMembers.members.get('engine-1')?.state).equal('live');
 });
 
-test('what cannot meet its deadline is refused at once', () => {
+test('a request that cannot meet its deadline is refused at once', () => {
   const box = createTestBox();
   for (let index = 0; index < 20; index += 1) {
     sendRequest(box, 10, testDraft(`d${index}`, { maxTokens: 4000, deadlineAtMs: 600_000 }));
@@ -141,7 +141,7 @@
   expect(finish?.retryAfterMs).greaterThan(0);
 });
 
-test('urgent goes before patient that waits', () => {
+test('an urgent request is dispatched before waiting patient ones', () => {
   const box = createTestBox();
   const running: string[] = [];
   for (let index = 0; index < 12; index += 1) {
@@ -156,7 +156,7 @@
   expect(next?.requestId).equal('urgent');
 });
 
-test('a stalled stream is taken as lost', () => {
+test('a stalled stream is cancelled and resumed', () => {
   const box = createTestBox();
   const first = effectOf(sendRequest(box, 10, testDraft('d1')), 'sendAttempt');
   const attemptId = first?.attemptId ?? '';
@@ -166,14 +166,14 @@
   expect(effectOf(effects, 'sendAttempt')?.resumeOffset).equal(1);
 });
 
-test('a box that has heard no source of configuration is not ready', () => {
+test('a box that has reached no source of the configuration is not ready', () => {
   const box = createTestBox();
   box.state.configSourceSeen = false;
   const finish = effectOf(sendRequest(box, 10, testDraft('d1')), 'finishRequest');
   expect(finish).include({ outcome: 'notRun', reason: 'notReady' });
 });
 
-test('a draft that cannot end by its deadline is refused at once', () => {
+test('a draft that cannot finish by its deadline is refused at once', () => {
   const box = createTestBox();
   const spec = testDraft('long', { maxTokens: 4000, deadlineAtMs: 50_000 });
   expect(effectOf(sendRequest(box, 10, spec), 'finishRequest')).include({
@@ -182,7 +182,7 @@
   });
 });
 
-test('peers are told of a prefix that is not at its first rank', () => {
+test('peers are sent the location of a prefix that is not at its first-ranked engine', () => {
   const box = createTestBox();
 
   for (const serverId of ['engine-1', 'engine-2']) {
--- a/packages/reedlug-decisions/src/__tests__/windows.test.ts
+++ b/packages/reedlug-decisions/src/__tests__/windows.test.ts
@@ -34,7 +34,7 @@
   return view === undefined ? 0 : spareCapacity(box.state, view, 'patient', nowMs);
 }
 
-test('a hot engine leaves a box its exact share', () => {
+test('a box uses only its exact share of a hot engine', () => {
   const box = createTestBox();
   receiveHeartbeat(box, 10);
   updateSharingBoxes(box.state);
@@ -45,7 +45,7 @@
   expect(capacity(box, 50)).equal(4);
 });
 
-test('an engine that is not heard of leaves part of its window', () => {
+test('a box uses part of the window of an engine without a fresh report', () => {
   const box = createTestBox();
   expect(capacity(box, 60_000)).equal(4);
   receiveHeartbeat(box, 60_000);
@@ -53,7 +53,7 @@
   expect(capacity(box, 60_000)).equal(2);
 });
 
-test('the first rank counts only engines that a plan allows', () => {
+test('routing considers only engines that a plan allows', () => {
   const box = createTestBox();
   box.state.epochMs = 1000;
   const move = {
@@ -78,7 +78,7 @@
   expect(chooseServer(box.state, record, 20)?.spec.id).equal('engine-2');
 });
 
-test('news of another site go on to the own site once', () => {
+test('updates from another site are forwarded to the own site once', () => {
   const box = createTestBox();
   receiveHeartbeat(box, 10);
   const moved = box.state.servers.get('engine-2');
@@ -109,11 +109,11 @@
   expect(second.filter((effect) => effect.type === 'sendPeer')).deep.equal([]);
 });
 
-test('a prefix that is out of reach counts as none', () => {
+test('the location of a prefix at a draining engine is dropped', () => {
   const box = createTestBox();
-  const leaves = { type: 'reclaimNoticed', serverId: 'engine-1', incarnation: 1 } as const;
+  const reclaimNotice = { type: 'reclaimNoticed', serverId: 'engine-1', incarnation: 1 } as const;
   box.state.prefixLocations.set(7, { serverId: 'engine-1', tokens: 100 });
-  box.send(10, { ...leaves, leavesAtMs: 9000 });
+  box.send(10, { ...reclaimNotice, leavesAtMs: 9000 });
   const record = createRecord(testDraft('d1'), 20);
   expect(chooseServer(box.state, record, 20)?.spec.id).equal('engine-2');
   expect(box.state.prefixLocations.has(7)).equal(false);
