--- a/packages/reedlug-decisions/src/policy/cacheView.ts
+++ b/packages/reedlug-decisions/src/policy/cacheView.ts
@@ -98,8 +98,8 @@
 ): void {
   const { spec, view, cachedTokens, hadLocation } = params;
   if (hadLocation) {
-    const sight = state.prefixLocations.get(spec.affinityHash);
-    view.cacheUncertain = sight !== undefined && cachedTokens < sight.tokens / 2;
+    const location = state.prefixLocations.get(spec.affinityHash);
+    view.cacheUncertain = location !== undefined && cachedTokens < location.tokens / 2;
     return;
   }
   if (spec.promptTokens === 0) return;
--- a/packages/reedlug-decisions/src/slices/peerLinks.ts
+++ b/packages/reedlug-decisions/src/slices/peerLinks.ts
@@ -115,11 +115,11 @@
   from: string,
   message: Extract<PeerMessage, { kind: 'heartbeat' }>,
 ): void {
-  const before = state.boxMembers.members.get(from);
-  const isNew = before === undefined || before.incarnation < message.incarnation;
-  const wasSilent = before !== undefined && before.state !== MemberState.live;
+  const known = state.boxMembers.members.get(from);
+  const isNew = known === undefined || known.incarnation < message.incarnation;
+  const wasSilent = known !== undefined && known.state !== MemberState.live;
   const { incarnation, zone } = message;
-  if (before !== undefined && incarnation < before.incarnation) return;
+  if (known !== undefined && incarnation < known.incarnation) return;
   noteMember(state.boxMembers, from, { kind: 'heard', incarnation, zone }, step.nowMs);
   if (message.draining) recordDraining(state, from, incarnation, step.nowMs);
   state.peers.set(from, {
--- a/packages/reedlug-decisions/src/slices/placement.ts
+++ b/packages/reedlug-decisions/src/slices/placement.ts
@@ -60,8 +60,8 @@
 }
 
 function expirePendingStarts(state: BoxState, nowMs: number): void {
-  for (const [askId, ask] of state.pendingStarts) {
-    if (nowMs - ask.sentAtMs > START_TIMEOUT_MS) state.pendingStarts.delete(askId);
+  for (const [askId, start] of state.pendingStarts) {
+    if (nowMs - start.sentAtMs > START_TIMEOUT_MS) state.pendingStarts.delete(askId);
   }
 }
 
@@ -92,7 +92,7 @@
   });
   const known = new Set(engines.map((view) => view.spec.id));
   const starting = [...state.pendingStarts.values()].filter(
-    (ask) => ask.pool === pool.model && !known.has(ask.askId),
+    (start) => start.pool === pool.model && !known.has(start.askId),
   );
   return { pool, engines, starting };
 }
@@ -195,7 +195,7 @@
   const site = siteOfZone(settings, settings.zone);
   const onDemand =
     count.engines.filter((view) => !view.spec.reclaimable).length +
-    count.starting.filter((ask) => !ask.reclaimable).length;
+    count.starting.filter((start) => !start.reclaimable).length;
   const onDemandOnly =
     settings.policy.placement === PlacementPolicy.onDemandOnly ||
     !reclaimableAllowed(state) ||
@@ -223,8 +223,8 @@
   const { placement } = state.settings.policy;
   if (placement === PlacementPolicy.cheapestFirst) return offer.pricePerHour;
   const reclaimCost = offer.reclaimsPerHour * RECLAIM_COST_HOURS;
-  const inZone = shareInZone(offer.zone, count);
-  return offer.pricePerHour * (1 + reclaimCost) * (1 + inZone);
+  const zoneShare = shareInZone(offer.zone, count);
+  return offer.pricePerHour * (1 + reclaimCost) * (1 + zoneShare);
 }
 
 /** Returns the share of the pool that is already in a zone. */
@@ -232,7 +232,7 @@
   const total = count.engines.length + count.starting.length;
   if (total === 0) return 0;
   const engines = count.engines.filter((view) => view.spec.zone === zone).length;
-  const starting = count.starting.filter((ask) => ask.zone === zone).length;
+  const starting = count.starting.filter((start) => start.zone === zone).length;
   return (engines + starting) / total;
 }
 
@@ -318,11 +318,11 @@
   step: Step,
   event: EventOf<'cloudAnswered'>,
 ): void {
-  const ask = state.pendingStarts.get(event.askId);
-  if (ask === undefined) return;
+  const start = state.pendingStarts.get(event.askId);
+  if (start === undefined) return;
   if (event.answer.kind !== 'refused') return;
   state.pendingStarts.delete(event.askId);
-  const key = offerKey(ask);
+  const key = offerKey(start);
   const refusals = (state.offerBackoff.get(key)?.refusals ?? 0) + 1;
   const delayMs = backoffMs({
     tries: refusals,
