--- a/packages/reedlug-decisions/src/index.ts
+++ b/packages/reedlug-decisions/src/index.ts
@@ -3,7 +3,7 @@
 export * from './invariants/index.js';
 export * from './mutations.js';
 export * from './plans/items.js';
-export { digestMatches as digestFits } from './plans/draft.js';
+export { digestMatches } from './plans/draft.js';
 export * from './reduce.js';
 export { workspaceView } from './slices/limits.js';
 export { isReady } from './slices/readiness.js';
--- a/packages/reedlug-decisions/src/policy/windows.ts
+++ b/packages/reedlug-decisions/src/policy/windows.ts
@@ -3,8 +3,9 @@
  *
  * `fixed`: the engine's slots plus an allowance for its queue. `cacheAware`: additive
  * increase and multiplicative decrease by cache use and hit share, after CONCUR (see
- * docs/design/windows.md). A box uses what other boxes leave free by the last report
- * of the server, a part of the window without a fresh report, and at least an even share.
+ * docs/design/windows.md). A box uses what the other boxes leave free according to the
+ * server's last report, or a fixed part of the window without a fresh report, but at
+ * least an even share.
  */
 import { hashString, liveInZone, rendezvousWeight } from 'reedlug-coordination';
 import type { EngineReport } from '../types/order.js';
