--- a/packages/reedlug-decisions/src/__tests__/windows.test.ts
+++ b/packages/reedlug-decisions/src/__tests__/windows.test.ts
@@ -1,10 +1,10 @@
 import { expect } from 'chai';
-import { createTestBox, hear, testDraft, type TestBox } from './__fixtures__/testBox.js';
+import { createTestBox, reportServer, testDraft, type TestBox } from './__fixtures__/testBox.js';
 import { chooseServer } from '../policy/routing.js';
-import { roomAt, updateSharing } from '../policy/windows.js';
+import { spareCapacity, updateSharingBoxes } from '../policy/windows.js';
 import { createRecord } from '../slices/requests.js';
 
-function hearPeer(box: TestBox, nowMs: number): void {
+function receiveHeartbeat(box: TestBox, nowMs: number): void {
   box.send(nowMs, {
     type: 'peerMessage',
     from: 'box-2',
@@ -20,40 +20,40 @@
   });
 }
 
-function hot(box: TestBox, nowMs: number, news: 'hot' | 'cool'): void {
-  const item = { serverId: 'engine-1', incarnation: 1, news, leavesInMs: undefined };
+function receiveLoadUpdate(box: TestBox, nowMs: number, news: 'hot' | 'cool'): void {
+  const update = { serverId: 'engine-1', incarnation: 1, news, leavesInMs: undefined };
   box.send(nowMs, {
     type: 'peerMessage',
     from: 'box-2',
-    message: { kind: 'serverNews', news: [item] },
+    message: { kind: 'serverNews', news: [update] },
   });
 }
 
-function room(box: TestBox, nowMs: number): number {
+function capacity(box: TestBox, nowMs: number): number {
   const view = box.state.servers.get('engine-1');
-  return view === undefined ? 0 : roomAt(box.state, view, 'patient', nowMs);
+  return view === undefined ? 0 : spareCapacity(box.state, view, 'patient', nowMs);
 }
 
-test('a hot engine leaves a box its exact share', () => {
+test('a box uses only its exact share of a hot engine', () => {
   const box = createTestBox();
-  hearPeer(box, 10);
-  updateSharing(box.state);
-  expect(room(box, 20)).equal(4);
-  hot(box, 20, 'hot');
-  expect(room(box, 30)).equal(2);
-  hot(box, 40, 'cool');
-  expect(room(box, 50)).equal(4);
+  receiveHeartbeat(box, 10);
+  updateSharingBoxes(box.state);
+  expect(capacity(box, 20)).equal(4);
+  receiveLoadUpdate(box, 20, 'hot');
+  expect(capacity(box, 30)).equal(2);
+  receiveLoadUpdate(box, 40, 'cool');
+  expect(capacity(box, 50)).equal(4);
 });
 
-test('an engine that is not heard of leaves part of its window', () => {
+test('a box uses part of the window of an engine without a fresh report', () => {
   const box = createTestBox();
-  expect(room(box, 60_000)).equal(4);
-  hearPeer(box, 60_000);
-  updateSharing(box.state);
-  expect(room(box, 60_000)).equal(2);
+  expect(capacity(box, 60_000)).equal(4);
+  receiveHeartbeat(box, 60_000);
+  updateSharingBoxes(box.state);
+  expect(capacity(box, 60_000)).equal(2);
 });
 
-test('the first rank counts only engines that a plan allows', () => {
+test('routing considers only engines that a plan allows', () => {
   const box = createTestBox();
   box.state.epochMs = 1000;
   const move = {
@@ -74,13 +74,13 @@
   const moved = box.state.servers.get('engine-2');
   if (moved === undefined) throw new Error('no engine-2');
   moved.spec = { ...moved.spec, zone: 'zone-b' };
-  hear(box, 20, 'engine-2');
+  reportServer(box, 20, 'engine-2');
   expect(chooseServer(box.state, record, 20)?.spec.id).equal('engine-2');
 });
 
-test('news of another site go on to the own site once', () => {
+test('updates from another site are forwarded to the own site once', () => {
   const box = createTestBox();
-  hearPeer(box, 10);
+  receiveHeartbeat(box, 10);
   const moved = box.state.servers.get('engine-2');
   if (moved === undefined) throw new Error('no engine-2');
   box.send(20, {
@@ -109,12 +109,12 @@
   expect(second.filter((effect) => effect.type === 'sendPeer')).deep.equal([]);
 });
 
-test('a prefix that is out of reach counts as none', () => {
+test('the location of a prefix at a draining engine is dropped', () => {
   const box = createTestBox();
-  const leaves = { type: 'reclaimNoticed', serverId: 'engine-1', incarnation: 1 } as const;
-  box.state.cacheSights.set(7, { serverId: 'engine-1', tokens: 100 });
-  box.send(10, { ...leaves, leavesAtMs: 9000 });
+  const reclaimNotice = { type: 'reclaimNoticed', serverId: 'engine-1', incarnation: 1 } as const;
+  box.state.prefixLocations.set(7, { serverId: 'engine-1', tokens: 100 });
+  box.send(10, { ...reclaimNotice, leavesAtMs: 9000 });
   const record = createRecord(testDraft('d1'), 20);
   expect(chooseServer(box.state, record, 20)?.spec.id).equal('engine-2');
-  expect(box.state.cacheSights.has(7)).equal(false);
+  expect(box.state.prefixLocations.has(7)).equal(false);
 });
--- a/packages/reedlug-decisions/src/invariants/effectInvariants.ts
+++ b/packages/reedlug-decisions/src/invariants/effectInvariants.ts
@@ -1,11 +1,11 @@
-/** Invariants over the effects of one event. */
+/** Invariants of the effects of one event. */
 import { mayHaveRun, Outcome, Reach } from 'reedlug-coordination';
 import type { Effect } from '../types/effect.js';
 import type { BoxState } from '../state.js';
 import type { InvariantMemory } from './memory.js';
 import { InvariantName, type Violation } from './violation.js';
 
-/** Checks one effect. */
+/** Returns the invariant that an effect violates, or undefined. */
 export function checkEffect(
   memory: InvariantMemory,
   state: BoxState,
@@ -13,15 +13,15 @@
 ): Violation | undefined {
   switch (effect.type) {
     case 'sendAttempt':
-      return atMostOneRun(state, effect) ?? noWorkForLeaving(state, effect);
+      return checkAtMostOneRun(state, effect) ?? checkNoWorkForLeaving(state, effect);
     case 'deliverTokens':
-      return gapless(memory, state, effect);
+      return checkGaplessTokens(memory, state, effect);
     case 'finishRequest':
-      return oneOutcome(memory, state, effect) ?? notRunHasNone(state, effect);
+      return checkOneOutcome(memory, state, effect) ?? checkNotRunHasNone(state, effect);
     case 'sendOrder':
-      return withinLease(memory, state, effect.fence);
+      return checkWithinLease(memory, state, effect.fence);
     case 'askCloud':
-      return withinLease(memory, state, effect.ask.fence);
+      return checkWithinLease(memory, state, effect.ask.fence);
     case 'forgetRequest':
       memory.finished.delete(effect.requestId);
       memory.nextOffset.delete(effect.requestId);
@@ -40,7 +40,7 @@
   }
 }
 
-function atMostOneRun(
+function checkAtMostOneRun(
   state: BoxState,
   effect: Extract<Effect, { type: 'sendAttempt' }>,
 ): Violation | undefined {
@@ -52,7 +52,7 @@
   return { name: InvariantName.atMostOneRun, detail };
 }
 
-function noWorkForLeaving(
+function checkNoWorkForLeaving(
   state: BoxState,
   effect: Extract<Effect, { type: 'sendAttempt' }>,
 ): Violation | undefined {
@@ -60,30 +60,30 @@
   const graceMs = state.settings.control.leavingGraceMs;
   if (member?.leavingSinceMs === undefined) return undefined;
   if (state.nowMs - member.leavingSinceMs <= graceMs) return undefined;
-  const detail = `${effect.serverId} got new work ${state.nowMs - member.leavingSinceMs} ms after it was said to leave`;
+  const detail = `${effect.serverId} received a new request ${state.nowMs - member.leavingSinceMs} ms after its first draining notice`;
   return { name: InvariantName.noWorkForLeaving, detail };
 }
 
-function gapless(
+function checkGaplessTokens(
   memory: InvariantMemory,
   state: BoxState,
   effect: Extract<Effect, { type: 'deliverTokens' }>,
 ): Violation | undefined {
   const { requestId, offset, tokens } = effect;
-  const owed = memory.nextOffset.get(requestId) ?? firstOffset(state, requestId);
+  const expected = memory.nextOffset.get(requestId) ?? firstOffset(state, requestId);
   memory.nextOffset.set(requestId, offset + tokens.length);
-  if (offset === owed) return undefined;
-  const detail = `request ${requestId} got offset ${offset} where ${owed} was owed`;
+  if (offset === expected) return undefined;
+  const detail = `request ${requestId} got offset ${offset} instead of ${expected}`;
   return { name: InvariantName.gaplessTokens, detail };
 }
 
-/** A request that was handed over, or a reconnect, begins after the tokens that its caller has. */
+/** Returns the first offset of a request; after a handover or a reconnect the caller has some tokens. */
 function firstOffset(state: BoxState, requestId: string): number {
   const record = state.requests.get(requestId);
-  return record === undefined ? 0 : Math.max(record.skipUntil, record.handedOffset);
+  return record === undefined ? 0 : Math.max(record.reconnectOffset, record.handoverOffset);
 }
 
-function oneOutcome(
+function checkOneOutcome(
   memory: InvariantMemory,
   state: BoxState,
   effect: Extract<Effect, { type: 'finishRequest' }>,
@@ -96,7 +96,7 @@
   return undefined;
 }
 
-function notRunHasNone(
+function checkNotRunHasNone(
   state: BoxState,
   effect: Extract<Effect, { type: 'finishRequest' }>,
 ): Violation | undefined {
@@ -108,7 +108,7 @@
   return { name: InvariantName.notRunHasNone, detail };
 }
 
-function withinLease(
+function checkWithinLease(
   memory: InvariantMemory,
   state: BoxState,
   fence: number,
@@ -120,6 +120,6 @@
   memory.fence = fence;
   const endMs = held === undefined ? 0 : held.grantedAtMs + options.ttlMs - options.marginMs;
   if (state.nowMs < endMs) return undefined;
-  const detail = `an order left at ${state.nowMs} and the lease ended at ${endMs}`;
+  const detail = `an order was sent at ${state.nowMs} ms, but the lease ended at ${endMs} ms`;
   return { name: InvariantName.orderWithinLease, detail };
 }
--- a/packages/reedlug-decisions/src/plans/draft.ts
+++ b/packages/reedlug-decisions/src/plans/draft.ts
@@ -1,4 +1,4 @@
-/** Drafting a plan from an intent: what would change, when, at what cost and risk. */
+/** Drafts a plan from an intent: the changes, their times, the cost and the risks. */
 import { createHash } from 'node:crypto';
 import { itemRevision, MemberState, type ConfigChange } from 'reedlug-coordination';
 import type { ConfirmedPlan, Intent, OperatorAnswer, Plan, PlanStep } from '../types/plan.js';
@@ -8,10 +8,10 @@
 import { intentFaults } from './intentFaults.js';
 import { itemName, itemValue, type PoolMove, type WorkspaceItem } from './items.js';
 
-/** A plan before its digest. */
+/** A plan without its digest. */
 type Draft = Omit<Plan, 'digest'>;
 
-/** Drafts a plan; nothing changes. */
+/** Drafts a plan without changing the state. */
 export function draftPlan(
   state: BoxState,
   params: { operatorId: string; planId: string; intent: Intent; epochMs: number },
@@ -20,7 +20,7 @@
   const faults = intentFaults(state, intent, epochMs);
   if (faults.length > 0) return { kind: 'invalid', faults };
   const changes = changesFor(state, intent);
-  const effects = effectsOf(state, intent);
+  const effects = planEffects(state, intent);
   const draft: Draft = {
     planId: params.planId,
     operatorId: params.operatorId,
@@ -48,7 +48,7 @@
   return draftPlan(state, { ...params, planId: params.newPlanId, intent });
 }
 
-/** SHA-256 of a plan without its digest field. */
+/** Returns the SHA-256 of a plan without its digest field. */
 export function digestOf(draft: Draft): string {
   const { planId, operatorId, createdAtEpochMs, intent, steps, boxes, costPerHourBefore } = draft;
   const { costPerHourAfter, tokensAtStake, risks, changes, undo, basis } = draft;
@@ -59,8 +59,8 @@
     .digest('hex');
 }
 
-/** True when a plan is as it was drafted. */
-export function digestFits(plan: Plan): boolean {
+/** True if a plan is unchanged since it was drafted. */
+export function digestMatches(plan: Plan): boolean {
   return digestOf(plan) === plan.digest;
 }
 
@@ -180,7 +180,7 @@
   'boxes' | 'costPerHourBefore' | 'costPerHourAfter' | 'tokensAtStake' | 'risks'
 >;
 
-function effectsOf(state: BoxState, intent: Intent): PlanEffects {
+function planEffects(state: BoxState, intent: Intent): PlanEffects {
   const before = costPerHour(state, liveEngines(state));
   const unchanged: PlanEffects = {
     boxes: [],
@@ -227,8 +227,8 @@
     );
   }
   if (present === 0) risks.push(`no engine of ${intent.model} is up at ${intent.toSite} yet`);
-  const started = offer === undefined ? [] : [{ ...offerBox(offer), countDelta: missing }];
-  const stopped = old.map((view) => ({ ...offerBox(view.spec), countDelta: -1 }));
+  const started = offer === undefined ? [] : [{ ...boxKindOf(offer), countDelta: missing }];
+  const stopped = old.map((view) => ({ ...boxKindOf(view.spec), countDelta: -1 }));
   const oldCost = costPerHour(state, old);
   const newCost = missing * (offer?.pricePerHour ?? 0);
   return {
@@ -240,7 +240,7 @@
   };
 }
 
-function offerBox(box: { zone: string; machineClass: string; reclaimable: boolean }): {
+function boxKindOf(box: { zone: string; machineClass: string; reclaimable: boolean }): {
   zone: string;
   machineClass: string;
   reclaimable: boolean;
@@ -289,13 +289,13 @@
 
 function cachedTokensAt(state: BoxState, serverIds: ReadonlySet<string>): number {
   let tokens = 0;
-  for (const sight of state.cacheSights.values()) {
-    if (serverIds.has(sight.serverId)) tokens += sight.tokens;
+  for (const location of state.prefixLocations.values()) {
+    if (serverIds.has(location.serverId)) tokens += location.tokens;
   }
   return tokens;
 }
 
-/** What the log keeps of a plan. */
+/** Returns the part of a plan that is kept in the log. */
 export function confirmedPlan(plan: Plan, revision: number): ConfirmedPlan {
   const { planId, operatorId, intent, undo } = plan;
   return { planId, operatorId, revision, intent, undo };
--- a/packages/reedlug-decisions/src/policy/cacheView.ts
+++ b/packages/reedlug-decisions/src/policy/cacheView.ts
@@ -1,101 +1,105 @@
 /**
- * Where cached prefixes are, as far as this box has seen.
+ * Locations of cached prefixes, as far as this box knows them.
  *
- * Cache events are late and have gaps. A gap makes a server's sights
+ * Cache events arrive late and with gaps. A gap makes the locations at a server
  * uncertain; the cached tokens that an engine reports with each answer correct
- * the view. Without a sight, the first-ranked engine is credited with the
- * share of prompt tokens that such requests were found to hit.
+ * this view. Without a known location, the first-ranked engine is expected to hold
+ * the share of prompt tokens that earlier requests of this kind found in its cache.
  */
 import type { EventOf } from '../types/event.js';
-import type { CacheNews } from '../types/peer.js';
+import type { CacheUpdate } from '../types/peer.js';
 import type { RequestSpec } from '../types/request.js';
 import type { BoxState, ServerView } from '../state.js';
 
-/** Sights kept; the oldest goes first. */
-export const CACHE_SIGHT_LIMIT = 20_000;
-/** News of prefixes sent in one heartbeat at most. */
-const CACHE_NEWS_LIMIT = 200;
-/** Weight of the newest answer in the smoothed hit share. */
+/** Maximum number of prefix locations kept; the oldest is dropped first. */
+export const MAX_PREFIX_LOCATIONS = 20_000;
+/** Maximum number of cache updates sent to peers per heartbeat. */
+const MAX_PENDING_CACHE_UPDATES = 200;
+/** Weight of the newest answer in the smoothed cache hit share. */
 const HIT_SMOOTHING = 0.05;
-/** Credit of a sight whose server had a gap in its cache events. */
+/** Share of the expected tokens that counts if the server had a gap in its cache events. */
 const UNCERTAIN_CREDIT = 0.5;
 
-/** Prompt tokens that a server is expected to find in its cache. */
+/** Returns the number of prompt tokens that a server is expected to find in its cache. */
 export function expectedCachedTokens(
   state: BoxState,
   spec: RequestSpec,
   view: ServerView,
   isFirstRanked: boolean,
 ): number {
-  const sight = state.cacheSights.get(spec.affinityHash);
-  if (sight === undefined) {
+  const location = state.prefixLocations.get(spec.affinityHash);
+  if (location === undefined) {
     return isFirstRanked ? spec.promptTokens * state.priorHitShare : 0;
   }
-  if (sight.serverId !== view.spec.id) return 0;
+  if (location.serverId !== view.spec.id) return 0;
   const credit = view.cacheUncertain ? UNCERTAIN_CREDIT : 1;
-  return Math.min(spec.promptTokens, sight.tokens) * credit;
+  return Math.min(spec.promptTokens, location.tokens) * credit;
 }
 
-/** Notes that a server now holds the conversation's prefix up to `tokens`. */
-export function noteCached(
+/** Records that a server holds the prefix of a conversation, `tokens` long. */
+export function recordPrefixLocation(
   state: BoxState,
   affinityHash: number,
   serverId: string,
   tokens: number,
 ): void {
-  putBounded(state.cacheSights, affinityHash, { serverId, tokens });
+  putBounded(state.prefixLocations, affinityHash, { serverId, tokens });
 }
 
-/** Puts an entry as the newest; the oldest goes when there are too many. */
+/** Sets an entry as the newest one and drops the oldest one above the limit. */
 function putBounded<T>(entries: Map<number, T>, affinityHash: number, entry: T): void {
   entries.delete(affinityHash);
   entries.set(affinityHash, entry);
-  if (entries.size <= CACHE_SIGHT_LIMIT) return;
+  if (entries.size <= MAX_PREFIX_LOCATIONS) return;
   const oldest = entries.keys().next();
   if (oldest.done !== true) entries.delete(oldest.value);
 }
 
-/** Notes where this box's own answer left a prefix, and has peers told if they would look elsewhere. */
-export function noteOwnCached(
+/**
+ * Records where an answer of this box left a prefix, and queues an update for the peers
+ * if they would expect the prefix at another server.
+ */
+export function recordOwnPrefixLocation(
   state: BoxState,
-  cached: CacheNews,
+  update: CacheUpdate,
   firstRankedId: string | undefined,
 ): void {
-  const { affinityHash, serverId, tokens } = cached;
-  noteCached(state, affinityHash, serverId, tokens);
-  const believed = state.cacheTold.get(affinityHash) ?? firstRankedId;
-  if (believed === serverId) return;
-  noteTold(state, affinityHash, serverId, firstRankedId);
-  if (state.cacheNewsWaiting.length < CACHE_NEWS_LIMIT) state.cacheNewsWaiting.push(cached);
+  const { affinityHash, serverId, tokens } = update;
+  recordPrefixLocation(state, affinityHash, serverId, tokens);
+  const expectedServerId = state.announcedPrefixServers.get(affinityHash) ?? firstRankedId;
+  if (expectedServerId === serverId) return;
+  recordAnnounced(state, affinityHash, serverId, firstRankedId);
+  if (state.pendingCacheUpdates.length < MAX_PENDING_CACHE_UPDATES)
+    state.pendingCacheUpdates.push(update);
 }
 
-function noteTold(
+function recordAnnounced(
   state: BoxState,
   affinityHash: number,
   serverId: string,
   firstRankedId: string | undefined,
 ): void {
-  if (serverId === firstRankedId) state.cacheTold.delete(affinityHash);
-  else putBounded(state.cacheTold, affinityHash, serverId);
+  if (serverId === firstRankedId) state.announcedPrefixServers.delete(affinityHash);
+  else putBounded(state.announcedPrefixServers, affinityHash, serverId);
 }
 
-/** Takes a peer's news of prefixes. */
-export function onCacheNews(state: BoxState, news: readonly CacheNews[]): void {
-  for (const { affinityHash, serverId, tokens } of news) {
-    noteCached(state, affinityHash, serverId, tokens);
-    putBounded(state.cacheTold, affinityHash, serverId);
+/** Applies the cache updates of a peer. */
+export function onCacheUpdates(state: BoxState, updates: readonly CacheUpdate[]): void {
+  for (const { affinityHash, serverId, tokens } of updates) {
+    recordPrefixLocation(state, affinityHash, serverId, tokens);
+    putBounded(state.announcedPrefixServers, affinityHash, serverId);
   }
 }
 
-/** Learns from an engine's report of cached tokens how far the view can be trusted. */
-export function noteCacheHit(
+/** Corrects the view by the number of cached tokens that an engine reports with an answer. */
+export function recordCacheHit(
   state: BoxState,
-  params: { spec: RequestSpec; view: ServerView; cachedTokens: number; hadSight: boolean },
+  params: { spec: RequestSpec; view: ServerView; cachedTokens: number; hadLocation: boolean },
 ): void {
-  const { spec, view, cachedTokens, hadSight } = params;
-  if (hadSight) {
-    const sight = state.cacheSights.get(spec.affinityHash);
-    view.cacheUncertain = sight !== undefined && cachedTokens < sight.tokens / 2;
+  const { spec, view, cachedTokens, hadLocation } = params;
+  if (hadLocation) {
+    const location = state.prefixLocations.get(spec.affinityHash);
+    view.cacheUncertain = location !== undefined && cachedTokens < location.tokens / 2;
     return;
   }
   if (spec.promptTokens === 0) return;
@@ -103,7 +107,7 @@
   state.priorHitShare += HIT_SMOOTHING * (share - state.priorHitShare);
 }
 
-/** Takes a cache event; a jump in its sequence number is a gap. */
+/** Applies a cache event. A jump in the sequence number means that events were missed. */
 export function onCacheChanged(state: BoxState, event: EventOf<'cacheChanged'>): void {
   const view = state.servers.get(event.serverId);
   if (view === undefined || event.sequence <= view.cacheSequence) return;
@@ -112,14 +116,14 @@
   }
   view.cacheSequence = event.sequence;
   for (const affinityHash of event.evicted) {
-    const sight = state.cacheSights.get(affinityHash);
-    if (sight?.serverId === event.serverId) state.cacheSights.delete(affinityHash);
+    const location = state.prefixLocations.get(affinityHash);
+    if (location?.serverId === event.serverId) state.prefixLocations.delete(affinityHash);
   }
 }
 
-/** Forgets every sight of a server that is gone. */
-export function forgetServerCache(state: BoxState, serverId: string): void {
-  for (const [affinityHash, sight] of state.cacheSights) {
-    if (sight.serverId === serverId) state.cacheSights.delete(affinityHash);
+/** Drops all prefix locations at a server that is gone. */
+export function forgetServerPrefixes(state: BoxState, serverId: string): void {
+  for (const [affinityHash, location] of state.prefixLocations) {
+    if (location.serverId === serverId) state.prefixLocations.delete(affinityHash);
   }
 }
--- a/packages/reedlug-decisions/src/policy/routing.ts
+++ b/packages/reedlug-decisions/src/policy/routing.ts
@@ -1,44 +1,53 @@
 /**
- * Choice of a server for a request.
+ * Selects a server for a request.
  *
- * `affinity` ranks the servers by rendezvous hash of the conversation and takes
- * the cheapest by one figure: waiting, prompt work not in the cache, and the
- * recomputed tokens, weighed by the settings. The other policies are baselines.
+ * `affinity` ranks the servers by the rendezvous hash of the conversation and selects
+ * the one with the lowest expected cost: waiting time, uncached prompt work and
+ * recomputed tokens, weighted by the settings. The other policies are baselines.
  */
 import { rendezvousWeight } from 'reedlug-coordination';
 import type { RequestRecord, RequestSpec } from '../types/request.js';
 import { RequestClass, RoutingPolicy, ServerKind } from '../types/settings.js';
 import type { BoxState, ServerView } from '../state.js';
 import { nextRandom, poolSiteKey, siteOfZone } from '../state.js';
-import { serverTakesWork } from '../slices/servers.js';
+import { serverAcceptsRequests } from '../slices/servers.js';
 import { rulesFor, serverAllowed, type ServerRules } from '../plans/rules.js';
 import { expectedCachedTokens } from './cacheView.js';
-import { othersAt, roomAt } from './windows.js';
+import { otherBoxesLoad, spareCapacity } from './windows.js';
 
-/** First ranks of a conversation that are weighed against each other. */
+/** Number of top-ranked servers of a conversation whose costs are compared. */
 const SHORTLIST_LENGTH = 16;
-/** Servers looked at beyond a full shortlist. */
-const FURTHER_TRIES = 64;
-/** A second of waiting of an urgent request weighs this many times a patient one's. */
+/** Maximum number of servers checked outside a shortlist without spare capacity. */
+const MAX_FALLBACK_CANDIDATES = 64;
+/** Factor of the waiting cost of an urgent request over that of a patient one. */
 const URGENT_WAIT_FACTOR = 8;
-/** Slowdown of generation at a full engine, as a share of one second's wait per slot share. */
+/**
+ * Waiting time added for the slower generation at a full engine, in ms. It grows with
+ * the square of the load.
+ */
 const CROWDING_WAIT_MS = 400;
 
-/** The server for a request, or undefined when none has room. */
+/** Returns the server for a request, or undefined if the request has to wait. */
 export function chooseServer(
   state: BoxState,
   record: RequestRecord,
   nowMs: number,
 ): ServerView | undefined {
   const rules = rulesFor(state, record.spec);
-  const listed = listFor(state, record.spec, rules);
+  const listed = shortlistWithHolder(state, record.spec, rules);
   const candidates = candidatesFor(state, record, rules, listed, nowMs);
   if (candidates.length === 0) return undefined;
-  const preferred = candidates.filter((view) => !record.avoid.has(view.spec.id));
-  return pick(state, record, listed, preferred.length > 0 ? preferred : candidates, nowMs);
+  const preferred = candidates.filter((view) => !record.avoidedServers.has(view.spec.id));
+  return selectByPolicy(
+    state,
+    record,
+    listed,
+    preferred.length > 0 ? preferred : candidates,
+    nowMs,
+  );
 }
 
-/** Listed servers with room; own zone first where settings say so. */
+/** Returns the servers with spare capacity, only those of the own zone if the settings prefer them. */
 function candidatesFor(
   state: BoxState,
   record: RequestRecord,
@@ -46,15 +55,19 @@
   listed: readonly ServerView[],
   nowMs: number,
 ): ServerView[] {
-  const open = listed.filter((view) => hasRoom(state, record, view, nowMs));
-  const found = open.length > 0 ? open : furtherRoom(state, record, rules, listed, nowMs);
+  const available = listed.filter((view) => hasSpareCapacity(state, record, view, nowMs));
+  const found =
+    available.length > 0 ? available : fallbackCandidates(state, record, rules, listed, nowMs);
   if (state.settings.policy.routeOverSite) return found;
   const own = found.filter((view) => view.spec.zone === state.settings.zone);
   return own.length > 0 ? own : found;
 }
 
-/** Beyond a full shortlist: a few servers from a random place on, the first that has room. */
-function furtherRoom(
+/**
+ * Returns a server outside a shortlist that has no spare capacity: the first one with
+ * spare capacity among a few servers from a random position on.
+ */
+function fallbackCandidates(
   state: BoxState,
   record: RequestRecord,
   rules: ServerRules,
@@ -64,19 +77,24 @@
   const pool = poolServers(state, record.spec, rules);
   if (pool.length <= listed.length) return [];
   const start = Math.floor(nextRandom(state) * pool.length);
-  for (let step = 0; step < FURTHER_TRIES; step += 1) {
+  for (let step = 0; step < MAX_FALLBACK_CANDIDATES; step += 1) {
     const view = pool[(start + step) % pool.length];
-    if (view === undefined || !isUsable(state, record.spec, rules, view)) continue;
-    if (hasRoom(state, record, view, nowMs)) return [view];
+    if (view === undefined || !isEligible(state, record.spec, rules, view)) continue;
+    if (hasSpareCapacity(state, record, view, nowMs)) return [view];
   }
   return [];
 }
 
-function hasRoom(state: BoxState, record: RequestRecord, view: ServerView, nowMs: number): boolean {
-  return roomAt(state, view, record.spec.requestClass, nowMs) > 0;
+function hasSpareCapacity(
+  state: BoxState,
+  record: RequestRecord,
+  view: ServerView,
+  nowMs: number,
+): boolean {
+  return spareCapacity(state, view, record.spec.requestClass, nowMs) > 0;
 }
 
-/** Servers of a request's pool: those of the own site, of all sites where it has none or moves. */
+/** Returns the pool's servers at the own site, or at all sites if it has none here or is on a move. */
 function poolServers(
   state: BoxState,
   spec: RequestSpec,
@@ -86,24 +104,24 @@
   if (rules.move !== undefined) return all;
   const site = siteOfZone(state.settings, state.settings.zone);
   const own = state.serversByPoolSite.get(poolSiteKey(spec.pool, site)) ?? [];
-  return own.some((view) => isUsable(state, spec, rules, view)) ? own : all;
+  return own.some((view) => isEligible(state, spec, rules, view)) ? own : all;
 }
 
-function isUsable(
+function isEligible(
   state: BoxState,
   spec: RequestSpec,
   rules: ServerRules,
   view: ServerView,
 ): boolean {
   if (view.spec.kind !== spec.kind) return false;
-  if (!serverTakesWork(state, view) || !versionFits(view, spec.version)) return false;
+  if (!serverAcceptsRequests(state, view) || !versionMatches(view, spec.version)) return false;
   return serverAllowed(state, view, rules);
 }
 
 /**
- * Servers that may run a request, with room or without: the first ranks of its
- * conversation, best first, so that the cost of a choice does not grow with the
- * fleet.
+ * Returns the top-ranked servers that may run a request, best first, with or without
+ * spare capacity. The length is limited so that the cost of routing does not grow with
+ * the fleet.
  */
 export function shortlist(state: BoxState, spec: RequestSpec, rules: ServerRules): ServerView[] {
   const weights: number[] = [];
@@ -112,7 +130,7 @@
     const weight = rendezvousWeight(spec.affinityHash, view.idHash);
     const isFull = views.length === SHORTLIST_LENGTH;
     if (isFull && weight <= (weights.at(-1) ?? 0)) continue;
-    if (!isUsable(state, spec, rules, view)) continue;
+    if (!isEligible(state, spec, rules, view)) continue;
     let at = views.length;
     while (at > 0 && weight > (weights[at - 1] ?? 0)) at -= 1;
     weights.splice(at, 0, weight);
@@ -124,29 +142,29 @@
   return views;
 }
 
-/** The shortlist, and the server where the conversation's prefix was last seen. */
-function listFor(state: BoxState, spec: RequestSpec, rules: ServerRules): ServerView[] {
+/** Returns the shortlist and the server where the conversation's prefix was last seen. */
+function shortlistWithHolder(state: BoxState, spec: RequestSpec, rules: ServerRules): ServerView[] {
   const listed = shortlist(state, spec, rules);
-  const sight = state.cacheSights.get(spec.affinityHash);
-  if (sight === undefined) return listed;
-  const holder = state.servers.get(sight.serverId);
+  const location = state.prefixLocations.get(spec.affinityHash);
+  if (location === undefined) return listed;
+  const holder = state.servers.get(location.serverId);
   if (holder !== undefined && listed.includes(holder)) return listed;
-  if (holder !== undefined && isUsable(state, spec, rules, holder)) {
+  if (holder !== undefined && isEligible(state, spec, rules, holder)) {
     return [...listed, holder];
   }
-  // A prefix out of reach is none: without this no engine would be credited, and the
-  // boxes would each choose another one.
-  state.cacheSights.delete(spec.affinityHash);
+  // A prefix at a server that cannot be used is dropped: with the location kept, no engine
+  // would be expected to hold the prefix, and each box would choose a different engine.
+  state.prefixLocations.delete(spec.affinityHash);
   return listed;
 }
 
-/** A request that names a version goes only to engines that report it. */
-function versionFits(view: ServerView, version: string): boolean {
+/** True if the engine runs the model version that the request names, or if it names none. */
+function versionMatches(view: ServerView, version: string): boolean {
   if (version === '') return true;
   return (view.report?.version ?? view.spec.version) === version;
 }
 
-function pick(
+function selectByPolicy(
   state: BoxState,
   record: RequestRecord,
   listed: readonly ServerView[],
@@ -155,9 +173,9 @@
 ): ServerView | undefined {
   switch (state.settings.policy.routing) {
     case RoutingPolicy.affinity:
-      return cheapest(state, record, listed, candidates, nowMs);
+      return cheapestServer(state, record, listed, candidates, nowMs);
     case RoutingPolicy.roundRobin:
-      return inTurn(state, candidates);
+      return nextInTurn(state, candidates);
     case RoutingPolicy.leastRequests:
       return leastLoaded(candidates, nowMs);
     case RoutingPolicy.stickyHash:
@@ -165,24 +183,27 @@
   }
 }
 
-function inTurn(state: BoxState, candidates: readonly ServerView[]): ServerView | undefined {
+function nextInTurn(state: BoxState, candidates: readonly ServerView[]): ServerView | undefined {
   state.roundRobinTurn += 1;
   return candidates[state.roundRobinTurn % candidates.length];
 }
 
 function leastLoaded(candidates: readonly ServerView[], nowMs: number): ServerView | undefined {
-  return lowest(candidates, (view) => view.openAttempts.size + (othersAt(view, nowMs) ?? 0));
+  return lowestCost(
+    candidates,
+    (view) => view.openAttempts.size + (otherBoxesLoad(view, nowMs) ?? 0),
+  );
 }
 
-/** The server with the highest rendezvous weight for a key. */
+/** Returns the server with the highest rendezvous weight for a key. */
 export function firstRanked(
   affinityHash: number,
   servers: readonly ServerView[],
 ): ServerView | undefined {
-  return lowest(servers, (view) => -rendezvousWeight(affinityHash, view.idHash));
+  return lowestCost(servers, (view) => -rendezvousWeight(affinityHash, view.idHash));
 }
 
-function cheapest(
+function cheapestServer(
   state: BoxState,
   record: RequestRecord,
   listed: readonly ServerView[],
@@ -190,22 +211,22 @@
   nowMs: number,
 ): ServerView | undefined {
   if (record.spec.kind === ServerKind.service) {
-    return lowest(candidates, (view) => serviceCost(state, view, nowMs));
+    return lowestCost(candidates, (view) => serviceCost(state, view, nowMs));
   }
   const [first] = listed;
   const costOf = (view: ServerView): number =>
     engineCost(state, record, view, view === first, nowMs);
-  const best = lowest(candidates, costOf);
+  const best = lowestCost(candidates, costOf);
   const bestCost = best === undefined ? Number.POSITIVE_INFINITY : costOf(best);
   const worthWaiting = listed.some(
     (view) =>
-      !hasRoom(state, record, view, nowMs) &&
+      !hasSpareCapacity(state, record, view, nowMs) &&
       costOf(view) + waitCost(state, record, view, nowMs) < bestCost,
   );
   return worthWaiting ? undefined : best;
 }
 
-/** Cost of waiting until a full server has a place, less what was waited already. */
+/** Returns the cost of waiting for a slot at a full server; infinite once waiting is not allowed. */
 function waitCost(state: BoxState, record: RequestRecord, view: ServerView, nowMs: number): number {
   if (record.phase.kind !== 'queued' || record.spec.requestClass === RequestClass.urgent) {
     return Number.POSITIVE_INFINITY;
@@ -220,12 +241,13 @@
 }
 
 function serviceCost(state: BoxState, view: ServerView, nowMs: number): number {
-  const load = view.openAttempts.size + (othersAt(view, nowMs) ?? 0);
-  const awayMs = view.spec.zone === state.settings.zone ? 0 : state.settings.policy.crossZoneMs * 2;
-  return load + awayMs;
+  const load = view.openAttempts.size + (otherBoxesLoad(view, nowMs) ?? 0);
+  const crossZoneMs =
+    view.spec.zone === state.settings.zone ? 0 : state.settings.policy.crossZoneMs * 2;
+  return load + crossZoneMs;
 }
 
-/** The expected cost of running a request at an engine, in the units of the settings' weights. */
+/** Returns the expected cost of running a request at an engine, in the units of the weights. */
 export function engineCost(
   state: BoxState,
   record: RequestRecord,
@@ -237,7 +259,7 @@
   const { spec } = record;
   const cached = expectedCachedTokens(state, spec, view, isFirstRanked);
   const uncached = spec.promptTokens + record.ledger.tokens.length - cached;
-  const load = view.openAttempts.size + (othersAt(view, nowMs) ?? 0);
+  const load = view.openAttempts.size + (otherBoxesLoad(view, nowMs) ?? 0);
   const waitMs =
     (uncached + view.pendingPrefillTokens) / policy.prefillTokensPerMs +
     crowdingMs(load, view.spec.slots) +
@@ -252,7 +274,7 @@
   return CROWDING_WAIT_MS * share * share;
 }
 
-function lowest(
+function lowestCost(
   views: readonly ServerView[],
   costOf: (view: ServerView) => number,
 ): ServerView | undefined {
--- a/packages/reedlug-decisions/src/policy/windows.ts
+++ b/packages/reedlug-decisions/src/policy/windows.ts
@@ -1,10 +1,11 @@
 /**
- * How many requests may be in progress at an engine.
+ * Window of a server: the number of requests that may be in progress there.
  *
- * `fixed`: the engine's slots plus an allowance, less what other boxes have
- * there by the engine's last report; an even share where no fresh report is
- * known. `cacheAware`: additive increase and multiplicative decrease on cache
- * use and hit share, after CONCUR (see docs/design/windows.md).
+ * `fixed`: the engine's slots plus an allowance for its queue. `cacheAware`: additive
+ * increase and multiplicative decrease by cache use and hit share, after CONCUR (see
+ * docs/design/windows.md). A box uses what the other boxes leave free according to the
+ * server's last report, or a fixed part of the window without a fresh report, but at
+ * least an even share.
  */
 import { hashString, liveInZone, rendezvousWeight } from 'reedlug-coordination';
 import type { EngineReport } from '../types/order.js';
@@ -12,21 +13,21 @@
 import type { BoxState, ServerView, SharingBoxes } from '../state.js';
 import { siteOfZone } from '../state.js';
 
-/** How long a report says something about the other boxes' load. */
-const REPORT_FRESH_MS = 2500;
+/** Maximum age of a report from which the load of other boxes is computed, in ms. */
+const REPORT_MAX_AGE_MS = 2500;
 
-/** Part of a window that a box may use at a server that is not hot and of which it has no report. */
-const UNHEARD_SHARE = 0.5;
+/** Share of the window that a box may use at a server without a fresh report, if it is not hot. */
+const NO_REPORT_SHARE = 0.5;
 
-/** CONCUR's constants: thresholds of cache use and hit share, step and cut. */
+/** Constants of CONCUR: thresholds of cache use and hit share, increase and decrease factor. */
 const CACHE_USE_LOW = 0.2;
 const CACHE_USE_HIGH = 0.5;
 const CACHE_HIT_THRESHOLD = 0.2;
 const WINDOW_STEP = 2;
 const WINDOW_CUT = 0.5;
 
-/** Takes an engine's report into the view. */
-export function noteReport(
+/** Stores the report of an engine and adapts its cache-aware window. */
+export function recordReport(
   state: BoxState,
   view: ServerView,
   report: EngineReport,
@@ -34,7 +35,7 @@
 ): void {
   view.report = report;
   view.reportedAtMs = nowMs;
-  view.openAtReport = view.openAttempts.size;
+  view.openAttemptsAtReport = view.openAttempts.size;
   if (state.settings.policy.window === WindowPolicy.cacheAware) adaptWindow(view, report);
 }
 
@@ -48,55 +49,59 @@
   if (thrashing) view.cacheAwareWindow = Math.max(1, view.cacheAwareWindow * WINDOW_CUT);
 }
 
-/** Requests that other boxes have at a server, by its last fresh report. */
-export function othersAt(view: ServerView, nowMs: number): number | undefined {
-  if (view.report === undefined || nowMs - view.reportedAtMs > REPORT_FRESH_MS) return undefined;
-  return Math.max(0, view.report.running + view.report.waiting - view.openAtReport);
+/** Returns the number of requests of other boxes at a server, or undefined without a fresh report. */
+export function otherBoxesLoad(view: ServerView, nowMs: number): number | undefined {
+  if (view.report === undefined || nowMs - view.reportedAtMs > REPORT_MAX_AGE_MS) return undefined;
+  return Math.max(0, view.report.running + view.report.waiting - view.openAttemptsAtReport);
 }
 
-/** How many more requests of a class this box may send to a server now. */
-export function roomAt(
+/** Returns how many more requests of a class this box may send to a server. */
+export function spareCapacity(
   state: BoxState,
   view: ServerView,
   requestClass: RequestClass,
   nowMs: number,
 ): number {
   const { policy } = state.settings;
-  const whole = windowOf(state, view) - reservedFor(view, requestClass, policy.urgentReservedSlots);
-  return limitAt(state, view, whole, nowMs) - view.openAttempts.size;
+  const window =
+    windowSize(state, view) - urgentReserve(view, requestClass, policy.urgentReservedSlots);
+  return windowShare(state, view, window, nowMs) - view.openAttempts.size;
 }
 
 /**
- * This box's part of a server's window: its exact share while the server is
- * hot, what a fresh report leaves otherwise, and part of the whole unheard.
+ * Returns the part of a server's window that this box may use: its exact share while
+ * the server is hot, otherwise what other boxes leave free by a fresh report, or a
+ * fixed part of the window without one.
  */
-function limitAt(state: BoxState, view: ServerView, whole: number, nowMs: number): number {
-  const share = exactShare(state, view, whole);
+function windowShare(state: BoxState, view: ServerView, window: number, nowMs: number): number {
+  const share = exactShare(state, view, window);
   if (nowMs < view.hotUntilMs) return share;
-  const others = othersAt(view, nowMs);
-  const free = others === undefined ? Math.floor(whole * UNHEARD_SHARE) : whole - others;
+  const others = otherBoxesLoad(view, nowMs);
+  const free = others === undefined ? Math.floor(window * NO_REPORT_SHARE) : window - others;
   return Math.max(share, free);
 }
 
-/** Shares of all boxes sum to the whole; the remainder goes to the first ranks. */
-function exactShare(state: BoxState, view: ServerView, whole: number): number {
+/** Returns this box's share. The shares of all boxes add up to the window; first ranks get the remainder. */
+function exactShare(state: BoxState, view: ServerView, window: number): number {
   const sharing = state.sharingBoxes.get(view.spec.zone);
   const boxes = Math.max(1, sharing?.hashes.length ?? 1);
-  const base = Math.floor(whole / boxes);
-  return base + (shareRank(state, view, sharing) < whole % boxes ? 1 : 0);
+  const base = Math.floor(window / boxes);
+  return base + (shareRank(state, view, sharing) < window % boxes ? 1 : 0);
 }
 
-/** Place of this box among those that share a server, by rendezvous; 0 is the first. */
+/** Returns the rendezvous rank of this box among those that share a server; 0 is the first. */
 function shareRank(state: BoxState, view: ServerView, sharing: SharingBoxes | undefined): number {
   if (sharing === undefined) return 0;
-  if (view.place.version === sharing.version) return view.place.shareRank;
+  if (view.cachedShareRank.version === sharing.version) return view.cachedShareRank.shareRank;
   const weight = rendezvousWeight(view.idHash, hashString(state.settings.boxId));
-  const before = sharing.hashes.filter((hash) => rendezvousWeight(view.idHash, hash) > weight);
-  view.place = { version: sharing.version, shareRank: before.length };
-  return before.length;
+  const higherRanked = sharing.hashes.filter(
+    (hash) => rendezvousWeight(view.idHash, hash) > weight,
+  );
+  view.cachedShareRank = { version: sharing.version, shareRank: higherRanked.length };
+  return higherRanked.length;
 }
 
-function windowOf(state: BoxState, view: ServerView): number {
+function windowSize(state: BoxState, view: ServerView): number {
   const { policy } = state.settings;
   if (view.spec.kind === ServerKind.service) return view.spec.slots;
   const slots =
@@ -104,13 +109,13 @@
   return slots + policy.engineQueueAllowance;
 }
 
-function reservedFor(view: ServerView, requestClass: RequestClass, reserved: number): number {
+function urgentReserve(view: ServerView, requestClass: RequestClass, reserved: number): number {
   if (requestClass === RequestClass.urgent || view.spec.kind === ServerKind.service) return 0;
   return Math.min(reserved, Math.floor(view.spec.slots / 2));
 }
 
-/** Notes which boxes share each zone's servers; their places are worked out when needed. */
-export function updateSharing(state: BoxState): void {
+/** Updates which boxes share the servers of each zone; share ranks are computed when needed. */
+export function updateSharingBoxes(state: BoxState): void {
   for (const { name } of state.settings.zones) {
     const ids = sharingBoxIds(state, name);
     const idsKey = ids.join(' ');
@@ -121,7 +126,7 @@
   }
 }
 
-/** Boxes that send to a zone's servers: the live ones of its site, or of the zone. */
+/** Returns the boxes that send to a zone's servers: the live ones of its site, or of the zone. */
 function sharingBoxIds(state: BoxState, zone: string): string[] {
   const { settings } = state;
   if (!settings.policy.routeOverSite) return liveInZone(state.boxMembers, zone);
--- a/packages/reedlug-decisions/src/reduce.ts
+++ b/packages/reedlug-decisions/src/reduce.ts
@@ -1,14 +1,14 @@
 /**
- * The reducer over all events: the one place where events meet the slices.
+ * The reducer, which passes each event to the slice that handles it.
  *
- * State is mutated in place; what is asked of the outside comes back as data.
+ * The state is mutated in place; requested actions are returned as data (effects).
  */
 import type { Effect } from './types/effect.js';
 import type { BoxEvent, EventOf } from './types/event.js';
 import type { PeerMessage } from './types/peer.js';
 import type { BoxState, Step } from './state.js';
 import { onConfirmAnswered, onOperatorAsked } from './plans/confirm.js';
-import { onCacheChanged, onCacheNews } from './policy/cacheView.js';
+import { onCacheChanged, onCacheUpdates } from './policy/cacheView.js';
 import { onRequestArrived } from './slices/admission.js';
 import { onAttemptLost, onAttemptRefused } from './slices/failedAttempts.js';
 import { onServiceAnswered } from './slices/serviceAttempts.js';
@@ -16,13 +16,19 @@
 import { onClaimsAnswered, onOutcomesAnswered, sendOutcomes } from './slices/claimWrites.js';
 import {
   configTick,
-  notePeerRevision,
+  recordPeerRevision,
   onConfigAsk,
   onConfigDeltas,
   onConfigScanned,
   onConfigSnapshot,
 } from './slices/config.js';
-import { onClaimReread, onFollowAsked, onLookup, onNotHere, onSight } from './slices/following.js';
+import {
+  onClaimReread,
+  onFollowAsked,
+  onLookup,
+  onNotHere,
+  onRequestSnapshot,
+} from './slices/following.js';
 import {
   drainTick,
   onBoxReclaimNoticed,
@@ -36,24 +42,24 @@
 import { onCacheMoved, onKvExported } from './slices/reclaim.js';
 import { forgetSettled } from './slices/requests.js';
 import {
-  listConfiguredServers,
+  registerConfiguredServers,
   onBoxListRead,
   onReclaimNoticed,
-  onServerNews,
+  onServerUpdates,
   onServerReported,
 } from './slices/servers.js';
 import { probeServers } from './slices/probes.js';
 import { onCallerGone, requestsTick } from './slices/timers.js';
 
-/** Takes an event; returns what is asked of the outside. */
+/** Applies an event to the state and returns the resulting effects. */
 export function reduce(state: BoxState, event: BoxEvent): Effect[] {
   state.nowMs = Math.max(state.nowMs, event.nowMs);
   const step: Step = { nowMs: state.nowMs, effects: [] };
-  handle(state, step, event);
+  handleEvent(state, step, event);
   return step.effects;
 }
 
-function handle(state: BoxState, step: Step, event: BoxEvent): void {
+function handleEvent(state: BoxState, step: Step, event: BoxEvent): void {
   switch (event.type) {
     case 'tick':
       return onTick(state, step, event);
@@ -105,7 +111,7 @@
 }
 
 function onTick(state: BoxState, step: Step, event: EventOf<'tick'>): void {
-  if (state.servers.size === 0) listConfiguredServers(state, step.nowMs);
+  if (state.servers.size === 0) registerConfiguredServers(state, step.nowMs);
   state.epochMs = event.epochMs;
   peersTick(state, step);
   probeServers(state, step);
@@ -143,11 +149,11 @@
   switch (message.kind) {
     case 'heartbeat':
       onHeartbeat(state, step, from, message);
-      return notePeerRevision(state, message.revision);
+      return recordPeerRevision(state, message.revision);
     case 'serverNews':
-      return onServerNews(state, step, from, message.news);
+      return onServerUpdates(state, step, from, message.news);
     case 'cacheNews':
-      return onCacheNews(state, message.news);
+      return onCacheUpdates(state, message.news);
     case 'configDeltas':
       return onConfigDeltas(state, step, message);
     case 'configAsk':
@@ -157,7 +163,7 @@
     case 'lookup':
       return onLookup(state, step, from, message);
     case 'sight':
-      return onSight(state, step, from, message.sight);
+      return onRequestSnapshot(state, step, from, message.sight);
     case 'notHere':
       return onNotHere(state, step, from, message.requestId);
     case 'handover':
--- a/packages/reedlug-decisions/src/slices/claimWrites.ts
+++ b/packages/reedlug-decisions/src/slices/claimWrites.ts
@@ -1,8 +1,9 @@
 /**
  * Claims of keyed requests that may not be repeated, and their outcomes.
  *
- * While a group is under way new claims gather for the next one, so that the
- * table sees few writes under load and a lone claim does not wait.
+ * A claim is a row in the table by which one box becomes the holder of an idempotency
+ * key. While a group of claims is in flight, new claims are collected for the next
+ * group. The table thus receives few writes under load, and a single claim does not wait.
  */
 import {
   claimRowKey,
@@ -25,30 +26,30 @@
 import { log } from './log.js';
 import { giveUp, isUnsettled, phaseOf, settle } from './requests.js';
 
-/** Retry time told when the table did not answer, in ms. */
+/** Retry time in the answer to the caller if the table did not answer, in ms. */
 const UNAVAILABLE_RETRY_MS = 2000;
-/** Wait before outcome writes are tried again after a failure, in ms. */
+/** Delay before outcomes are written again after a failure, in ms. */
 const OUTCOME_RETRY_MS = 1000;
-/** Outcomes written in one operation. */
-const OUTCOME_GROUP = 25;
+/** Maximum number of outcomes written in one operation. */
+const OUTCOME_GROUP_SIZE = 25;
 
-/** Asks for a request's claim; `expectVersion` above 0 takes over a row whose outcome is `notRun`. */
-export function claim(
+/** Requests a claim. An `expectVersion` above 0 takes over a row whose outcome is `notRun`. */
+export function requestClaim(
   state: BoxState,
   step: Step,
   record: RequestRecord,
   expectVersion: number,
 ): void {
   record.phase = { kind: 'claiming', sinceMs: step.nowMs };
-  state.claimsWaiting.push({
-    key: keyOf(record),
+  state.pendingClaims.push({
+    key: claimKey(record),
     expectVersion,
     value: claimValue(state, record, undefined, nextId(state, 'claim')),
   });
   sendClaims(state, step);
 }
 
-function keyOf(record: RequestRecord): string {
+function claimKey(record: RequestRecord): string {
   return claimRowKey(record.spec.workspaceId, record.spec.idempotencyKey ?? '');
 }
 
@@ -70,34 +71,34 @@
 }
 
 function sendClaims(state: BoxState, step: Step): void {
-  if (state.claimGroupInFlight || state.claimsWaiting.length === 0) return;
-  const claims = takeGroup(state);
+  if (state.claimGroupInFlight || state.pendingClaims.length === 0) return;
+  const claims = nextClaimGroup(state);
   const { group, op } = startClaimGroup(claims);
   state.claimGroupInFlight = true;
-  askTable(state, step, group, op);
+  sendClaimGroup(state, step, group, op);
 }
 
-/** Takes the next group; two claims on one key never share a group. */
-function takeGroup(state: BoxState): PendingClaim[] {
+/** Removes the next group from the pending claims; a group has at most one claim per key. */
+function nextClaimGroup(state: BoxState): PendingClaim[] {
   const group: PendingClaim[] = [];
-  const rest: PendingClaim[] = [];
+  const remaining: PendingClaim[] = [];
   const keys = new Set<string>();
-  for (const pending of state.claimsWaiting) {
+  for (const pending of state.pendingClaims) {
     const fits = group.length < state.settings.control.claimGroupSize && !keys.has(pending.key);
-    (fits ? group : rest).push(pending);
+    (fits ? group : remaining).push(pending);
     if (fits) keys.add(pending.key);
   }
-  state.claimsWaiting = rest;
+  state.pendingClaims = remaining;
   return group;
 }
 
-function askTable(state: BoxState, step: Step, group: ClaimGroup, op: TableOp): void {
+function sendClaimGroup(state: BoxState, step: Step, group: ClaimGroup, op: TableOp): void {
   const opId = nextId(state, 'op');
   state.tableOps.set(opId, { kind: 'claims', group });
   step.effects.push({ type: 'requestTable', opId, op });
 }
 
-/** Takes the table's answer for a group of claims. */
+/** Handles the table's answer for a group of claims. */
 export function onClaimsAnswered(
   state: BoxState,
   step: Step,
@@ -107,7 +108,7 @@
   const { verdicts, next } = stepClaimGroup(group, answer);
   for (const verdict of verdicts) onVerdict(state, step, verdict, group);
   if (next !== undefined) {
-    askTable(state, step, next.group, next.op);
+    sendClaimGroup(state, step, next.group, next.op);
     return;
   }
   state.claimGroupInFlight = false;
@@ -120,7 +121,7 @@
   const pending = group.claims.find((item) => item.value.requestId === verdict.requestId);
   if (verdict.kind === 'held') record.claimVersion = (pending?.expectVersion ?? 0) + 1;
   if (record.phase.kind !== 'claiming') {
-    // The caller was told `notRun` while the table was silent; the row must say so too.
+    // The request was settled as `notRun` while the table did not answer; the row must say so too.
     if (verdict.kind === 'held') releaseLateClaim(state, step, record);
     return;
   }
@@ -130,13 +131,13 @@
       admit(state, step, record);
       return;
     case 'taken':
-      onTaken(state, step, record, verdict);
+      onClaimTaken(state, step, record, verdict);
       return;
     case 'digestDiffers':
       giveUp(state, step, record, Reason.keyReused);
       return;
     case 'unavailable':
-      withoutTable(state, step, record);
+      continueWithoutTable(state, step, record);
       return;
   }
 }
@@ -147,8 +148,8 @@
   if (!isUnsettled(record)) queueOutcome(state, step, record);
 }
 
-/** A key that is taken: take over what did not run, else follow the holder's request. */
-function onTaken(
+/** Handles a key that another request holds: takes over one that did not run, else follows it. */
+function onClaimTaken(
   state: BoxState,
   step: Step,
   record: RequestRecord,
@@ -156,7 +157,7 @@
 ): void {
   const { by } = verdict;
   if (by.outcome === Outcome.notRun) {
-    claim(state, step, record, verdict.version);
+    requestClaim(state, step, record, verdict.version);
     return;
   }
   startFollowing(state, step, record, {
@@ -167,8 +168,8 @@
   });
 }
 
-/** Without the table a keyed request runs only where the service removes duplicates itself. */
-function withoutTable(state: BoxState, step: Step, record: RequestRecord): void {
+/** Without an answer of the table, runs a request only if its service deduplicates requests itself. */
+function continueWithoutTable(state: BoxState, step: Step, record: RequestRecord): void {
   const { pool } = record.spec;
   const service = state.config.items.get(`service/${pool}`)?.value as
     { deduplicates: boolean } | undefined;
@@ -177,7 +178,7 @@
   else giveUp(state, step, record, Reason.claimUnavailable, UNAVAILABLE_RETRY_MS);
 }
 
-/** Gives up on a claim that the table has not answered in time. */
+/** Gives up a claim that the table has not answered in time. */
 export function claimingTick(
   state: BoxState,
   step: Step,
@@ -187,20 +188,20 @@
   const waitedMs = step.nowMs - sinceMs;
   const late = step.nowMs >= record.spec.deadlineAtMs;
   if (waitedMs < state.settings.control.claimTimeoutMs && !late) return;
-  withoutTable(state, step, record);
+  continueWithoutTable(state, step, record);
 }
 
-/** Queues the outcome of a claimed request for the table. */
+/** Queues the outcome of a claimed request to be written to the table. */
 export function queueOutcome(state: BoxState, step: Step, record: RequestRecord): void {
-  state.outcomesWaiting.push(record.spec.requestId);
+  state.pendingOutcomes.push(record.spec.requestId);
   sendOutcomes(state, step);
 }
 
-/** Sends waiting outcomes, one group at a time. */
+/** Writes pending outcomes, one group at a time. */
 export function sendOutcomes(state: BoxState, step: Step): void {
-  if (state.outcomesInFlight || state.outcomesWaiting.length === 0) return;
+  if (state.outcomesInFlight || state.pendingOutcomes.length === 0) return;
   if (step.nowMs < state.outcomesNotBeforeMs) return;
-  const requestIds = state.outcomesWaiting.splice(0, OUTCOME_GROUP);
+  const requestIds = state.pendingOutcomes.splice(0, OUTCOME_GROUP_SIZE);
   const writes = requestIds.flatMap((requestId) => outcomeWrite(state, requestId));
   if (writes.length === 0) return;
   state.outcomesInFlight = true;
@@ -214,13 +215,14 @@
   const settled = record === undefined ? undefined : phaseOf(record, 'settled');
   if (record === undefined || settled === undefined) return [];
   const value = claimValue(state, record, settled.outcome, nextId(state, 'outcome'));
-  return [{ key: keyOf(record), expectVersion: record.claimVersion, value }];
+  return [{ key: claimKey(record), expectVersion: record.claimVersion, value }];
 }
 
 /**
- * Takes the table's answer for outcomes. Rows in conflict were already changed
- * (by this very write when its answer was lost) and are left; the rest is
- * written again, later when the table is in trouble.
+ * Handles the table's answer for outcomes. Rows in conflict have already been changed,
+ * possibly by this write if an earlier answer was lost, and are left as they are. The
+ * other outcomes are written again, after a delay if the table is throttled or did not
+ * answer.
  */
 export function onOutcomesAnswered(
   state: BoxState,
@@ -230,16 +232,16 @@
 ): void {
   state.outcomesInFlight = false;
   if (answer.kind !== 'done') {
-    const again = openAfter(state, requestIds, answer);
-    state.outcomesWaiting.unshift(...again);
-    const troubled = answer.kind === 'unknown' || answer.reason === 'throttled';
-    if (troubled) state.outcomesNotBeforeMs = step.nowMs + OUTCOME_RETRY_MS;
-    log(step, 'outcomesDelayed', { count: again.length, answer: answer.kind });
+    const retried = outcomesToRetry(state, requestIds, answer);
+    state.pendingOutcomes.unshift(...retried);
+    const backsOff = answer.kind === 'unknown' || answer.reason === 'throttled';
+    if (backsOff) state.outcomesNotBeforeMs = step.nowMs + OUTCOME_RETRY_MS;
+    log(step, 'outcomesDelayed', { count: retried.length, answer: answer.kind });
   }
   sendOutcomes(state, step);
 }
 
-function openAfter(
+function outcomesToRetry(
   state: BoxState,
   requestIds: readonly string[],
   answer: Exclude<TableAnswer, { kind: 'done' }>,
@@ -248,11 +250,11 @@
   const conflicting = new Set(answer.rows.map((row) => row.key));
   return requestIds.filter((requestId) => {
     const record = state.requests.get(requestId);
-    return record !== undefined && !conflicting.has(keyOf(record));
+    return record !== undefined && !conflicting.has(claimKey(record));
   });
 }
 
-/** Settles a follower of a key whose holder's answer is stored in the table. */
+/** Settles a request that follows a key by the outcome that is stored in the table. */
 export function settleFromRow(
   state: BoxState,
   step: Step,
--- a/packages/reedlug-decisions/src/slices/dispatch.ts
+++ b/packages/reedlug-decisions/src/slices/dispatch.ts
@@ -1,4 +1,4 @@
-/** Dispatch: the next request of a pool goes to a server while one has room. */
+/** Dispatch: sends queued requests to servers while they have spare capacity. */
 import { Reach, startAttempt, takeFair, takeRetry, type FairQueue } from 'reedlug-coordination';
 import type { Attempt, RequestRecord } from '../types/request.js';
 import { ServerKind } from '../types/settings.js';
@@ -8,7 +8,7 @@
 import { queuesOf } from './queues.js';
 import { serverMember } from './servers.js';
 
-/** Sends requests of a pool to servers until the queues are empty or nothing has room. */
+/** Sends requests of a pool until its queues are empty or no server has spare capacity. */
 export function dispatchPool(state: BoxState, step: Step, pool: string): void {
   const queues = queuesOf(state, pool);
   while (queues.urgent.size + queues.patient.size > 0) {
@@ -16,20 +16,20 @@
   }
 }
 
-/** Urgent goes before patient; one in every few dispatches is a patient one that waits. */
+/** Dispatches urgent requests first, but a waiting patient one after a number of urgent ones. */
 function dispatchNext(state: BoxState, step: Step, queues: PoolQueues): boolean {
-  const patientTurn =
-    queues.patient.size > 0 && queues.urgentRun >= state.settings.policy.patientFloorEvery;
-  if (patientTurn && dispatchFrom(state, step, queues.patient)) {
-    queues.urgentRun = 0;
+  const isPatientTurn =
+    queues.patient.size > 0 && queues.urgentStreak >= state.settings.policy.patientFloorEvery;
+  if (isPatientTurn && dispatchFrom(state, step, queues.patient)) {
+    queues.urgentStreak = 0;
     return true;
   }
   if (dispatchFrom(state, step, queues.urgent)) {
-    queues.urgentRun += 1;
+    queues.urgentStreak += 1;
     return true;
   }
   if (!dispatchFrom(state, step, queues.patient)) return false;
-  queues.urgentRun = 0;
+  queues.urgentStreak = 0;
   return true;
 }
 
@@ -37,7 +37,7 @@
   let chosen: ServerView | undefined;
   const entry = takeFair(queue, (candidate) => {
     const record = state.requests.get(candidate.id);
-    if (record === undefined || !mayGoNow(state, record, step.nowMs)) return false;
+    if (record === undefined || !mayDispatch(state, record, step.nowMs)) return false;
     chosen = chooseServer(state, record, step.nowMs);
     return chosen !== undefined;
   });
@@ -48,12 +48,12 @@
   return true;
 }
 
-/** A retry waits for its backoff, and for the budget to grant it. */
-function mayGoNow(state: BoxState, record: RequestRecord, nowMs: number): boolean {
+/** True unless a retry still has to wait for its back-off or for the retry budget. */
+function mayDispatch(state: BoxState, record: RequestRecord, nowMs: number): boolean {
   if (record.phase.kind !== 'queued' || nowMs < record.phase.notBeforeMs) return false;
-  if (!record.retryOwed) return true;
+  if (!record.needsRetryBudget) return true;
   if (!takeRetry(state.retryBudget)) return false;
-  record.retryOwed = false;
+  record.needsRetryBudget = false;
   return true;
 }
 
--- a/packages/reedlug-decisions/src/slices/following.ts
+++ b/packages/reedlug-decisions/src/slices/following.ts
@@ -1,9 +1,9 @@
 /**
- * Following: a request that another box runs, seen from here.
+ * Following a request that another box (the holder) runs.
  *
- * A retry under a claimed key, or a caller that reconnects at another box, asks
- * the holder over the peer link until there is an outcome. When the holder is
- * gone and no peer has the request the answer is `unknown`, never a second run.
+ * For a retry under a claimed key, or a caller that reconnects at another box, this box
+ * polls the holder over the peer link until there is an outcome. If the holder is gone
+ * and no peer has the request, the outcome is `unknown`; it is never run a second time.
  */
 import {
   claimRowKey,
@@ -13,7 +13,7 @@
   type TableAnswer,
 } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
-import type { PeerMessage, RequestSight } from '../types/peer.js';
+import type { PeerMessage, RequestSnapshot } from '../types/peer.js';
 import {
   Reason,
   type RequestRecord,
@@ -24,17 +24,17 @@
 import type { BoxState, Step } from '../state.js';
 import { nextId } from '../state.js';
 import { admit } from './admission.js';
-import { deliver } from './streamAttempts.js';
-import { livePeers } from './peerLinks.js';
+import { deliverNewTokens } from './streamAttempts.js';
+import { livePeerIds } from './peerLinks.js';
 import { addRecord, createRecord, phaseOf, settle } from './requests.js';
 import { settleFromRow } from './claimWrites.js';
 
-/** Time between two questions to the holder, in ms. */
-const ASK_EVERY_MS = 100;
+/** Interval between two look-ups at the holder, in ms. */
+const LOOKUP_INTERVAL_MS = 100;
 
 type FollowingPhase = Extract<RequestPhase, { kind: 'following' }>;
 
-/** Starts to follow a request of another box, or of this one. */
+/** Starts to follow a request of another box or of this one. */
 export function startFollowing(
   state: BoxState,
   step: Step,
@@ -51,9 +51,9 @@
     kind: 'following',
     sourceRequestId: source.sourceRequestId,
     holderId: reachableHolder(state, source.holderId),
-    patienceUntilMs: step.nowMs + lookupTimeoutMs,
-    nextAskAtMs: step.nowMs,
-    rereading: false,
+    giveUpAtMs: step.nowMs + lookupTimeoutMs,
+    nextLookupAtMs: step.nowMs,
+    rereadingClaim: false,
   };
   if (source.storedOutcome !== undefined && record.phase.holderId === undefined) {
     settleFromRow(state, step, record, source.storedOutcome, source.storedStatus);
@@ -62,52 +62,52 @@
   followTick(state, step, record, record.phase);
 }
 
-/** The holder if it can be asked; undefined asks every live peer. */
+/** Returns the holder if it can be asked; undefined means that every live peer is asked. */
 function reachableHolder(state: BoxState, holderId: string | undefined): string | undefined {
-  // An earlier life of this very box cannot be asked; the peers may have its request.
+  // An earlier incarnation of this box cannot be asked, but its peers may have the request.
   if (holderId === undefined || holderId === state.settings.boxId) return undefined;
   const member = state.boxMembers.members.get(holderId);
   return member === undefined || member.state === MemberState.dead ? undefined : holderId;
 }
 
-/** Asks when due and gives up when nobody has answered for too long. */
+/** Sends a look-up when due, and treats the holder as lost if no answer arrives in time. */
 export function followTick(
   state: BoxState,
   step: Step,
   record: RequestRecord,
   phase: FollowingPhase,
 ): void {
-  if (followsHere(state, step, record, phase)) return;
-  if (step.nowMs >= phase.patienceUntilMs) {
-    loseHolder(state, step, record, phase);
+  if (followLocally(state, step, record, phase)) return;
+  if (step.nowMs >= phase.giveUpAtMs) {
+    onHolderLost(state, step, record, phase);
     return;
   }
-  if (step.nowMs < phase.nextAskAtMs) return;
-  phase.nextAskAtMs = step.nowMs + ASK_EVERY_MS;
+  if (step.nowMs < phase.nextLookupAtMs) return;
+  phase.nextLookupAtMs = step.nowMs + LOOKUP_INTERVAL_MS;
   const message: PeerMessage = {
     kind: 'lookup',
     requestId: phase.sourceRequestId,
     workspaceId: record.spec.workspaceId,
     fromOffset: record.ledger.tokens.length,
   };
-  const asked = phase.holderId === undefined ? livePeers(state) : [phase.holderId];
-  for (const boxId of asked) step.effects.push({ type: 'sendPeer', boxId, message });
+  const recipients = phase.holderId === undefined ? livePeerIds(state) : [phase.holderId];
+  for (const boxId of recipients) step.effects.push({ type: 'sendPeer', boxId, message });
 }
 
-function loseHolder(
+function onHolderLost(
   state: BoxState,
   step: Step,
   record: RequestRecord,
   phase: FollowingPhase,
 ): void {
   if (phase.holderId !== undefined) {
-    // The holder may have handed the request to a peer before it went.
+    // The holder may have handed the request over to a peer before it stopped.
     phase.holderId = undefined;
-    phase.patienceUntilMs = step.nowMs + state.settings.control.lookupTimeoutMs;
-    phase.nextAskAtMs = step.nowMs;
+    phase.giveUpAtMs = step.nowMs + state.settings.control.lookupTimeoutMs;
+    phase.nextLookupAtMs = step.nowMs;
     return;
   }
-  if (!phase.rereading && record.spec.idempotencyKey !== undefined) {
+  if (!phase.rereadingClaim && record.spec.idempotencyKey !== undefined) {
     rereadClaim(state, step, record, phase);
     return;
   }
@@ -118,7 +118,7 @@
   settle(state, step, record, { outcome: Outcome.unknown, reason: Reason.holderGone });
 }
 
-/** The holder may have written the outcome before it went; the row is asked once more. */
+/** Reads the row of the claim again, as the holder may have written the outcome before it stopped. */
 function rereadClaim(
   state: BoxState,
   step: Step,
@@ -126,15 +126,15 @@
   phase: FollowingPhase,
 ): void {
   const { requestId, workspaceId, idempotencyKey } = record.spec;
-  phase.rereading = true;
-  phase.patienceUntilMs = step.nowMs + state.settings.control.claimTimeoutMs;
+  phase.rereadingClaim = true;
+  phase.giveUpAtMs = step.nowMs + state.settings.control.claimTimeoutMs;
   const opId = nextId(state, 'op');
   state.tableOps.set(opId, { kind: 'claimReread', requestId });
   const keys = [claimRowKey(workspaceId, idempotencyKey ?? '')];
   step.effects.push({ type: 'requestTable', opId, op: { kind: 'read', keys } });
 }
 
-/** Takes the row of a claim whose holder is gone. */
+/** Settles a request by the row of its claim, if the lost holder wrote an outcome. */
 export function onClaimReread(
   state: BoxState,
   step: Step,
@@ -146,12 +146,12 @@
   if (record === undefined || phase === undefined) return;
   const row = answer.kind === 'done' ? answer.rows[0] : undefined;
   const value = row?.value as ClaimValue | undefined;
-  if (value?.outcome === undefined) loseHolder(state, step, record, phase);
+  if (value?.outcome === undefined) onHolderLost(state, step, record, phase);
   else settleFromRow(state, step, record, value.outcome, value.status);
 }
 
-/** Follows a request that this very box holds; says whether it does. */
-function followsHere(
+/** Follows a request that this box holds itself; returns false if it does not hold it. */
+function followLocally(
   state: BoxState,
   step: Step,
   record: RequestRecord,
@@ -159,12 +159,12 @@
 ): boolean {
   const source = state.requests.get(phase.sourceRequestId);
   if (source === undefined || source.spec.workspaceId !== record.spec.workspaceId) return false;
-  takeSight(state, step, record, sightOf(source, record.ledger.tokens.length));
+  applyRequestSnapshot(state, step, record, requestSnapshot(source, record.ledger.tokens.length));
   return true;
 }
 
-/** What this box knows of a request, from an offset on. */
-function sightOf(source: RequestRecord, fromOffset: number): RequestSight {
+/** Returns the progress of a request from an offset on. */
+function requestSnapshot(source: RequestRecord, fromOffset: number): RequestSnapshot {
   const settled = phaseOf(source, 'settled');
   return {
     requestId: source.spec.requestId,
@@ -178,7 +178,7 @@
   };
 }
 
-/** Answers a peer's question about a request. */
+/** Answers a peer's look-up of a request. */
 export function onLookup(
   state: BoxState,
   step: Step,
@@ -193,26 +193,31 @@
     step.effects.push({ type: 'sendPeer', boxId: from, message: answer });
     return;
   }
-  const sight = sightOf(source, message.fromOffset);
+  const sight = requestSnapshot(source, message.fromOffset);
   step.effects.push({ type: 'sendPeer', boxId: from, message: { kind: 'sight', sight } });
 }
 
-/** Takes a peer's answer for every follower of that request. */
-export function onSight(state: BoxState, step: Step, from: string, sight: RequestSight): void {
-  for (const record of followersOf(state, sight.requestId)) {
+/** Applies a peer's answer to every request that follows the one looked up. */
+export function onRequestSnapshot(
+  state: BoxState,
+  step: Step,
+  from: string,
+  snapshot: RequestSnapshot,
+): void {
+  for (const record of followersOf(state, snapshot.requestId)) {
     const phase = phaseOf(record, 'following');
-    if (phase === undefined || record.spec.workspaceId !== sight.workspaceId) continue;
+    if (phase === undefined || record.spec.workspaceId !== snapshot.workspaceId) continue;
     phase.holderId = from;
-    phase.patienceUntilMs = step.nowMs + state.settings.control.lookupTimeoutMs;
-    takeSight(state, step, record, sight);
+    phase.giveUpAtMs = step.nowMs + state.settings.control.lookupTimeoutMs;
+    applyRequestSnapshot(state, step, record, snapshot);
   }
 }
 
-/** A holder that does not have the request any more; the other peers are asked next. */
+/** Handles a holder that does not have the request any more; the other peers are asked next. */
 export function onNotHere(state: BoxState, step: Step, from: string, requestId: string): void {
   for (const record of followersOf(state, requestId)) {
     const phase = phaseOf(record, 'following');
-    if (phase?.holderId === from) loseHolder(state, step, record, phase);
+    if (phase?.holderId === from) onHolderLost(state, step, record, phase);
   }
 }
 
@@ -226,29 +231,35 @@
   return followers;
 }
 
-function takeSight(state: BoxState, step: Step, record: RequestRecord, sight: RequestSight): void {
-  const held = record.ledger.tokens.length;
-  if (sight.fromOffset > held) return;
-  for (const token of sight.tokens.slice(held - sight.fromOffset)) record.ledger.tokens.push(token);
-  deliver(step, record);
-  if (sight.outcome === undefined) return;
+function applyRequestSnapshot(
+  state: BoxState,
+  step: Step,
+  record: RequestRecord,
+  snapshot: RequestSnapshot,
+): void {
+  const heldCount = record.ledger.tokens.length;
+  if (snapshot.fromOffset > heldCount) return;
+  for (const token of snapshot.tokens.slice(heldCount - snapshot.fromOffset))
+    record.ledger.tokens.push(token);
+  deliverNewTokens(step, record);
+  if (snapshot.outcome === undefined) return;
   settle(state, step, record, {
-    outcome: sight.outcome,
-    reason: sight.reason ?? Reason.answered,
-    status: sight.status,
-    answer: sight.answer,
+    outcome: snapshot.outcome,
+    reason: snapshot.reason ?? Reason.answered,
+    status: snapshot.status,
+    answer: snapshot.answer,
     attemptId: undefined,
   });
 }
 
-/** A caller that reconnects: follows its request from the offset that it has. */
+/** Lets a reconnected caller follow its request from the offset that it has reached. */
 export function onFollowAsked(state: BoxState, step: Step, event: EventOf<'followAsked'>): void {
   const spec: RequestSpec = followerSpec(state, event);
   const record = createRecord(spec, step.nowMs);
   const source = state.requests.get(event.requestId);
   if (source !== undefined) source.callerGoneAtMs = undefined;
   addRecord(state, record);
-  record.skipUntil = event.fromOffset;
+  record.reconnectOffset = event.fromOffset;
   startFollowing(state, step, record, {
     sourceRequestId: event.requestId,
     holderId: undefined,
--- a/packages/reedlug-decisions/src/slices/orders.ts
+++ b/packages/reedlug-decisions/src/slices/orders.ts
@@ -1,9 +1,11 @@
 /**
- * Orders to engines, sent under the lease as wanted end states.
+ * Orders to engines, which bring them to their desired states. Only the holder of the
+ * site's lease, one box at a time, sends orders.
  *
- * An order repeats the whole wanted state, so that a second one harms nothing.
- * To an engine that does not check fences a change of model or role waits until
- * the engine is out of routing and idle.
+ * An order carries the whole desired state, so a repeated order is harmless. It also
+ * carries the fencing token (fence) of the lease, by which an engine rejects the orders
+ * of an earlier holder. An engine that does not check fences is sent a change of its
+ * model or version only when it receives no requests and is idle.
  */
 import {
   handleLeaseAnswer,
@@ -15,32 +17,32 @@
   type TableAnswer,
 } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
-import type { EngineReport, EngineWanted } from '../types/order.js';
+import type { EngineReport, DesiredEngineState } from '../types/order.js';
 import type { BoxState, ServerView, Step } from '../state.js';
 import { nextId, siteOfZone } from '../state.js';
 import { WANTED_PREFIX } from '../plans/items.js';
 import { log } from './log.js';
 
-/** Boxes of a site that try to hold the lease. */
+/** Number of boxes of a site that try to acquire the lease. */
 const LEASE_CANDIDATES = 2;
-/** Time between two looks at the lease, in ms. */
-const LEASE_LOOK_MS = 100;
-/** An order that has not shown in a report is sent again after this long, in ms. */
-const ORDER_AGAIN_MS = 5000;
+/** Interval between two checks of the lease, in ms. */
+const LEASE_POLL_INTERVAL_MS = 100;
+/** Time after which an order that no report confirms is sent again, in ms. */
+const ORDER_RETRY_MS = 5000;
 
-/** Keeps the lease and sends what differs from the wanted states. */
+/** Maintains the lease and sends orders to engines that differ from their desired state. */
 export function ordersTick(state: BoxState, step: Step): void {
-  leaseStep(state, step);
+  pollLease(state, step);
   for (const [name, item] of state.config.items) {
     if (!name.startsWith(WANTED_PREFIX)) continue;
     const view = state.servers.get(name.slice(WANTED_PREFIX.length));
-    if (view !== undefined) reconcile(state, step, view, item.value as EngineWanted);
+    if (view !== undefined) reconcile(state, step, view, item.value as DesiredEngineState);
   }
 }
 
-function leaseStep(state: BoxState, step: Step): void {
-  if (step.nowMs < state.nextLeaseLookAtMs) return;
-  state.nextLeaseLookAtMs = step.nowMs + LEASE_LOOK_MS;
+function pollLease(state: BoxState, step: Step): void {
+  if (step.nowMs < state.nextLeasePollAtMs) return;
+  state.nextLeasePollAtMs = step.nowMs + LEASE_POLL_INTERVAL_MS;
   if (state.lease.held === undefined && !isCandidate(state)) return;
   if (state.mutations.has('reuseFence')) state.lease.highestFence = 0;
   const op = leaseTick(state.lease, step.nowMs);
@@ -50,7 +52,7 @@
   step.effects.push({ type: 'requestTable', opId, op });
 }
 
-/** The first live boxes of the site by id; a box that leaves does not take the lease. */
+/** True for the first live boxes of the site by id, unless this box is shutting down. */
 function isCandidate(state: BoxState): boolean {
   if (state.draining !== undefined) return false;
   const { settings } = state;
@@ -61,7 +63,7 @@
   return ids.sort().slice(0, LEASE_CANDIDATES).includes(settings.boxId);
 }
 
-/** Takes the table's answer to a lease operation. */
+/** Handles the table's answer to a lease operation. */
 export function onLeaseAnswered(
   state: BoxState,
   step: Step,
@@ -74,21 +76,26 @@
   if (before !== after) log(step, 'leaseChanged', { fence: after ?? 0, held: after !== undefined });
 }
 
-/** The fence for an order to a server now, or undefined. */
+/** Returns the fence for an order to a server, or undefined if no order may be sent now. */
 export function fenceFor(state: BoxState, nowMs: number, checksFence: boolean): number | undefined {
   const { lastFence } = state.lease;
   if (state.mutations.has('skipLeaseMargin') && lastFence > 0) return lastFence;
   return usableFence(state.lease, nowMs, checksFence);
 }
 
-function reconcile(state: BoxState, step: Step, view: ServerView, wanted: EngineWanted): void {
-  if (view.report === undefined || fits(view.report, wanted)) return;
+function reconcile(
+  state: BoxState,
+  step: Step,
+  view: ServerView,
+  wanted: DesiredEngineState,
+): void {
+  if (view.report === undefined || matchesReport(view.report, wanted)) return;
   const fence = fenceFor(state, step.nowMs, view.spec.checksFence);
   if (fence === undefined || mustWait(view, wanted)) return;
   const wantedKey = JSON.stringify(wanted);
   const sent = state.ordersSent.get(view.spec.id);
-  const isRepeat = sent?.wantedKey === wantedKey && step.nowMs - sent.atMs < ORDER_AGAIN_MS;
-  if (isRepeat || !weightsAllow(state, view.report, wanted, step.nowMs)) return;
+  const isRepeat = sent?.wantedKey === wantedKey && step.nowMs - sent.atMs < ORDER_RETRY_MS;
+  if (isRepeat || !weightLoadAllowed(state, view.report, wanted, step.nowMs)) return;
   const orderId = nextId(state, 'order');
   state.ordersSent.set(view.spec.id, { atMs: step.nowMs, wantedKey });
   step.effects.push({
@@ -101,7 +108,7 @@
   });
 }
 
-function fits(report: EngineReport, wanted: EngineWanted): boolean {
+function matchesReport(report: EngineReport, wanted: DesiredEngineState): boolean {
   return (
     report.model === wanted.model &&
     report.version === wanted.version &&
@@ -109,30 +116,30 @@
   );
 }
 
-/** An order that loads weights waits for the store's rate; any other goes at once. */
-function weightsAllow(
+/** Applies the rate limit of the weight store to an order that loads model weights. */
+function weightLoadAllowed(
   state: BoxState,
   report: EngineReport,
-  wanted: EngineWanted,
+  wanted: DesiredEngineState,
   nowMs: number,
 ): boolean {
   if (!changesModel(report, wanted)) return true;
-  return takeTokens(state.weightLoads, 1, nowMs) === 0;
+  return takeTokens(state.weightLoadBucket, 1, nowMs) === 0;
 }
 
-function changesModel(report: EngineReport, wanted: EngineWanted): boolean {
+function changesModel(report: EngineReport, wanted: DesiredEngineState): boolean {
   return report.model !== wanted.model || report.version !== wanted.version;
 }
 
-/** A harmful order to an engine that checks no fence waits until it is drained and idle. */
-function mustWait(view: ServerView, wanted: EngineWanted): boolean {
+/** True if an engine that does not check fences must be drained and idle before the order. */
+function mustWait(view: ServerView, wanted: DesiredEngineState): boolean {
   const { report, spec } = view;
   if (spec.checksFence || report === undefined) return false;
   if (!changesModel(report, wanted)) return false;
   return report.role === 'serve' || report.running + report.waiting > 0;
 }
 
-/** Takes the answer to an order; what it did is believed only from the engine's report. */
+/** Logs the answer to an order. Only the engine's report tells whether the order took effect. */
 export function onOrderAnswered(
   state: BoxState,
   step: Step,
--- a/packages/reedlug-decisions/src/slices/peerLinks.ts
+++ b/packages/reedlug-decisions/src/slices/peerLinks.ts
@@ -1,4 +1,4 @@
-/** Heartbeats to peers, who is live, and who is asked for what. */
+/** Heartbeats to peers, their membership, and the choice of peers that receive a message. */
 import {
   liveInZone,
   membershipTick,
@@ -9,25 +9,25 @@
 import type { PeerMessage } from '../types/peer.js';
 import type { BoxState, Step } from '../state.js';
 import { siteOfZone } from '../state.js';
-import { updateSharing } from '../policy/windows.js';
+import { updateSharingBoxes } from '../policy/windows.js';
 import { demandsOf, updateShares } from './limits.js';
 import { poolLoads } from './probes.js';
-import { foreignServerIds, newsOf } from './servers.js';
+import { otherSiteServerIds, serverUpdateFor } from './servers.js';
 import { log } from './log.js';
 import { measureDrain } from './queues.js';
 
-/** Live boxes of each other site that a box keeps a heartbeat with. */
-const FOREIGN_SITE_PEERS = 2;
+/** Number of boxes of each other site to which a box sends heartbeats. */
+const PEERS_PER_OTHER_SITE = 2;
 
-/** The other boxes of the settings. */
+/** Returns the ids of the other boxes in the settings. */
 export function otherBoxIds(state: BoxState): string[] {
   const { boxes, boxId } = state.settings;
   return boxes.filter((box) => box.id !== boxId).map((box) => box.id);
 }
 
-/** Sends a message to every peer that this box keeps a heartbeat with. */
+/** Sends a message to every peer that receives heartbeats from this box. */
 export function sendToPeers(state: BoxState, step: Step, message: PeerMessage): void {
-  for (const boxId of heartbeatPeers(state))
+  for (const boxId of heartbeatPeerIds(state))
     step.effects.push({ type: 'sendPeer', boxId, message });
 }
 
@@ -40,8 +40,11 @@
   }
 }
 
-/** All boxes of the own site, and a few of each other one, so that traffic does not grow with the fleet. */
-export function heartbeatPeers(state: BoxState): string[] {
+/**
+ * Returns all boxes of the own site and a few of each other site, so that the traffic
+ * between sites does not grow with the fleet.
+ */
+export function heartbeatPeerIds(state: BoxState): string[] {
   const { settings } = state;
   const ownSite = siteOfZone(settings, settings.zone);
   const perSite = new Map<string, number>();
@@ -51,7 +54,7 @@
     if (box.id === settings.boxId) continue;
     const site = siteOfZone(settings, box.zone);
     const count = perSite.get(site) ?? 0;
-    if (site !== ownSite && count >= FOREIGN_SITE_PEERS) continue;
+    if (site !== ownSite && count >= PEERS_PER_OTHER_SITE) continue;
     perSite.set(site, count + 1);
     ids.push(box.id);
   }
@@ -62,7 +65,7 @@
   return [...items.slice(by), ...items.slice(0, by)];
 }
 
-/** Sends heartbeats when due and lets silence act on the peers. */
+/** Sends the heartbeat when due and marks peers without heartbeats as suspect or dead. */
 export function peersTick(state: BoxState, step: Step): void {
   if (step.nowMs < state.nextHeartbeatAtMs) return;
   state.nextHeartbeatAtMs = step.nowMs + state.settings.control.heartbeatMs;
@@ -70,65 +73,65 @@
     log(step, 'peerChanged', { box: member.id, state: member.state });
   }
   updateShares(state, step.nowMs);
-  noteSelf(state, step.nowMs);
-  updateSharing(state);
+  recordSelf(state, step.nowMs);
+  updateSharingBoxes(state);
   measureDrain(state, state.settings.control.heartbeatMs);
-  tellCacheNews(state, step);
-  sendToPeers(state, step, heartbeat(state));
+  sendCacheUpdates(state, step);
+  sendToPeers(state, step, heartbeatMessage(state));
 }
 
-/** Tells where prefixes are that peers would look for elsewhere. */
-function tellCacheNews(state: BoxState, step: Step): void {
-  if (state.cacheNewsWaiting.length === 0) return;
-  const news = state.cacheNewsWaiting;
-  state.cacheNewsWaiting = [];
+/** Sends the locations of prefixes that peers would expect at another server. */
+function sendCacheUpdates(state: BoxState, step: Step): void {
+  if (state.pendingCacheUpdates.length === 0) return;
+  const news = state.pendingCacheUpdates;
+  state.pendingCacheUpdates = [];
   sendToPeers(state, step, { kind: 'cacheNews', news });
 }
 
-function noteSelf(state: BoxState, nowMs: number): void {
+function recordSelf(state: BoxState, nowMs: number): void {
   const { boxId, incarnation, zone } = state.settings;
   recordMemberStatement(state.boxMembers, boxId, { kind: 'heard', incarnation, zone }, nowMs);
 }
 
-function heartbeat(state: BoxState): PeerMessage {
+function heartbeatMessage(state: BoxState): PeerMessage {
   const { incarnation, zone, control } = state.settings;
   state.heartbeatCount += 1;
-  const isDemandsTurn = state.heartbeatCount % control.demandsEveryHeartbeats === 0;
+  const includesDemands = state.heartbeatCount % control.demandsEveryHeartbeats === 0;
   return {
     kind: 'heartbeat',
     incarnation,
     zone,
     revision: state.config.revision,
     draining: state.draining !== undefined,
-    demands: isDemandsTurn ? demandsOf(state) : undefined,
+    demands: includesDemands ? demandsOf(state) : undefined,
     poolLoads: poolLoads(state),
   };
 }
 
-/** Takes a heartbeat; a box that is new to us is told what we know of the servers. */
+/** Applies a heartbeat, and sends the known servers to a box that is new or was silent. */
 export function onHeartbeat(
   state: BoxState,
   step: Step,
   from: string,
   message: Extract<PeerMessage, { kind: 'heartbeat' }>,
 ): void {
-  const before = state.boxMembers.members.get(from);
-  const isNew = before === undefined || before.incarnation < message.incarnation;
-  const wasSilent = before !== undefined && before.state !== MemberState.live;
+  const known = state.boxMembers.members.get(from);
+  const isNew = known === undefined || known.incarnation < message.incarnation;
+  const wasSilent = known !== undefined && known.state !== MemberState.live;
   const { incarnation, zone } = message;
-  if (before !== undefined && incarnation < before.incarnation) return;
+  if (known !== undefined && incarnation < known.incarnation) return;
   recordMemberStatement(state.boxMembers, from, { kind: 'heard', incarnation, zone }, step.nowMs);
-  if (message.draining) noteDraining(state, from, incarnation, step.nowMs);
+  if (message.draining) recordDraining(state, from, incarnation, step.nowMs);
   state.peers.set(from, {
     revision: message.revision,
     draining: message.draining,
     demands: message.demands ?? state.peers.get(from)?.demands ?? [],
     poolLoads: message.poolLoads,
   });
-  if (isNew || wasSilent) tellServers(state, step, from);
+  if (isNew || wasSilent) sendKnownServers(state, step, from);
 }
 
-function noteDraining(state: BoxState, from: string, incarnation: number, nowMs: number): void {
+function recordDraining(state: BoxState, from: string, incarnation: number, nowMs: number): void {
   const statement = {
     kind: 'leaving',
     incarnation,
@@ -138,22 +141,22 @@
   recordMemberStatement(state.boxMembers, from, statement, nowMs);
 }
 
-/** Tells a box that is new to us of the servers probed here, and of those that leave. */
-function tellServers(state: BoxState, step: Step, boxId: string): void {
-  const ids = new Set(state.probed.views.map(({ spec }) => spec.id));
-  for (const id of state.leavingServers) ids.add(id);
-  for (const id of foreignServerIds(state)) ids.add(id);
+/** Sends a box the servers probed here, the draining ones and those of other sites. */
+function sendKnownServers(state: BoxState, step: Step, boxId: string): void {
+  const ids = new Set(state.probedServers.views.map(({ spec }) => spec.id));
+  for (const id of state.drainingServers) ids.add(id);
+  for (const id of otherSiteServerIds(state)) ids.add(id);
   const news = [...ids].flatMap((id) => {
     const member = state.serverMembers.members.get(id);
-    const item = member === undefined ? undefined : newsOf(member, step.nowMs);
-    return item === undefined ? [] : [item];
+    const update = member === undefined ? undefined : serverUpdateFor(member, step.nowMs);
+    return update === undefined ? [] : [update];
   });
   if (news.length === 0) return;
   step.effects.push({ type: 'sendPeer', boxId, message: { kind: 'serverNews', news } });
 }
 
-/** Peers that may take over a request, own zone first. */
-export function livePeers(state: BoxState): string[] {
+/** Returns the live peers, those of the own zone first. */
+export function livePeerIds(state: BoxState): string[] {
   const { boxId, zone } = state.settings;
   const own: string[] = [];
   const other: string[] = [];
--- a/packages/reedlug-decisions/src/slices/probes.ts
+++ b/packages/reedlug-decisions/src/slices/probes.ts
@@ -1,46 +1,52 @@
 /**
- * Probes of backend servers and what they tell of load.
+ * Probes of backend servers, and updates to peers about their load.
  *
- * Each server is probed by one live box of its zone, by rendezvous; peers hear
- * only when one gets nearly full and when that is over.
+ * Each server is probed by one live box of its zone, chosen by rendezvous hashing.
+ * Peers receive an update only when a server becomes hot (nearly full) or cools down.
  */
 import { hashString, liveInZone, rendezvousWeight } from 'reedlug-coordination';
 import type { EngineReport } from '../types/order.js';
-import type { PoolLoad, ServerNews } from '../types/peer.js';
+import type { PoolLoad, ServerUpdate } from '../types/peer.js';
 import { ServerKind } from '../types/settings.js';
 import type { BoxState, ServerView, Step } from '../state.js';
 import { siteOfZone } from '../state.js';
 import { sendToPeers } from './peerLinks.js';
-import { HOT_FOR_MS, serverTakesWork } from './servers.js';
+import { HOT_DURATION_MS, serverAcceptsRequests } from './servers.js';
 
-/** Share of its slots in use from which a server is hot, and below which it is cool again. */
+/** Share of used slots from which a server is hot, and below which it is cool again. */
 const HOT_SHARE = 0.75;
 const COOL_SHARE = 0.6;
-/** Tells peers when a server gets nearly full, again while it stays so, and when it is over. */
-export function tellLoad(
+
+/** Announces to peers that a server is hot, repeatedly while it stays so, and that it is cool again. */
+export function announceLoad(
   state: BoxState,
   step: Step,
   view: ServerView,
   report: EngineReport,
 ): void {
   if (view.spec.kind !== ServerKind.engine) return;
-  const busy = (report.running + report.waiting) / view.spec.slots;
-  const { hotToldAtMs } = view;
-  const isHot = busy >= (hotToldAtMs === undefined ? HOT_SHARE : COOL_SHARE);
-  if (!isHot && hotToldAtMs === undefined) return;
-  if (isHot && hotToldAtMs !== undefined && step.nowMs - hotToldAtMs < HOT_FOR_MS / 2) return;
-  view.hotToldAtMs = isHot ? step.nowMs : undefined;
-  view.hotUntilMs = isHot ? step.nowMs + HOT_FOR_MS : 0;
-  const item: ServerNews = {
+  const usedShare = (report.running + report.waiting) / view.spec.slots;
+  const { hotAnnouncedAtMs } = view;
+  const isHot = usedShare >= (hotAnnouncedAtMs === undefined ? HOT_SHARE : COOL_SHARE);
+  if (!isHot && hotAnnouncedAtMs === undefined) return;
+  if (
+    isHot &&
+    hotAnnouncedAtMs !== undefined &&
+    step.nowMs - hotAnnouncedAtMs < HOT_DURATION_MS / 2
+  )
+    return;
+  view.hotAnnouncedAtMs = isHot ? step.nowMs : undefined;
+  view.hotUntilMs = isHot ? step.nowMs + HOT_DURATION_MS : 0;
+  const update: ServerUpdate = {
     serverId: view.spec.id,
     incarnation: report.incarnation,
     news: isHot ? 'hot' : 'cool',
     leavesInMs: undefined,
   };
-  sendToPeers(state, step, { kind: 'serverNews', news: [item] });
+  sendToPeers(state, step, { kind: 'serverNews', news: [update] });
 }
 
-/** Sends the probes that are due from this box. */
+/** Sends the probes of this box when they are due. */
 export function probeServers(state: BoxState, step: Step): void {
   if (step.nowMs < state.nextProbeAtMs) return;
   state.nextProbeAtMs = step.nowMs + state.settings.control.probeEveryMs;
@@ -49,23 +55,23 @@
   }
 }
 
-/** The servers that this box probes; worked out again when boxes or servers have changed. */
+/** Returns the servers that this box probes; recomputed when the boxes or servers change. */
 function probedServers(state: BoxState): readonly ServerView[] {
   const zones = probedZones(state);
   const boxes = probingBoxIds(state);
   const key = `${zones.join(' ')} | ${boxes.join(' ')} | ${state.servers.size}`;
-  if (state.probed.key === key) return state.probed.views;
+  if (state.probedServers.key === key) return state.probedServers.views;
   const hashed = boxes.map((id) => ({ id, hash: hashString(id) }));
   const { zone, boxId } = state.settings;
   const views = zones.flatMap((name) => {
     const all = state.serversByZone.get(name) ?? [];
-    return name === zone ? all.filter((view) => ownerOf(view, hashed) === boxId) : all;
+    return name === zone ? all.filter((view) => probingBoxFor(view, hashed) === boxId) : all;
   });
-  state.probed = { key, views };
+  state.probedServers = { key, views };
   return views;
 }
 
-/** The own zone, and zones of the site in which no box is heard. */
+/** Returns the own zone and the zones of the site without a live box. */
 function probedZones(state: BoxState): string[] {
   const { settings } = state;
   const site = siteOfZone(settings, settings.zone);
@@ -87,8 +93,8 @@
   hash: number;
 }
 
-/** The box with the highest rendezvous weight at a server. */
-function ownerOf(view: ServerView, boxes: readonly ProbingBox[]): string | undefined {
+/** Returns the box with the highest rendezvous weight for a server. */
+function probingBoxFor(view: ServerView, boxes: readonly ProbingBox[]): string | undefined {
   let owner: string | undefined;
   let ownerWeight = -1;
   for (const { id, hash } of boxes) {
@@ -100,13 +106,13 @@
   return owner;
 }
 
-/** The loads of the engines that this box probes, and of its own queues. */
+/** Returns the load of the engines that this box probes and of its own queues, by pool and zone. */
 export function poolLoads(state: BoxState): PoolLoad[] {
   const loads = new Map<string, PoolLoad>();
   const freshAfterMs = state.nowMs - state.settings.control.probeEveryMs * 3;
-  for (const view of state.probed.views) {
+  for (const view of state.probedServers.views) {
     if (view.spec.kind !== ServerKind.engine) continue;
-    if (view.reportedAtMs < freshAfterMs || !serverTakesWork(state, view)) continue;
+    if (view.reportedAtMs < freshAfterMs || !serverAcceptsRequests(state, view)) continue;
     const key = `${view.spec.pool}@${view.spec.zone}`;
     const load = loads.get(key) ?? emptyLoad(view.spec.pool, view.spec.zone);
     load.engines += 1;
--- a/packages/reedlug-decisions/src/slices/reclaim.ts
+++ b/packages/reedlug-decisions/src/slices/reclaim.ts
@@ -1,39 +1,39 @@
 /**
- * Announced reclaims of backend servers.
+ * Evacuation of backend servers that are draining, such as after a reclaim notice.
  *
- * Each stream at a leaving server finishes in time, or moves with its KV cache,
- * or goes on elsewhere from its prompt and the tokens already sent, by what
- * fits before the deadline. Cached prefixes of conversations that are not
- * running are moved after the streams, the largest first.
+ * Depending on the time left, a stream finishes at the server, moves to another one
+ * with its KV cache, or resumes at another one from its prompt and the tokens already
+ * sent. Cached prefixes of idle conversations are moved after the streams, the largest
+ * first.
  */
 import { MemberState, Reach } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
 import type { Attempt, RequestPhase, RequestRecord } from '../types/request.js';
 import { ServerKind } from '../types/settings.js';
 import type { BoxState, ServerView, Step } from '../state.js';
-import { noteCached } from '../policy/cacheView.js';
+import { recordPrefixLocation } from '../policy/cacheView.js';
 import { firstRanked } from '../policy/routing.js';
 import { cancelAttempt, closeAttempt, isStream, openAttempt } from './openAttempts.js';
 import { requeue, retryOrGiveUp } from './retries.js';
 import { log } from './log.js';
 import { phaseOf, recordOfAttempt } from './requests.js';
-import { serverMember, serverTakesWork } from './servers.js';
+import { serverMember, serverAcceptsRequests } from './servers.js';
 
-/** Kept free before a server goes, for the last words of its streams, in ms. */
+/** Time reserved before a server stops for the last messages of its streams, in ms. */
 const FINISH_MARGIN_MS = 250;
-/** Fixed part of one KV move, in ms. */
+/** Fixed duration of a KV cache move without the transfer, in ms. */
 const MOVE_SETUP_MS = 20;
-/** A move that has not answered after this long is taken as failed, in ms. */
+/** Time without an answer after which a move counts as failed, in ms. */
 const MOVE_TIMEOUT_MS = 2000;
-/** Cached prefixes smaller than this are not worth a move, in tokens. */
+/** Minimum size of a cached prefix that is moved, in tokens. */
 const MIN_MOVED_TOKENS = 256;
-/** Cached prefixes moved at most off one server by one box. */
+/** Maximum number of cached prefixes that one box moves off one server. */
 const MAX_MOVED_PREFIXES = 64;
 
-/** How a stream gets through the reclaim of its server. */
-type Way = 'finish' | 'move' | 'resume';
+/** How a stream continues when its server stops. */
+type EvacuationMethod = 'finish' | 'move' | 'resume';
 
-/** Moves a leaving server's work; safe to call again when the time left gets shorter. */
+/** Evacuates a draining server; may be called again when its stop moves closer. */
 export function evacuate(state: BoxState, step: Step, view: ServerView): void {
   const streams = streamsAt(state, view);
   if (streams.length > 0) {
@@ -43,14 +43,14 @@
   moveIdlePrefixes(state, step, view);
 }
 
-interface StreamAt {
+interface RunningStream {
   record: RequestRecord;
   attempt: Attempt;
 }
 
-/** Running streams at a server, those with the most tokens at stake first. */
-function streamsAt(state: BoxState, view: ServerView): StreamAt[] {
-  const streams: StreamAt[] = [];
+/** Returns the running streams at a server, those with the most tokens at stake first. */
+function streamsAt(state: BoxState, view: ServerView): RunningStream[] {
+  const streams: RunningStream[] = [];
   for (const attemptId of view.openAttempts) {
     const record = recordOfAttempt(state, attemptId);
     const attempt = record?.attempts.find((item) => item.attemptId === attemptId);
@@ -71,7 +71,7 @@
   record: RequestRecord,
   attempt: Attempt,
 ): void {
-  switch (wayOut(state, step, view, record, attempt)) {
+  switch (evacuationMethod(state, step, view, record, attempt)) {
     case 'finish':
       return;
     case 'move':
@@ -84,14 +84,17 @@
   }
 }
 
-/** The cheapest way that fits: finishing costs nothing, a move little, a resume the prompt. */
-function wayOut(
+/**
+ * Returns the cheapest method that fits the time left: finishing costs nothing, a move
+ * little, and a resume recomputes the prompt.
+ */
+function evacuationMethod(
   state: BoxState,
   step: Step,
   view: ServerView,
   record: RequestRecord,
   attempt: Attempt,
-): Way {
+): EvacuationMethod {
   const leavesAtMs = serverMember(state, view.spec.id)?.leavesAtMs;
   if (leavesAtMs === undefined) return 'finish';
   const leftMs = leavesAtMs - step.nowMs - FINISH_MARGIN_MS;
@@ -124,7 +127,7 @@
 ): boolean {
   const { policy } = state.settings;
   if (!policy.kvMove || attempt.firstTokenAtMs === undefined) return false;
-  if (!hasTarget(state, view)) return false;
+  if (!hasMoveTarget(state, view)) return false;
   const queuedMs = Math.max(0, view.exportBusyUntilMs - step.nowMs);
   return queuedMs + moveMs(state, tokensAtStake(record)) <= leftMs;
 }
@@ -133,14 +136,14 @@
   return MOVE_SETUP_MS + tokens / state.settings.policy.kvTokensPerMs;
 }
 
-function hasTarget(state: BoxState, view: ServerView): boolean {
-  return survivors(state, view).length > 0;
+function hasMoveTarget(state: BoxState, view: ServerView): boolean {
+  return moveTargets(state, view).length > 0;
 }
 
-/** Servers of the same pool that stay. */
-function survivors(state: BoxState, view: ServerView): ServerView[] {
+/** Returns the other servers of the same pool that accept requests. */
+function moveTargets(state: BoxState, view: ServerView): ServerView[] {
   const pool = state.serversByPool.get(view.spec.pool) ?? [];
-  return pool.filter((other) => other !== view && serverTakesWork(state, other));
+  return pool.filter((other) => other !== view && serverAcceptsRequests(state, other));
 }
 
 function startMove(
@@ -157,7 +160,7 @@
   step.effects.push({ type: 'exportKv', attemptId, serverId: view.spec.id });
 }
 
-/** Takes the answer to an export: the source has stopped and its cache waits under a ticket. */
+/** Handles the answer to an export: on success the source has stopped and keeps the cache under a ticket. */
 export function onKvExported(state: BoxState, step: Step, event: EventOf<'kvExported'>): void {
   const record = recordOfAttempt(state, event.attemptId);
   const phase = record === undefined ? undefined : phaseOf(record, 'moving');
@@ -172,13 +175,18 @@
       return;
     case 'refused':
     case 'unknown':
-      withoutMove(state, step, record, attempt);
+      continueWithoutMove(state, step, record, attempt);
       return;
   }
 }
 
-/** Without a move a repeatable stream resumes elsewhere; any other stays where it may still run. */
-function withoutMove(state: BoxState, step: Step, record: RequestRecord, attempt: Attempt): void {
+/** Continues a stream whose move failed: a repeatable one resumes elsewhere, any other stays in place. */
+function continueWithoutMove(
+  state: BoxState,
+  step: Step,
+  record: RequestRecord,
+  attempt: Attempt,
+): void {
   record.phase = { kind: 'running' };
   if (!attempt.open) {
     retryOrGiveUp(state, step, record);
@@ -189,7 +197,7 @@
   requeue(state, step, record, true);
 }
 
-/** Ends a move that takes too long. */
+/** Ends a move that has timed out. */
 export function movingTick(
   state: BoxState,
   step: Step,
@@ -199,15 +207,15 @@
   if (step.nowMs - phase.sinceMs < MOVE_TIMEOUT_MS) return;
   const attempt = openAttempt(record);
   if (attempt === undefined) retryOrGiveUp(state, step, record);
-  else withoutMove(state, step, record, attempt);
+  else continueWithoutMove(state, step, record, attempt);
 }
 
-/** Moves cached prefixes of idle conversations to where their next request will look first. */
+/** Moves cached prefixes of idle conversations to the servers that rank first for them. */
 function moveIdlePrefixes(state: BoxState, step: Step, view: ServerView): void {
   if (!state.settings.policy.kvMove || view.spec.kind !== ServerKind.engine) return;
   const leavesAtMs = serverMember(state, view.spec.id)?.leavesAtMs;
   if (leavesAtMs === undefined) return;
-  const targets = survivors(state, view);
+  const targets = moveTargets(state, view);
   if (targets.length === 0) return;
   for (const [affinityHash, tokens] of idlePrefixes(state, view)) {
     const startMs = Math.max(step.nowMs, view.exportBusyUntilMs);
@@ -216,7 +224,7 @@
     const target = firstRanked(affinityHash, targets);
     if (target === undefined) return;
     view.exportBusyUntilMs = endMs;
-    state.cacheSights.delete(affinityHash);
+    state.prefixLocations.delete(affinityHash);
     step.effects.push({
       type: 'moveCache',
       affinityHash,
@@ -229,16 +237,16 @@
 
 function idlePrefixes(state: BoxState, view: ServerView): [number, number][] {
   const prefixes: [number, number][] = [];
-  for (const [affinityHash, sight] of state.cacheSights) {
-    if (sight.serverId !== view.spec.id || sight.tokens < MIN_MOVED_TOKENS) continue;
-    prefixes.push([affinityHash, sight.tokens]);
+  for (const [affinityHash, location] of state.prefixLocations) {
+    if (location.serverId !== view.spec.id || location.tokens < MIN_MOVED_TOKENS) continue;
+    prefixes.push([affinityHash, location.tokens]);
   }
   return prefixes.sort((a, b) => b[1] - a[1]).slice(0, MAX_MOVED_PREFIXES);
 }
 
-/** Notes where a moved prefix now is. */
+/** Records the new location of a moved prefix. */
 export function onCacheMoved(state: BoxState, event: EventOf<'cacheMoved'>): void {
   const member = serverMember(state, event.serverId);
   if (member?.state === MemberState.dead) return;
-  noteCached(state, event.affinityHash, event.serverId, event.tokens);
+  recordPrefixLocation(state, event.affinityHash, event.serverId, event.tokens);
 }
--- a/packages/reedlug-decisions/src/slices/servers.ts
+++ b/packages/reedlug-decisions/src/slices/servers.ts
@@ -1,8 +1,9 @@
 /**
- * Backend servers: what is known of them, probes, and news to peers.
+ * State of the backend servers, and updates about them to and from peers.
  *
- * Each server is probed by one live box of the zone, by rendezvous; the others
- * learn only exceptions. Leaving is sticky for an incarnation.
+ * Each server is probed by one live box of its zone, chosen by rendezvous hashing; the
+ * other boxes receive only changes of its state. A server that is draining (member
+ * state `leaving`: it will stop soon) stays so for the rest of its incarnation.
  */
 import {
   hashString,
@@ -16,24 +17,24 @@
 } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
 import type { EngineReport } from '../types/order.js';
-import type { ServerNews } from '../types/peer.js';
+import type { ServerUpdate } from '../types/peer.js';
 import { ServerKind, type ServerSpec } from '../types/settings.js';
 import type { BoxState, ServerView, Step } from '../state.js';
 import { poolSiteKey, siteOfZone } from '../state.js';
 import { evacuate } from './reclaim.js';
 import { log } from './log.js';
-import { tellLoad } from './probes.js';
+import { announceLoad } from './probes.js';
 import { sendToPeers } from './peerLinks.js';
 import { dispatchPool } from './dispatch.js';
-import { loseAttemptsAt } from './failedAttempts.js';
-import { noteStarted } from './placement.js';
-import { noteReport } from '../policy/windows.js';
+import { failAttemptsAt } from './failedAttempts.js';
+import { removePendingStart } from './placement.js';
+import { recordReport } from '../policy/windows.js';
 
-/** How long news that a server is hot are believed, in ms. */
-export const HOT_FOR_MS = 6000;
+/** How long an update that a server is hot stays valid, in ms. */
+export const HOT_DURATION_MS = 6000;
 
-/** Takes a server into the view if it is new or its description changed. */
-export function noteServerSpec(state: BoxState, spec: ServerSpec): ServerView {
+/** Adds a server to the state, or updates its description. */
+export function upsertServer(state: BoxState, spec: ServerSpec): ServerView {
   const known = state.servers.get(spec.id);
   if (known !== undefined && known.spec.pool === spec.pool && known.spec.zone === spec.zone) {
     known.spec = spec;
@@ -61,7 +62,7 @@
     pendingPrefillTokens: 0,
     report: undefined,
     reportedAtMs: Number.NEGATIVE_INFINITY,
-    openAtReport: 0,
+    openAttemptsAtReport: 0,
     probeFailures: 0,
     interTokenMs: 0,
     cacheAwareWindow: spec.slots,
@@ -69,8 +70,8 @@
     cacheUncertain: false,
     exportBusyUntilMs: 0,
     hotUntilMs: 0,
-    hotToldAtMs: undefined,
-    place: { version: 0, shareRank: 0 },
+    hotAnnouncedAtMs: undefined,
+    cachedShareRank: { version: 0, shareRank: 0 },
   };
 }
 
@@ -92,32 +93,32 @@
   );
 }
 
-/** The member record of a server, if any source has named it. */
+/** Returns the membership record of a server, or undefined if no source has named it. */
 export function serverMember(state: BoxState, serverId: string): Member | undefined {
   return state.serverMembers.members.get(serverId);
 }
 
-/** True when a server may be given new work. */
-export function serverTakesWork(state: BoxState, view: ServerView): boolean {
+/** True if a server may receive new requests. */
+export function serverAcceptsRequests(state: BoxState, view: ServerView): boolean {
   const member = serverMember(state, view.spec.id);
   if (member === undefined) return false;
   if (state.mutations.has('trustStaleList') && member.state !== MemberState.dead) return true;
   if (!acceptsNewWork(member)) return false;
-  return reportFits(view);
+  return reportAllowsRequests(view);
 }
 
-/** The engine's own report goes before what the settings say it runs. */
-function reportFits(view: ServerView): boolean {
+/** Checks the engine's own report, which takes precedence over the settings. */
+function reportAllowsRequests(view: ServerView): boolean {
   const { report, spec } = view;
   if (report === undefined || spec.kind === ServerKind.service) return true;
   if (report.role !== 'serve') return false;
   return report.model === spec.pool;
 }
 
-/** Takes the settings' own servers in at the start; they still have to be heard. */
-export function listConfiguredServers(state: BoxState, nowMs: number): void {
+/** Registers the servers of the settings at the start; they are not live until they respond. */
+export function registerConfiguredServers(state: BoxState, nowMs: number): void {
   for (const spec of state.settings.servers) {
-    noteServerSpec(state, spec);
+    upsertServer(state, spec);
     const statement: MemberStatement = {
       kind: 'listed',
       incarnation: 0,
@@ -128,13 +129,13 @@
   }
 }
 
-/** Takes a statement about a server and does what follows from a change of state. */
-export function noteServer(
+/** Applies a statement about a server and acts on a change of its state. */
+export function applyServerStatement(
   state: BoxState,
   step: Step,
   serverId: string,
   statement: MemberStatement,
-  tellPeers: boolean,
+  announce: boolean,
 ): void {
   const view = state.servers.get(serverId);
   const changed = recordMemberStatement(state.serverMembers, serverId, statement, step.nowMs);
@@ -142,10 +143,10 @@
     if (statement.kind === 'leaving' && view !== undefined) evacuate(state, step, view);
     return;
   }
-  if (changed.state === MemberState.leaving) state.leavingServers.add(serverId);
-  else state.leavingServers.delete(serverId);
+  if (changed.state === MemberState.leaving) state.drainingServers.add(serverId);
+  else state.drainingServers.delete(serverId);
   log(step, 'serverChanged', { server: serverId, state: changed.state });
-  if (tellPeers) tellNews(state, step, changed);
+  if (announce) announceServer(state, step, changed);
   if (view === undefined) return;
   switch (changed.state) {
     case MemberState.live:
@@ -155,7 +156,7 @@
       evacuate(state, step, view);
       return;
     case MemberState.dead:
-      loseAttemptsAt(state, step, view);
+      failAttemptsAt(state, step, view);
       return;
     case MemberState.suspect:
     case MemberState.listed:
@@ -163,13 +164,13 @@
   }
 }
 
-function tellNews(state: BoxState, step: Step, member: Member): void {
-  const news = newsOf(member, step.nowMs);
+function announceServer(state: BoxState, step: Step, member: Member): void {
+  const news = serverUpdateFor(member, step.nowMs);
   if (news !== undefined) sendToPeers(state, step, { kind: 'serverNews', news: [news] });
 }
 
-/** The exception to tell about a member; undefined for one that is only listed. */
-export function newsOf(member: Member, nowMs: number): ServerNews | undefined {
+/** Returns the update to send about a member, or undefined for one that is only listed. */
+export function serverUpdateFor(member: Member, nowMs: number): ServerUpdate | undefined {
   const base = { serverId: member.id, incarnation: member.incarnation, leavesInMs: undefined };
   switch (member.state) {
     case MemberState.live:
@@ -190,20 +191,21 @@
 }
 
 /**
- * Takes a peer's news about servers. Few boxes hear those of another site; what
- * is new to one of them goes on to its own site.
+ * Applies a peer's updates about servers. Only a few boxes receive those of another
+ * site; they forward to their own site what is new to them.
  */
-export function onServerNews(
+export function onServerUpdates(
   state: BoxState,
   step: Step,
   from: string,
-  news: readonly ServerNews[],
+  updates: readonly ServerUpdate[],
 ): void {
-  const goesOn = !isOfOwnSite(state, zoneOfBox(state, from));
-  for (const item of news) {
-    const statement = statementOf(item, step);
-    if (statement !== undefined) noteServer(state, step, item.serverId, statement, goesOn);
-    else noteHotNews(state, item, step.nowMs);
+  const forward = !isInOwnSite(state, zoneOfBox(state, from));
+  for (const update of updates) {
+    const statement = statementFrom(update, step);
+    if (statement !== undefined)
+      applyServerStatement(state, step, update.serverId, statement, forward);
+    else applyLoadUpdate(state, update, step.nowMs);
   }
 }
 
@@ -211,29 +213,29 @@
   return state.boxMembers.members.get(boxId)?.zone ?? state.settings.zone;
 }
 
-function isOfOwnSite(state: BoxState, zone: string): boolean {
+function isInOwnSite(state: BoxState, zone: string): boolean {
   const { settings } = state;
   return siteOfZone(settings, zone) === siteOfZone(settings, settings.zone);
 }
 
-/** Servers of other sites that are up; one box of a zone tells them to boxes that are new to it. */
-export function foreignServerIds(state: BoxState): string[] {
+/** Returns the servers of other sites, which one box per zone sends to newly seen boxes. */
+export function otherSiteServerIds(state: BoxState): string[] {
   const { boxId, zone } = state.settings;
   if (liveInZone(state.boxMembers, zone)[0] !== boxId) return [];
   return [...state.servers.values()]
-    .filter(({ spec }) => !isOfOwnSite(state, spec.zone))
+    .filter(({ spec }) => !isInOwnSite(state, spec.zone))
     .map(({ spec }) => spec.id);
 }
 
-function noteHotNews(state: BoxState, item: ServerNews, nowMs: number): void {
-  const view = state.servers.get(item.serverId);
-  if (view !== undefined) view.hotUntilMs = item.news === 'hot' ? nowMs + HOT_FOR_MS : 0;
+function applyLoadUpdate(state: BoxState, update: ServerUpdate, nowMs: number): void {
+  const view = state.servers.get(update.serverId);
+  if (view !== undefined) view.hotUntilMs = update.news === 'hot' ? nowMs + HOT_DURATION_MS : 0;
 }
 
-/** What news say of a server's life; nothing for those of its load. */
-function statementOf(item: ServerNews, step: Step): MemberStatement | undefined {
-  const { incarnation } = item;
-  switch (item.news) {
+/** Returns the membership statement of an update, or undefined for an update about load. */
+function statementFrom(update: ServerUpdate, step: Step): MemberStatement | undefined {
+  const { incarnation } = update;
+  switch (update.news) {
     case 'hot':
     case 'cool':
       return undefined;
@@ -247,13 +249,13 @@
       return {
         kind: 'leaving',
         incarnation,
-        leavesAtMs: item.leavesInMs === undefined ? undefined : step.nowMs + item.leavesInMs,
+        leavesAtMs: update.leavesInMs === undefined ? undefined : step.nowMs + update.leavesInMs,
         source: MemberSource.peer,
       };
   }
 }
 
-/** Takes a reclaim notice for a server. */
+/** Marks a server as draining after a reclaim notice. */
 export function onReclaimNoticed(
   state: BoxState,
   step: Step,
@@ -261,7 +263,7 @@
 ): void {
   const { serverId, leavesAtMs } = event;
   state.lastReclaimAtMs = step.nowMs;
-  // A notice may name a life of the box that this process has not met yet, or none.
+  // A notice may name an incarnation of the server that this box has not seen yet, or none (0).
   const known = serverMember(state, serverId)?.incarnation ?? 0;
   const incarnation = Math.max(event.incarnation, event.incarnation === 0 ? known : 0);
   const statement: MemberStatement = {
@@ -270,25 +272,25 @@
     leavesAtMs,
     source: MemberSource.notice,
   };
-  noteServer(state, step, serverId, statement, true);
+  applyServerStatement(state, step, serverId, statement, true);
 }
 
-/** Takes the platform's box list, which lags: it names servers and may say that they leave. */
+/** Applies the platform's box list, which may be out of date: it names servers and draining ones. */
 export function onBoxListRead(state: BoxState, step: Step, event: EventOf<'boxListRead'>): void {
   for (const entry of event.entries) {
-    noteServerSpec(state, entry.spec);
+    upsertServer(state, entry.spec);
     const statement: MemberStatement = {
       kind: 'listed',
       incarnation: entry.incarnation,
       zone: entry.spec.zone,
       leaving: entry.leaving,
     };
-    noteServer(state, step, entry.spec.id, statement, true);
-    noteStarted(state, entry.spec.id);
+    applyServerStatement(state, step, entry.spec.id, statement, true);
+    removePendingStart(state, entry.spec.id);
   }
 }
 
-/** Takes an answer to a probe; undefined means that there was none. */
+/** Applies the result of a probe; an undefined report means that there was no answer. */
 export function onServerReported(
   state: BoxState,
   step: Step,
@@ -302,7 +304,7 @@
   }
   view.probeFailures = 0;
   onReport(state, step, view, event.report);
-  tellLoad(state, step, view, event.report);
+  announceLoad(state, step, view, event.report);
 }
 
 function onProbeFailed(state: BoxState, step: Step, view: ServerView): void {
@@ -310,15 +312,15 @@
   view.probeFailures += 1;
   const incarnation = serverMember(state, view.spec.id)?.incarnation ?? 0;
   if (view.probeFailures === probeFailuresToSuspect) {
-    noteServer(state, step, view.spec.id, { kind: 'silent', incarnation }, true);
+    applyServerStatement(state, step, view.spec.id, { kind: 'silent', incarnation }, true);
   }
   if (view.probeFailures === probeFailuresToSuspect * 2) {
     const gone = { kind: 'gone', incarnation, source: MemberSource.direct } as const;
-    noteServer(state, step, view.spec.id, gone, true);
+    applyServerStatement(state, step, view.spec.id, gone, true);
   }
 }
 
-/** Takes what a server reports of itself, in a probe's answer or beside a response. */
+/** Applies a server's report about itself, from a probe or from the end of a response. */
 export function onReport(
   state: BoxState,
   step: Step,
@@ -327,10 +329,10 @@
 ): void {
   const member = serverMember(state, view.spec.id);
   if (member !== undefined && report.incarnation < member.incarnation) return;
-  noteReport(state, view, report, step.nowMs);
+  recordReport(state, view, report, step.nowMs);
   const { incarnation } = report;
-  const heard = { kind: 'heard', incarnation, zone: view.spec.zone } as const;
-  noteServer(state, step, view.spec.id, heard, true);
+  const live = { kind: 'heard', incarnation, zone: view.spec.zone } as const;
+  applyServerStatement(state, step, view.spec.id, live, true);
   if (!report.leaving) return;
   const leaving = {
     kind: 'leaving',
@@ -338,5 +340,5 @@
     leavesAtMs: undefined,
     source: MemberSource.direct,
   } as const;
-  noteServer(state, step, view.spec.id, leaving, true);
+  applyServerStatement(state, step, view.spec.id, leaving, true);
 }
