--- a/packages/reedlug-gateway/src/policy/__tests__/chooseServer.test.ts
+++ b/packages/reedlug-gateway/src/policy/__tests__/chooseServer.test.ts
@@ -16,8 +16,8 @@
 }
 
 function chosenFor(box: TestBox, request: RequestFacts): string | undefined {
-  const avoid = new Set<string>();
-  const params = { service: 'engines', facts: request, urgency: 5, avoid, nowMs: 0 };
+  const excludedServers = new Set<string>();
+  const params = { service: 'engines', facts: request, urgency: 5, excludedServers, nowMs: 0 };
   return chooseServer(box.state, params)?.view.entry.id;
 }
 
@@ -69,7 +69,12 @@
 
 function zonesChosen(box: TestBox, staysInZone: boolean): Set<string | undefined> {
   const chosen = Array.from({ length: 40 }, (_, index) => {
-    const request = { facts: prompt(index), urgency: 5, avoid: new Set<string>(), staysInZone };
+    const request = {
+      facts: prompt(index),
+      urgency: 5,
+      excludedServers: new Set<string>(),
+      staysInZone,
+    };
     return chooseServer(box.state, { service: 'engines', ...request, nowMs: 0 })?.view.entry.zone;
   });
   return new Set(chosen);
--- a/packages/reedlug-gateway/src/policy/__tests__/crashVerdict.test.ts
+++ b/packages/reedlug-gateway/src/policy/__tests__/crashVerdict.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import type { CrashSuspect, ServerCrash } from '../../types/crashSuspect.js';
-import { isCulprit, isSameCrash } from '../crashVerdict.js';
+import { causesCrashes, isSameCrash } from '../crashVerdict.js';
 
 /** A request that ran for 60 ms at a server until it ended. */
 function crash(serverId: string, endedAtMs: number, changes: Partial<ServerCrash> = {}) {
@@ -20,56 +20,56 @@
 }
 
 /** Judges the first of some suspects, beside crashes at which none of them was. */
-function judge(suspects: CrashSuspect[], others: ServerCrash[] = []): boolean {
+function evaluate(suspects: CrashSuspect[], others: ServerCrash[] = []): boolean {
   const recent = [...others, ...suspects.flatMap(({ crashes }) => crashes)];
   const distinct = recent.filter(
     (one, index) => recent.findIndex((other) => isSameCrash(one, other)) === index,
   );
-  return isCulprit(suspects[0] as CrashSuspect, { suspects, recent: distinct });
+  return causesCrashes(suspects[0] as CrashSuspect, { suspects, recent: distinct });
 }
 
 test('three crashes one after the other make a culprit, two do not', () => {
   const crashes = [crash('a', 100), crash('b', 200), crash('c', 500)];
-  expect(judge([suspect('x', crashes)])).to.equal(true);
-  expect(judge([suspect('x', crashes.slice(0, 2))])).to.equal(false);
+  expect(evaluate([suspect('x', crashes)])).to.equal(true);
+  expect(evaluate([suspect('x', crashes.slice(0, 2))])).to.equal(false);
 });
 
 test('crashes of one moment count as one round where servers went without the request', () => {
   const crashes = [crash('a', 100), crash('b', 101), crash('c', 102), crash('d', 110)];
   const others = ['e', 'f', 'g', 'h', 'i'].map((id) => crash(id, 105));
-  expect(judge([suspect('popular', crashes)], others)).to.equal(false);
+  expect(evaluate([suspect('popular', crashes)], others)).to.equal(false);
 });
 
 test('a send at the moment of a crash does not make a second round of it', () => {
   const crashes = [crash('a', 100), crash('b', 101), crash('c', 103, { sentAtMs: 101 })];
   const others = ['e', 'f', 'g'].map((id) => crash(id, 105));
-  expect(judge([suspect('popular', crashes)], others)).to.equal(false);
+  expect(evaluate([suspect('popular', crashes)], others)).to.equal(false);
 });
 
 test('copies that came at once make a culprit with the next crash, and not before', () => {
   const crashes = ['a', 'b', 'c', 'd', 'e'].map((id) => crash(id, 100));
-  expect(judge([suspect('x', crashes)])).to.equal(false);
-  expect(judge([suspect('x', [...crashes, crash('f', 2000)])])).to.equal(true);
+  expect(evaluate([suspect('x', crashes)])).to.equal(false);
+  expect(evaluate([suspect('x', [...crashes, crash('f', 2000)])])).to.equal(true);
 });
 
 test('who was at each crash beside another one is not told from it, and waits', () => {
   const crashes = [crash('a', 100), crash('b', 200), crash('c', 500)];
-  expect(judge([suspect('x', crashes), suspect('y', [...crashes])])).to.equal(false);
+  expect(evaluate([suspect('x', crashes), suspect('y', [...crashes])])).to.equal(false);
   const next = [...crashes, crash('d', 900)];
-  expect(judge([suspect('x', next), suspect('y', crashes)])).to.equal(true);
-  expect(judge([suspect('y', crashes), suspect('x', next)])).to.equal(false);
+  expect(evaluate([suspect('x', next), suspect('y', crashes)])).to.equal(true);
+  expect(evaluate([suspect('y', crashes), suspect('x', next)])).to.equal(false);
 });
 
 test('crashes of one that is kept out count for no other', () => {
   const crashes = [crash('a', 100), crash('b', 200), crash('c', 500)];
   const known = suspect('x', crashes, { blockedSinceMs: 600 });
   const beside = suspect('y', [...crashes, crash('d', 700)]);
-  expect(judge([beside, known])).to.equal(false);
+  expect(evaluate([beside, known])).to.equal(false);
 });
 
 test('five crashes in three rounds suffice whoever else was there', () => {
   const crashes = ['a', 'b', 'c', 'd', 'e'].map((id, index) => crash(id, 100 + index * 100));
-  expect(judge([suspect('x', crashes), suspect('y', [...crashes])])).to.equal(true);
+  expect(evaluate([suspect('x', crashes), suspect('y', [...crashes])])).to.equal(true);
 });
 
 test('two lives under one id are two crashes, two words on one life are one', () => {
@@ -86,9 +86,9 @@
   const long = ends.map((end) => ({ ...end, sentAtMs: end.endedAtMs - 1200 }));
   const culprit = suspect('x', ends);
   const innocent = suspect('y', [alone, ...long]);
-  expect(judge([innocent, culprit])).to.equal(false);
+  expect(evaluate([innocent, culprit])).to.equal(false);
   const third = crash('d', 4000);
-  expect(judge([suspect('x', [...ends, third]), innocent])).to.equal(true);
+  expect(evaluate([suspect('x', [...ends, third]), innocent])).to.equal(true);
 });
 
 test('who had come 5 ms before a crash is no likelier than who had come 150 ms before', () => {
@@ -99,5 +99,5 @@
   );
   const near = ends.map((end) => ({ ...end, sentAtMs: end.endedAtMs - 5 }));
   const others = [suspect('y', near.slice(0, 2)), suspect('z', near.slice(2))];
-  expect(judge([culprit, ...others])).to.equal(true);
+  expect(evaluate([culprit, ...others])).to.equal(true);
 });
--- a/packages/reedlug-gateway/src/policy/__tests__/decideSend.test.ts
+++ b/packages/reedlug-gateway/src/policy/__tests__/decideSend.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
-import { decideSend, type SendFacts } from '../decideSend.js';
+import { decideSend, type SendContext } from '../decideSend.js';
 
-function decide(changes: Partial<SendFacts> = {}) {
+function decide(changes: Partial<SendContext> = {}) {
   return decideSend({
     expectedMs: 500,
     running: 30,
--- a/packages/reedlug-gateway/src/policy/__tests__/engineModel.test.ts
+++ b/packages/reedlug-gateway/src/policy/__tests__/engineModel.test.ts
@@ -3,10 +3,10 @@
   addSendSums,
   createSendSums,
   expectedWaitMs,
-  fadeSends,
+  decaySends,
   fitEngineModel,
-  noteStay,
-  noteWait,
+  recordStay,
+  recordWait,
   type EngineModel,
   type OwnSends,
 } from '../engineModel.js';
@@ -22,7 +22,7 @@
   engine: TrueEngine,
   params: { sends: number; badEvery?: number; badFactor?: number },
 ): OwnSends {
-  const own: OwnSends = { sums: createSendSums(), fadedAtMs: 0 };
+  const own: OwnSends = { sums: createSendSums(), decayedAtMs: 0 };
   for (let index = 0; index < params.sends; index += 1) {
     const nowMs = index * 40;
     const tokens = 200 + ((index * 7919) % 97) ** 2;
@@ -32,12 +32,12 @@
     const isBad = params.badEvery !== undefined && index % params.badEvery === 0;
     const waitMs = trueMs * (isBad ? (params.badFactor ?? 1) : 1) * (0.9 + 0.02 * (index % 11));
     const expectedMs = expectedWaitMs(fitEngineModel(own.sums), conditions);
-    noteWait(own, { conditions, waitMs, expectedMs, nowMs });
+    recordWait(own, { conditions, waitMs, expectedMs, nowMs });
   }
   return own;
 }
 
-const UNLIKE: TrueEngine[] = [
+const ENGINES: TrueEngine[] = [
   { tokensPerMs: 30, runningMs: 0.05, slots: 128 },
   { tokensPerMs: 36, runningMs: 1, slots: 64 },
   { tokensPerMs: 60, runningMs: 2, slots: 12 },
@@ -45,7 +45,7 @@
   { tokensPerMs: 160, runningMs: 0, slots: 6 },
 ];
 
-for (const engine of UNLIKE) {
+for (const engine of ENGINES) {
   test(`${engine.tokensPerMs} tokens a ms and ${engine.slots} places are learned from 150 sends`, () => {
     const model = fitEngineModel(observe(engine, { sends: 150 }).sums);
     expect(model.tokensPerMs).to.be.closeTo(engine.tokensPerMs, engine.tokensPerMs * 0.15);
@@ -83,17 +83,17 @@
 });
 
 test('a send that found no place free teaches nothing of the reading', () => {
-  const own: OwnSends = { sums: createSendSums(), fadedAtMs: 0 };
+  const own: OwnSends = { sums: createSendSums(), decayedAtMs: 0 };
   const conditions = { tokens: 100, running: 24, slots: 24, unread: 0 };
-  noteWait(own, { conditions, waitMs: 4000, expectedMs: 50, nowMs: 0 });
+  recordWait(own, { conditions, waitMs: 4000, expectedMs: 50, nowMs: 0 });
   expect(own.sums.sends).to.equal(0);
 });
 
 test('a send behind many prompts teaches nothing of the reading', () => {
   const noted = (unread: number): number => {
-    const own: OwnSends = { sums: createSendSums(), fadedAtMs: 0 };
+    const own: OwnSends = { sums: createSendSums(), decayedAtMs: 0 };
     const conditions = { tokens: 40_000, running: 20, unread, slots: 48 };
-    noteWait(own, { conditions, waitMs: 90, expectedMs: 1000, nowMs: 0 });
+    recordWait(own, { conditions, waitMs: 90, expectedMs: 1000, nowMs: 0 });
     return own.sums.sends;
   };
   expect(noted(2)).to.equal(1);
@@ -101,11 +101,11 @@
 });
 
 test('absurd times leave the figures finite', () => {
-  const own: OwnSends = { sums: createSendSums(), fadedAtMs: 0 };
+  const own: OwnSends = { sums: createSendSums(), decayedAtMs: 0 };
   const conditions = { tokens: 0, running: 0, slots: 1, unread: 0 };
   for (const waitMs of [0, Number.NaN, Number.POSITIVE_INFINITY, -5]) {
-    noteWait(own, { conditions, waitMs, expectedMs: 0, nowMs: 0 });
-    noteStay(own, waitMs, 0);
+    recordWait(own, { conditions, waitMs, expectedMs: 0, nowMs: 0 });
+    recordStay(own, waitMs, 0);
   }
   const model = fitEngineModel(own.sums);
   for (const value of Object.values(model) as number[])
@@ -137,8 +137,8 @@
   const cold = observe(engine, { sends: 60, badEvery: 1, badFactor: 3 });
   const warm = observe(engine, { sends: 60 });
   const tokensPerMsAfter = (seconds: number): number => {
-    const own: OwnSends = { sums: { ...cold.sums }, fadedAtMs: 0 };
-    fadeSends(own, seconds * 1000);
+    const own: OwnSends = { sums: { ...cold.sums }, decayedAtMs: 0 };
+    decaySends(own, seconds * 1000);
     return fitEngineModel(addSendSums([own.sums, warm.sums])).tokensPerMs;
   };
   expect(tokensPerMsAfter(0)).to.be.lessThan(70);
--- a/packages/reedlug-gateway/src/policy/__tests__/engineTarget.test.ts
+++ b/packages/reedlug-gateway/src/policy/__tests__/engineTarget.test.ts
@@ -20,9 +20,30 @@
 }
 
 const ZONES = [
-  { zone: 'zone-a', price: 0.85, readyReclaimable: 0, isDry: false, onDemand: 0, reclaimable: 0 },
-  { zone: 'zone-b', price: 1.2, readyReclaimable: 0, isDry: false, onDemand: 0, reclaimable: 0 },
-  { zone: 'zone-c', price: 1.0, readyReclaimable: 0, isDry: false, onDemand: 0, reclaimable: 0 },
+  {
+    zone: 'zone-a',
+    price: 0.85,
+    readyReclaimable: 0,
+    isOutOfCapacity: false,
+    onDemand: 0,
+    reclaimable: 0,
+  },
+  {
+    zone: 'zone-b',
+    price: 1.2,
+    readyReclaimable: 0,
+    isOutOfCapacity: false,
+    onDemand: 0,
+    reclaimable: 0,
+  },
+  {
+    zone: 'zone-c',
+    price: 1.0,
+    readyReclaimable: 0,
+    isOutOfCapacity: false,
+    onDemand: 0,
+    reclaimable: 0,
+  },
 ];
 
 /** Zones in which no more is granted than there is, where nothing else is said. */
@@ -93,9 +114,30 @@
 
 test('on-demand engines fill what a reclaim leaves missing', () => {
   const zones = [
-    { zone: 'zone-a', price: 0.85, readyReclaimable: 0, isDry: true, onDemand: 0, reclaimable: 0 },
-    { zone: 'zone-b', price: 1.2, readyReclaimable: 1, isDry: false, onDemand: 0, reclaimable: 0 },
-    { zone: 'zone-c', price: 1.0, readyReclaimable: 1, isDry: false, onDemand: 0, reclaimable: 0 },
+    {
+      zone: 'zone-a',
+      price: 0.85,
+      readyReclaimable: 0,
+      isOutOfCapacity: true,
+      onDemand: 0,
+      reclaimable: 0,
+    },
+    {
+      zone: 'zone-b',
+      price: 1.2,
+      readyReclaimable: 1,
+      isOutOfCapacity: false,
+      onDemand: 0,
+      reclaimable: 0,
+    },
+    {
+      zone: 'zone-c',
+      price: 1.0,
+      readyReclaimable: 1,
+      isOutOfCapacity: false,
+      onDemand: 0,
+      reclaimable: 0,
+    },
   ];
   const plan = planFor({ usual: 4, least: 3 }, zones);
   expect(plan.reduce((sum, { onDemand }) => sum + onDemand, 0)).to.equal(1);
@@ -114,14 +156,19 @@
 });
 
 test('a full zone that runs dry leaves its room to on-demand engines', () => {
-  const zones = ZONES.map((zone) => ({ ...zone, isDry: true, onDemand: 0, reclaimable: 0 }));
+  const zones = ZONES.map((zone) => ({
+    ...zone,
+    isOutOfCapacity: true,
+    onDemand: 0,
+    reclaimable: 0,
+  }));
   const plan = planFor({ usual: 12, least: 6 }, zones);
   expect(plan.map(({ reclaimable }) => reclaimable)).to.deep.equal([0, 0, 0]);
   expect(plan.map(({ onDemand }) => onDemand)).to.deep.equal([2, 2, 2]);
 });
 
 test('on-demand engines stay while the zone may have reclaimable ones again', () => {
-  const zones = ZONES.map((zone) => ({ ...zone, isDry: false, onDemand: 2 }));
+  const zones = ZONES.map((zone) => ({ ...zone, isOutOfCapacity: false, onDemand: 2 }));
   const plan = planFor({ usual: 12, least: 6 }, zones);
   expect(plan.map(({ onDemand }) => onDemand)).to.deep.equal([2, 2, 2]);
   expect(plan.map(({ reclaimable }) => reclaimable)).to.deep.equal([2, 2, 2]);
@@ -134,7 +181,12 @@
 });
 
 test('a dry zone keeps what is on its way, and on-demand engines are not ordered for it', () => {
-  const zones = ZONES.map((zone) => ({ ...zone, isDry: true, readyReclaimable: 1, granted: 3 }));
+  const zones = ZONES.map((zone) => ({
+    ...zone,
+    isOutOfCapacity: true,
+    readyReclaimable: 1,
+    granted: 3,
+  }));
   const plan = planFor({ usual: 12, least: 9 }, zones);
   expect(plan.map(({ reclaimable }) => reclaimable)).to.deep.equal([3, 3, 3]);
   expect(plan.map(({ onDemand }) => onDemand)).to.deep.equal([0, 0, 0]);
@@ -165,7 +217,7 @@
 test('while zones are taken back, on-demand engines stand in for the next zone', () => {
   const zones = ZONES.map((zone, index) => ({
     ...zone,
-    isDry: true,
+    isOutOfCapacity: true,
     readyReclaimable: index === 0 ? 0 : 4,
     reclaimable: 4,
   }));
--- a/packages/reedlug-gateway/src/policy/__tests__/rolloutStep.test.ts
+++ b/packages/reedlug-gateway/src/policy/__tests__/rolloutStep.test.ts
@@ -5,13 +5,13 @@
   nextPhase,
   shareOfPhase,
   spreadSample,
-  type RolloutFacts,
+  type RolloutProgress,
 } from '../rolloutStep.js';
 import { Verdict } from '../rolloutVerdict.js';
 
 const ALLOWED_SHARE = 0.1;
 
-function facts(changes: Partial<RolloutFacts> = {}): RolloutFacts {
+function facts(changes: Partial<RolloutProgress> = {}): RolloutProgress {
   return {
     phase: RolloutPhase.sampling,
     ageMs: 3000,
--- a/packages/reedlug-gateway/src/policy/__tests__/rolloutVerdict.test.ts
+++ b/packages/reedlug-gateway/src/policy/__tests__/rolloutVerdict.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import type { TrialTally, BaselineTally } from '../../types/rollout.js';
-import { judgeRollout, Verdict } from '../rolloutVerdict.js';
+import { evaluateRollout, Verdict } from '../rolloutVerdict.js';
 
 function trial(changes: Partial<TrialTally> = {}): TrialTally {
   return { route: 'draft', serverId: '', answers: 0, failed: 0, slow: 0, ...changes };
@@ -11,7 +11,7 @@
 }
 
 function verdictOf(trials: TrialTally[], usuals: BaselineTally[] = [usual()]): Verdict {
-  return judgeRollout({ trial: trials, usual: usuals }).verdict;
+  return evaluateRollout({ trial: trials, usual: usuals }).verdict;
 }
 
 test('few answers say nothing', () => {
@@ -52,8 +52,8 @@
     trial: [trial({ answers: 12, failed: 5 })],
     usual: [usual({ answers: 60, failed: 0 })],
   };
-  expect(judgeRollout(ever).verdict).to.equal(Verdict.good);
-  expect(judgeRollout(ever, [lately]).verdict).to.equal(Verdict.bad);
+  expect(evaluateRollout(ever).verdict).to.equal(Verdict.good);
+  expect(evaluateRollout(ever, [lately]).verdict).to.equal(Verdict.bad);
 });
 
 test('what both versions have failed lately is no verdict', () => {
@@ -62,7 +62,7 @@
     trial: [trial({ answers: 12, failed: 5 })],
     usual: [usual({ answers: 60, failed: 25 })],
   };
-  expect(judgeRollout(ever, [lately]).verdict).not.to.equal(Verdict.bad);
+  expect(evaluateRollout(ever, [lately]).verdict).not.to.equal(Verdict.bad);
 });
 
 test('one failing server among several is no failing version', () => {
--- a/packages/reedlug-gateway/src/policy/__tests__/serverLimit.test.ts
+++ b/packages/reedlug-gateway/src/policy/__tests__/serverLimit.test.ts
@@ -3,29 +3,33 @@
 import type { LimitedSends, LimitObservation } from '../../types/serverStatement.js';
 import {
   isNewerLimit,
-  limitNow,
+  currentLimit,
   nextSendAtMs,
-  noteLimitedSend,
-  sendersOf,
+  recordLimitedSend,
+  senderCount,
 } from '../serverLimit.js';
 
 /** Counts what a box sends that tries each 20 ms, and gives the times. */
 function sendAll(
-  part: (nowMs: number) => number,
+  shareAt: (nowMs: number) => number,
   forMs: number,
-  followsOther: boolean,
+  replacedAnotherBox: boolean,
 ): readonly number[] {
-  const sends: LimitedSends = { atMs: [], sharingSinceMs: 0, replacedAnotherBox: followsOther };
+  const sends: LimitedSends = {
+    atMs: [],
+    sharingSinceMs: 0,
+    replacedAnotherBox,
+  };
   const sentAtMs: number[] = [];
   for (let nowMs = 0; nowMs < forMs; nowMs += 20) {
-    if (nextSendAtMs(sends, part(nowMs), nowMs) > nowMs) continue;
-    noteLimitedSend(sends, nowMs);
+    if (nextSendAtMs(sends, shareAt(nowMs), nowMs) > nowMs) continue;
+    recordLimitedSend(sends, nowMs);
     sentAtMs.push(nowMs);
   }
   return sentAtMs;
 }
 
-function mostInWindow(atMs: readonly number[], lengthMs: number): number {
+function maxInWindow(atMs: readonly number[], lengthMs: number): number {
   return Math.max(
     0,
     ...atMs.map(
@@ -36,10 +40,10 @@
 
 test('a box keeps to its part over each four seconds, and uses it', () => {
   for (const part of [0.1, 0.4, 1, 1.2, 3, 8, 50]) {
-    for (const followsOther of [true, false]) {
-      const sent = sendAll(() => part, 40_000, followsOther);
+    for (const replacedAnotherBox of [true, false]) {
+      const sent = sendAll(() => part, 40_000, replacedAnotherBox);
       const label = `${part} a second`;
-      expect(mostInWindow(sent, 4000), label).to.be.at.most(Math.ceil(part * 4) + 1);
+      expect(maxInWindow(sent, 4000), label).to.be.at.most(Math.ceil(part * 4) + 1);
       expect(sent.length, label).to.be.within(part * 40 - part * 4 - 1, part * 40 + 4 * part + 1);
     }
   }
@@ -58,25 +62,25 @@
 });
 
 test('half a request a second is left to each box that sends', () => {
-  expect([0, 0.4, 1, 1.9, 8, 50].map((limit) => sendersOf(limit, 0))).to.deep.equal([
+  expect([0, 0.4, 1, 1.9, 8, 50].map((limit) => senderCount(limit, 0))).to.deep.equal([
     1, 1, 2, 3, 16, 100,
   ]);
-  expect(sendersOf(1, 40_000)).to.equal(4);
+  expect(senderCount(1, 40_000)).to.equal(4);
 });
 
 test('a limit of nothing leaves one send in ten seconds, to hear of its end', () => {
-  const word = { perSecond: 0, lastPerSecond: 0, sentAtMs: 0, receivedAtMs: 0 };
-  expect(limitNow(word, 1000)).to.equal(0.1);
+  const observation = { perSecond: 0, lastPerSecond: 0, sentAtMs: 0, receivedAtMs: 0 };
+  expect(currentLimit(observation, 1000)).to.equal(0.1);
 });
 
 test('after its end a limit rises until it is gone', () => {
-  const word = { perSecond: undefined, lastPerSecond: 2, sentAtMs: 0, receivedAtMs: 0 };
-  expect(limitNow(word, 0)).to.equal(2);
-  expect(limitNow(word, 1000)).to.equal(8);
-  expect(limitNow(word, 3000)).to.equal(undefined);
+  const observation = { perSecond: undefined, lastPerSecond: 2, sentAtMs: 0, receivedAtMs: 0 };
+  expect(currentLimit(observation, 0)).to.equal(2);
+  expect(currentLimit(observation, 1000)).to.equal(8);
+  expect(currentLimit(observation, 3000)).to.equal(undefined);
 });
 
-const word = fc
+const observation = fc
   .record({
     perSecond: fc.option(fc.constantFrom(0, 1, 8), { nil: undefined }),
     sentAtMs: fc.integer({ min: 0, max: 1000 }),
@@ -90,7 +94,7 @@
 
 test('of two words the same one stands, whichever is heard first', () => {
   fc.assert(
-    fc.property(word, word, (one, other) => {
+    fc.property(observation, observation, (one, other) => {
       fc.pre(one.perSecond !== other.perSecond);
       expect(isNewerLimit(one, other)).to.equal(!isNewerLimit(other, one));
     }),
--- a/packages/reedlug-gateway/src/policy/__tests__/unitWindow.test.ts
+++ b/packages/reedlug-gateway/src/policy/__tests__/unitWindow.test.ts
@@ -1,5 +1,11 @@
 import { expect } from 'chai';
-import { addUnits, createUnitWindow, roomIn, timeToRoom, unitsWithin } from '../unitWindow.js';
+import {
+  addUnits,
+  createUnitWindow,
+  spareUnits,
+  timeUntilSpareMs,
+  unitsWithin,
+} from '../unitWindow.js';
 
 test('units leave a window once it has passed, never before', () => {
   const window = createUnitWindow(1000);
@@ -14,7 +20,7 @@
   const window = createUnitWindow(1000);
   addUnits(window, 50, 5500);
   addUnits(window, 10, 5050);
-  const starts = window.slices.map(({ startMs }) => startMs);
+  const starts = window.buckets.map(({ startMs }) => startMs);
   expect(starts).to.deep.equal([5000, 5500]);
   expect(unitsWithin(window, 5060)).to.equal(60);
   expect(unitsWithin(window, 6200)).to.equal(50);
@@ -24,14 +30,14 @@
 test('a window takes its burst at one moment and the rest with time', () => {
   const window = createUnitWindow(1000);
   const bound = { burst: 60, perMs: 0.04, sinceMs: 0 };
-  expect(roomIn(window, bound, 0)).to.equal(60);
+  expect(spareUnits(window, bound, 0)).to.equal(60);
   addUnits(window, 60, 50);
-  expect(roomIn(window, bound, 50)).to.equal(0);
-  expect(roomIn(window, bound, 600)).to.equal(20);
+  expect(spareUnits(window, bound, 50)).to.equal(0);
+  expect(spareUnits(window, bound, 600)).to.equal(20);
   addUnits(window, 20, 600);
-  expect(roomIn(window, bound, 600)).to.equal(0);
+  expect(spareUnits(window, bound, 600)).to.equal(0);
   // The first 60 have left: of any span no more than its burst and its flow is taken.
-  expect(roomIn(window, bound, 1200)).to.equal(60);
+  expect(spareUnits(window, bound, 1200)).to.equal(60);
 });
 
 test('no span of a window holds more than its bound, whatever is asked', () => {
@@ -39,7 +45,7 @@
   const bound = { burst: 50, perMs: 0.05, sinceMs: 0 };
   const taken: { atMs: number; units: number }[] = [];
   for (let atMs = 0; atMs < 5000; atMs += 10) {
-    const units = Math.min(roomIn(window, bound, atMs), 1 + (atMs % 70));
+    const units = Math.min(spareUnits(window, bound, atMs), 1 + (atMs % 70));
     if (units <= 0) continue;
     addUnits(window, units, atMs);
     unitsWithin(window, atMs);
@@ -58,16 +64,16 @@
   const window = createUnitWindow(1000);
   const bound = { burst: 60, perMs: 0.04, sinceMs: 0 };
   addUnits(window, 60, 0);
-  expect(timeToRoom(window, [bound], { units: 0, nowMs: 50 })).to.equal(0);
-  expect(timeToRoom(window, [bound], { units: 20, nowMs: 100 })).to.equal(500);
-  expect(timeToRoom(window, [bound], { units: 60, nowMs: 100 })).to.equal(1000);
+  expect(timeUntilSpareMs(window, [bound], { units: 0, nowMs: 50 })).to.equal(0);
+  expect(timeUntilSpareMs(window, [bound], { units: 20, nowMs: 100 })).to.equal(500);
+  expect(timeUntilSpareMs(window, [bound], { units: 60, nowMs: 100 })).to.equal(1000);
 });
 
 test('a bound that holds from a time on leaves out what was added before', () => {
   const window = createUnitWindow(1000);
   const bound = { burst: 20, perMs: 0.01, sinceMs: 500 };
   addUnits(window, 90, 300);
-  expect(roomIn(window, bound, 600)).to.equal(20);
+  expect(spareUnits(window, bound, 600)).to.equal(20);
   addUnits(window, 15, 600);
-  expect(roomIn(window, bound, 650)).to.equal(5);
+  expect(spareUnits(window, bound, 650)).to.equal(5);
 });
--- a/packages/reedlug-gateway/src/policy/chooseServer.ts
+++ b/packages/reedlug-gateway/src/policy/chooseServer.ts
@@ -18,24 +18,24 @@
 import { highestRanked } from './highestRanked.js';
 import { addLoads, tokensAhead } from './serverLoad.js';
 import { expectedWaitMs, type EngineModel, type SendConditions } from './engineModel.js';
-import { failureScore, slownessNow, SUSPECT_SCORE } from './serverHealth.js';
-import { silenceChargeMs } from './serverSilence.js';
+import { failureScore, currentSlowness, SUSPECT_SCORE } from './serverHealth.js';
+import { silenceCostMs } from './serverSilence.js';
 
 /** Charge for a server in another zone, in ms: a round trip, and bytes between zones are paid for. */
-const OTHER_ZONE_MS = 4;
+const OTHER_ZONE_COST_MS = 4;
 /** Charge for each recent failure, in ms: a failed send costs about a request's time. */
-const FAILURE_MS = 60;
+const FAILURE_COST_MS = 60;
 /** Charge for a server whose registry entry has lapsed, in ms: another is better while there is one. */
-const LAPSED_MS = 300;
+const EXPIRING_COST_MS = 300;
 /** What an answer of a server is worth whose limit may have ended, in ms: with it all boxes use the server again. */
-const ANSWER_MS = 200;
+const LIMIT_PROBE_BONUS_MS = 200;
 /** Time for which a prompt part is taken to stay in an engine's cache, in ms. */
-const PART_KEPT_MS = 30_000;
+const CACHE_RETENTION_MS = 30_000;
 
 /** Servers up to which all are compared: a choice among twelve takes some tens of microseconds. */
-const COMPARED_WHOLE = 12;
+const MAX_COMPARED_SERVERS = 12;
 /** Servers drawn for a request among many, besides its home: more bring little over two, and spread less. */
-const DRAWN_SERVERS = 4;
+const SAMPLED_SERVERS = 4;
 
 /** A chosen server with the figures that decided it. */
 export interface Choice {
@@ -57,26 +57,35 @@
     facts: RequestFacts;
     /** 0 to 9; prompts of less urgent requests are read after it. */
     urgency: number;
-    avoid: ReadonlySet<string>;
+    excludedServers: ReadonlySet<string>;
     /** True once a send of the request found no connection. */
     staysInZone?: boolean;
     /** Servers that the request may go to by their version; all when left out. */
-    admits?: (view: ServerView) => boolean;
+    isAllowed?: (view: ServerView) => boolean;
     /** Set for a request that may crash its server: the hash by which all boxes send it to one place. */
     trialHash?: number | undefined;
     nowMs: number;
   },
 ): Choice | undefined {
-  const { service, facts, urgency, avoid, staysInZone = false, admits, trialHash, nowMs } = params;
-  const open: ServerView[] = [];
+  const {
+    service,
+    facts,
+    urgency,
+    excludedServers,
+    staysInZone = false,
+    isAllowed,
+    trialHash,
+    nowMs,
+  } = params;
+  const eligible: ServerView[] = [];
   for (const view of state.servers.values()) {
     const { entry } = view;
-    if (entry.service !== service || avoid.has(entry.id)) continue;
+    if (entry.service !== service || excludedServers.has(entry.id)) continue;
     if (!isEligible(state, view, nowMs)) continue;
-    if (admits === undefined || admits(view)) open.push(view);
+    if (isAllowed === undefined || isAllowed(view)) eligible.push(view);
   }
-  const sound = open.filter((view) => failureScore(view, nowMs) < SUSPECT_SCORE);
-  const candidates = reachable(state, sound.length > 0 ? sound : open, staysInZone);
+  const healthy = eligible.filter((view) => failureScore(view, nowMs) < SUSPECT_SCORE);
+  const candidates = filterReachable(state, healthy.length > 0 ? healthy : eligible, staysInZone);
   // Most of the time no server names a limit, and there may be thousands.
   const isAnyLimited = state.statements.size > 0;
   const limited = new Set(
@@ -88,14 +97,14 @@
   let best: Choice | undefined;
   const considered =
     trialHash === undefined
-      ? compared(candidates, {
+      ? serversToCompare(candidates, {
           facts,
           preferredId,
-          answerWanted: [...limited].find((view) => isAnswerWanted(view, nowMs)),
+          probeTarget: [...limited].find((view) => isAnswerWanted(view, nowMs)),
         })
       : highestRanked(candidates, trialHash, 1);
   for (const view of considered) {
-    const choice = weigh(state, {
+    const choice = evaluateServer(state, {
       view,
       load: totalLoad(view, peers),
       model,
@@ -115,18 +124,18 @@
  * that is cut off has a few servers in many of its own, so that three tries among all of
  * them would refuse most of its callers.
  */
-function reachable(
+function filterReachable(
   state: GatewayState,
   candidates: readonly ServerView[],
   staysInZone: boolean,
 ): readonly ServerView[] {
   const { silentZones, settings } = state;
   if (!staysInZone && silentZones.size === 0) return candidates;
-  const likely = candidates.filter(
+  const likelyReachable = candidates.filter(
     ({ entry }) =>
       entry.zone === settings.box.zone || !(staysInZone || silentZones.has(entry.zone)),
   );
-  return likely.length > 0 ? likely : candidates;
+  return likelyReachable.length > 0 ? likelyReachable : candidates;
 }
 
 /**
@@ -134,23 +143,23 @@
  * some tenths of a second old: if each compared all of many servers, all would
  * send to the same one until the next news. So each request has a few of its own.
  */
-function compared(
+function serversToCompare(
   candidates: readonly ServerView[],
   params: {
     facts: RequestFacts;
     preferredId: string | undefined;
-    answerWanted: ServerView | undefined;
+    probeTarget: ServerView | undefined;
   },
 ): readonly ServerView[] {
-  if (candidates.length <= COMPARED_WHOLE) return candidates;
-  const { facts, preferredId, answerWanted } = params;
+  if (candidates.length <= MAX_COMPARED_SERVERS) return candidates;
+  const { facts, preferredId, probeTarget } = params;
   const keyHash = hashString(facts.requestId);
-  const drawn = highestRanked(candidates, keyHash, DRAWN_SERVERS);
+  const sampled = highestRanked(candidates, keyHash, SAMPLED_SERVERS);
   const preferred = candidates.find(({ entry }) => entry.id === preferredId);
-  return [...new Set([preferred, answerWanted, ...drawn])].filter((view) => view !== undefined);
+  return [...new Set([preferred, probeTarget, ...sampled])].filter((view) => view !== undefined);
 }
 
-function weigh(
+function evaluateServer(
   state: GatewayState,
   params: {
     view: ServerView;
@@ -168,12 +177,12 @@
   const { running, unread = 0 } = load;
   const conditions = { tokens, running, unread, slots: view.entry.slots };
   const expectedMs = expectedWaitMs(model, conditions);
-  const waitMs = expectedMs * slownessNow(view, nowMs) + silenceChargeMs(view, expectedMs, nowMs);
-  const zoneMs = view.entry.zone === state.settings.box.zone ? 0 : OTHER_ZONE_MS;
-  const failureMs = failureScore(view, nowMs) * FAILURE_MS;
-  const lapsedMs = view.expiresAtMs === undefined ? 0 : LAPSED_MS;
-  const answerMs = isAnswerWanted(view, nowMs) ? ANSWER_MS : 0;
-  const costMs = waitMs + zoneMs + failureMs + lapsedMs - answerMs;
+  const waitMs = expectedMs * currentSlowness(view, nowMs) + silenceCostMs(view, expectedMs, nowMs);
+  const zoneMs = view.entry.zone === state.settings.box.zone ? 0 : OTHER_ZONE_COST_MS;
+  const failureMs = failureScore(view, nowMs) * FAILURE_COST_MS;
+  const expiringMs = view.expiresAtMs === undefined ? 0 : EXPIRING_COST_MS;
+  const probeBonusMs = isAnswerWanted(view, nowMs) ? LIMIT_PROBE_BONUS_MS : 0;
+  const costMs = waitMs + zoneMs + failureMs + expiringMs - probeBonusMs;
   return { view, prefillTokens, conditions, expectedMs, costMs };
 }
 
@@ -194,14 +203,15 @@
   nowMs: number,
 ): number {
   const total = facts.promptTokens ?? 0;
-  let kept = 0;
+  let cached = 0;
   for (const part of facts.promptParts.slice(0, -1)) {
     const usedAtMs = view.cachedParts.get(part.id);
-    const isKept = isPreferred || (usedAtMs !== undefined && nowMs - usedAtMs < PART_KEPT_MS);
-    if (!isKept) break;
-    kept += part.tokens;
+    const isCached =
+      isPreferred || (usedAtMs !== undefined && nowMs - usedAtMs < CACHE_RETENTION_MS);
+    if (!isCached) break;
+    cached += part.tokens;
   }
-  return Math.max(0, total - kept);
+  return Math.max(0, total - cached);
 }
 
 /**
@@ -213,20 +223,21 @@
   limited: ReadonlySet<ServerView>,
   facts: RequestFacts,
 ): string | undefined {
-  const subject = facts.promptParts.at(-2);
-  if (subject === undefined) return undefined;
-  const free = limited.size === 0 ? candidates : candidates.filter((view) => !limited.has(view));
-  return highestRanked(free, hashString(subject.id), 1)[0]?.entry.id;
+  const sharedPart = facts.promptParts.at(-2);
+  if (sharedPart === undefined) return undefined;
+  const unlimited =
+    limited.size === 0 ? candidates : candidates.filter((view) => !limited.has(view));
+  return highestRanked(unlimited, hashString(sharedPart.id), 1)[0]?.entry.id;
 }
 
 /** Notes that a server has read a request's prompt. */
-export function notePartsRead(view: ServerView, facts: RequestFacts, nowMs: number): void {
+export function recordPartsRead(view: ServerView, facts: RequestFacts, nowMs: number): void {
   for (const part of facts.promptParts) {
     view.cachedParts.delete(part.id);
     view.cachedParts.set(part.id, nowMs);
   }
   for (const [id, usedAtMs] of view.cachedParts) {
-    if (nowMs - usedAtMs < PART_KEPT_MS) return;
+    if (nowMs - usedAtMs < CACHE_RETENTION_MS) return;
     view.cachedParts.delete(id);
   }
 }
--- a/packages/reedlug-gateway/src/policy/decideSend.ts
+++ b/packages/reedlug-gateway/src/policy/decideSend.ts
@@ -7,17 +7,17 @@
  */
 
 /** Share of an engine's places up to which nothing is refused: there, what waits does so for a moment. */
-const FREE_PLACES_SHARE = 0.5;
+const FREE_SLOTS_SHARE = 0.5;
 /** Expected wait from which a request is refused, as a multiple of its route's target: later, its answer is late for sure. */
 const LATE_FACTOR = 1;
 /** The same of one that came back, as a share of the time that it has left: it goes before others. */
-const RETURNED_SHARE = 0.5;
+const RETRY_TIME_SHARE = 0.5;
 /** Shortest and longest time to come back that is told, in ms. */
-const MIN_RETRY_MS = 500;
-const MAX_RETRY_MS = 5000;
+const MIN_RETRY_AFTER_MS = 500;
+const MAX_RETRY_AFTER_MS = 5000;
 
 /** What decides. */
-export interface SendFacts {
+export interface SendContext {
   /** Expected time to the first event at the best engine. */
   expectedMs: number;
   /** Requests in progress there, and its places. */
@@ -34,11 +34,14 @@
 export type SendDecision = { kind: 'send' } | { kind: 'refuse'; retryAfterMs: number };
 
 /** Decides. */
-export function decideSend(facts: SendFacts): SendDecision {
-  const { expectedMs, running, slots, targetMs, leftMs, hasReturned } = facts;
-  if (running < slots * FREE_PLACES_SHARE) return { kind: 'send' };
-  const limitMs = hasReturned ? leftMs * RETURNED_SHARE : targetMs * LATE_FACTOR;
+export function decideSend(context: SendContext): SendDecision {
+  const { expectedMs, running, slots, targetMs, leftMs, hasReturned } = context;
+  if (running < slots * FREE_SLOTS_SHARE) return { kind: 'send' };
+  const limitMs = hasReturned ? leftMs * RETRY_TIME_SHARE : targetMs * LATE_FACTOR;
   if (!(expectedMs > limitMs)) return { kind: 'send' };
-  const retryAfterMs = Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, expectedMs - targetMs));
+  const retryAfterMs = Math.min(
+    MAX_RETRY_AFTER_MS,
+    Math.max(MIN_RETRY_AFTER_MS, expectedMs - targetMs),
+  );
   return { kind: 'refuse', retryAfterMs };
 }
--- a/packages/reedlug-gateway/src/policy/engineModel.ts
+++ b/packages/reedlug-gateway/src/policy/engineModel.ts
@@ -7,12 +7,12 @@
  * so that a box that has just started or has few callers knows what all saw.
  * The fit is a least-squares line with a few supposed sends as its start.
  */
-import { shareLeft } from './halving.js';
+import { decayFactor } from './decayFactor.js';
 
 /** Time in which a sum halves, in ms: some hundred sends at a box with a few requests a second, and a service that changes its speed is known anew within a minute. */
 const HALF_LIFE_MS = 15_000;
 /** Longest wait taken from one send, as a multiple of what was expected: one slow, cold or silent server must not set the figures of all. */
-const MAX_SURPRISE = 4;
+const MAX_WAIT_RATIO = 4;
 /** Shortest expected wait that the multiple is taken of, in ms: below it, network and timers decide. */
 const MIN_EXPECTED_MS = 20;
 
@@ -22,19 +22,19 @@
  * turn, so waits no longer grow with the tokens. Learning from those takes engines
  * under overload for fast ones, and orders others away.
  */
-const MAX_UNREAD = 2;
+const MAX_UNREAD_PROMPTS = 2;
 
 /** Start values, until sends have shown others; they are no machine's figures, only of a usual order. */
-const START = { baseMs: 20, tokensPerMs: 60, runningMs: 0.5, stayMs: 500 } as const;
+const INITIAL_MODEL = { baseMs: 20, tokensPerMs: 60, runningMs: 0.5, stayMs: 500 } as const;
 /** Sends that the start values weigh as much as. */
-const START_SENDS = 5;
+const PRIOR_SENDS = 5;
 /** Tokens and running requests of a supposed send. */
-const START_TOKENS = 2000;
-const START_RUNNING = 8;
+const PRIOR_TOKENS = 2000;
+const PRIOR_RUNNING = 8;
 /** Fastest reading that is believed, in tokens a ms: sends that are all short say nothing of reading. */
 const MAX_TOKENS_PER_MS = 1000;
 /** Rounds of the fit; the coefficients differ by under a hundredth after them. */
-const FIT_ROUNDS = 60;
+const FIT_ITERATIONS = 60;
 
 /** Faded sums over the sends of a service; those of several boxes add up. */
 export interface SendSums {
@@ -55,7 +55,7 @@
 /** The sums of one box, and when they last faded. */
 export interface OwnSends {
   sums: SendSums;
-  fadedAtMs: number;
+  decayedAtMs: number;
 }
 
 /** A server's state at a send, as the box saw it. */
@@ -111,23 +111,23 @@
 }
 
 /** Fades a box's sums to a time. */
-export function fadeSends(own: OwnSends, nowMs: number): void {
-  const share = shareLeft(nowMs - own.fadedAtMs, HALF_LIFE_MS);
-  own.fadedAtMs = nowMs;
-  for (const key of Object.keys(own.sums) as (keyof SendSums)[]) own.sums[key] *= share;
+export function decaySends(own: OwnSends, nowMs: number): void {
+  const factor = decayFactor(nowMs - own.decayedAtMs, HALF_LIFE_MS);
+  own.decayedAtMs = nowMs;
+  for (const key of Object.keys(own.sums) as (keyof SendSums)[]) own.sums[key] *= factor;
 }
 
 /** Takes the time to the first event of a send. Sends that found no place free, or many prompts before theirs, say little of the server and are left out. */
-export function noteWait(
+export function recordWait(
   own: OwnSends,
   sample: { conditions: SendConditions; waitMs: number; expectedMs: number; nowMs: number },
 ): void {
   const { conditions, expectedMs, nowMs } = sample;
   const { tokens, running, unread, slots } = conditions;
-  if (tokens > 0 && unread > MAX_UNREAD) return;
+  if (tokens > 0 && unread > MAX_UNREAD_PROMPTS) return;
   if (running >= slots || !Number.isFinite(sample.waitMs) || sample.waitMs < 0) return;
-  const waitMs = Math.min(sample.waitMs, MAX_SURPRISE * Math.max(MIN_EXPECTED_MS, expectedMs));
-  fadeSends(own, nowMs);
+  const waitMs = Math.min(sample.waitMs, MAX_WAIT_RATIO * Math.max(MIN_EXPECTED_MS, expectedMs));
+  decaySends(own, nowMs);
   const { sums } = own;
   sums.sends += 1;
   sums.tokens += tokens;
@@ -141,9 +141,9 @@
 }
 
 /** Takes how long a send that ended well kept its place. */
-export function noteStay(own: OwnSends, stayMs: number, nowMs: number): void {
+export function recordStay(own: OwnSends, stayMs: number, nowMs: number): void {
   if (!Number.isFinite(stayMs) || stayMs < 0) return;
-  fadeSends(own, nowMs);
+  decaySends(own, nowMs);
   own.sums.ended += 1;
   own.sums.stayMs += stayMs;
 }
@@ -154,40 +154,40 @@
  */
 export function fitEngineModel(sums: SendSums): EngineModel {
   const weight = {
-    base: START_SENDS,
-    tokens: START_SENDS * START_TOKENS ** 2,
-    running: START_SENDS * START_RUNNING ** 2,
+    base: PRIOR_SENDS,
+    tokens: PRIOR_SENDS * PRIOR_TOKENS ** 2,
+    running: PRIOR_SENDS * PRIOR_RUNNING ** 2,
   };
   const start = {
-    baseMs: START.baseMs,
-    msPerToken: 1 / START.tokensPerMs,
-    runningMs: START.runningMs,
+    baseMs: INITIAL_MODEL.baseMs,
+    msPerToken: 1 / INITIAL_MODEL.tokensPerMs,
+    runningMs: INITIAL_MODEL.runningMs,
   };
   let { baseMs, msPerToken, runningMs }: Record<keyof typeof start, number> = start;
-  for (let round = 0; round < FIT_ROUNDS; round += 1) {
+  for (let round = 0; round < FIT_ITERATIONS; round += 1) {
     baseMs = coefficient({
       rest: sums.waitMs - msPerToken * sums.tokens - runningMs * sums.running,
       squares: sums.sends,
       weight: weight.base,
       start: start.baseMs,
-      least: 0,
+      minimum: 0,
     });
     msPerToken = coefficient({
       rest: sums.tokensWait - baseMs * sums.tokens - runningMs * sums.tokensRunning,
       squares: sums.tokensSquared,
       weight: weight.tokens,
       start: start.msPerToken,
-      least: 1 / MAX_TOKENS_PER_MS,
+      minimum: 1 / MAX_TOKENS_PER_MS,
     });
     runningMs = coefficient({
       rest: sums.runningWait - baseMs * sums.running - msPerToken * sums.tokensRunning,
       squares: sums.runningSquared,
       weight: weight.running,
       start: start.runningMs,
-      least: 0,
+      minimum: 0,
     });
   }
-  const stayMs = (sums.stayMs + START_SENDS * START.stayMs) / (sums.ended + START_SENDS);
+  const stayMs = (sums.stayMs + PRIOR_SENDS * INITIAL_MODEL.stayMs) / (sums.ended + PRIOR_SENDS);
   return { baseMs, tokensPerMs: 1 / msPerToken, runningMs, stayMs, sends: sums.sends };
 }
 
@@ -197,10 +197,10 @@
   squares: number;
   weight: number;
   start: number;
-  least: number;
+  minimum: number;
 }): number {
-  const { rest, squares, weight, start, least } = sums;
-  return Math.max(least, (rest + weight * start) / (squares + weight));
+  const { rest, squares, weight, start, minimum } = sums;
+  return Math.max(minimum, (rest + weight * start) / (squares + weight));
 }
 
 /** The expected time to the first event, with the wait for a place where all are taken. */
@@ -214,15 +214,15 @@
     model.baseMs +
     readMs +
     model.runningMs * Math.min(running, slots) +
-    placeWaitMs(model, conditions)
+    slotWaitMs(model, conditions)
   );
 }
 
 /** The expected wait for a place: nothing while one is free. */
-export function placeWaitMs(
+export function slotWaitMs(
   model: EngineModel,
   { running, slots }: Pick<SendConditions, 'running' | 'slots'>,
 ): number {
-  const usable = Math.max(1, slots);
-  return running < usable ? 0 : ((running - usable + 1) * model.stayMs) / usable;
+  const usableSlots = Math.max(1, slots);
+  return running < usableSlots ? 0 : ((running - usableSlots + 1) * model.stayMs) / usableSlots;
 }
--- a/packages/reedlug-gateway/src/policy/engineTarget.ts
+++ b/packages/reedlug-gateway/src/policy/engineTarget.ts
@@ -2,21 +2,21 @@
 import type { EngineModel } from './engineModel.js';
 
 /** Shares of what engines can do that are used on average. */
-interface Use {
+interface Utilization {
   /** Of their reading: above it, each step carries a piece of a prompt and streams miss their deadlines. */
-  reading: number;
+  prefill: number;
   /** Of their places: above it, clumps of requests wait for one. */
-  places: number;
+  slots: number;
 }
 /** In usual times, where no zone can be lost: a choice. */
-const USUAL_USE: Use = { reading: 0.38, places: 0.5 };
+const USUAL_UTILIZATION: Utilization = { prefill: 0.38, slots: 0.5 };
 /**
  * Borne after half of the zones are lost, before on-demand ones are paid for: a choice;
  * above it, waits grow several times. On-demand engines from 0.7 of the reading on cost
  * 6 % fewer engine seconds on a played quiet day, but its worst seconds got 0.83 of
  * their worth in place of 0.91.
  */
-const STRAINED_USE: Use = { reading: 0.55, places: 0.7 };
+const STRAINED_UTILIZATION: Utilization = { prefill: 0.55, slots: 0.7 };
 /** Engines that are there whatever the load: one loss must leave others. */
 const MIN_ENGINES = 3;
 /** Engines of any kind below which on-demand ones are ordered, whatever the load. */
@@ -56,39 +56,39 @@
   hasReclaimable: boolean;
 }): EngineNeed {
   const { load, model, slots, zones, hasReclaimable } = params;
-  const atUse = (use: Use): number => {
-    const byReading = load.tokensPerSecond / (model.tokensPerMs * 1000 * use.reading);
-    const byPlaces = load.openRequests / (Math.max(1, slots) * use.places);
-    return Math.ceil(Math.max(byReading, byPlaces));
+  const enginesAt = (utilization: Utilization): number => {
+    const byPrefill = load.tokensPerSecond / (model.tokensPerMs * 1000 * utilization.prefill);
+    const bySlots = load.openRequests / (Math.max(1, slots) * utilization.slots);
+    return Math.ceil(Math.max(byPrefill, bySlots));
   };
-  const least = Math.max(MIN_READY, atUse(STRAINED_USE));
-  const reserved = hasReclaimable ? withLostZones(least, zones) : least;
-  const usual = Math.max(MIN_ENGINES, atUse(USUAL_USE), reserved);
+  const least = Math.max(MIN_READY, enginesAt(STRAINED_UTILIZATION));
+  const reserved = hasReclaimable ? withZoneLossReserve(least, zones) : least;
+  const usual = Math.max(MIN_ENGINES, enginesAt(USUAL_UTILIZATION), reserved);
   return { usual, least };
 }
 
 /** Engines spread evenly over zones of which so many are left after half of the zones, rounded down, are lost. */
-function withLostZones(left: number, zones: number): number {
+function withZoneLossReserve(remaining: number, zones: number): number {
   const lost = Math.floor(zones / 2);
-  let engines = left;
-  while (engines - lost * Math.ceil(engines / Math.max(1, zones)) < left) engines += 1;
+  let engines = remaining;
+  while (engines - lost * Math.ceil(engines / Math.max(1, zones)) < remaining) engines += 1;
   return engines;
 }
 
 /** Reclaimable engines ordered in each zone at a first start at least, when no load is known; they cost a fraction, and more come one boot after the load is known. */
-const FIRST_RECLAIMABLE_PER_ZONE = 3;
+const INITIAL_RECLAIMABLE_PER_ZONE = 3;
 
 /**
  * Reclaimable engines at the first start of a service, over all zones, while nobody
  * has asked anything yet. Three a zone alone left 195 boxes with 15 engines where
  * their callers needed 35: the first six seconds earned 0.52 to 0.77 of what they could.
  */
-export function firstReclaimable(zones: number, expected: number): number {
-  return Math.max(expected, zones * FIRST_RECLAIMABLE_PER_ZONE);
+export function initialReclaimable(zones: number, expected: number): number {
+  return Math.max(expected, zones * INITIAL_RECLAIMABLE_PER_ZONE);
 }
 
 /** What is wanted of each zone and kind. */
-export interface ZoneWanted {
+export interface ZoneTarget {
   zone: string;
   reclaimable: number;
   onDemand: number;
@@ -106,7 +106,7 @@
   reclaimable: number;
   onDemand: number;
   /** True while no further reclaimable engines are to be had there. */
-  isDry: boolean;
+  isOutOfCapacity: boolean;
 }
 
 /**
@@ -123,23 +123,23 @@
   hasReclaimable: boolean;
   /** True while zones are being taken back: then the loss of one more must leave enough. */
   keepReserve: boolean;
-}): ZoneWanted[] {
+}): ZoneTarget[] {
   const { need, maxPerZone, hasReclaimable, keepReserve } = params;
   const zones = [...params.zones].sort((a, b) => a.price - b.price);
   const onDemand = hasReclaimable
     ? onDemandFor({ need, zones, maxPerZone, keepReserve })
-    : dealOnto(
+    : distribute(
         need.usual,
         [],
         zones.map(() => maxPerZone),
       );
   // A dry zone keeps what it has and what comes: what is wished for there would only take the room of others.
-  const caps = zones.map(({ isDry, granted }, index) => {
+  const caps = zones.map(({ isOutOfCapacity, granted }, index) => {
     const free = maxPerZone - (onDemand[index] ?? 0);
-    return isDry ? Math.min(free, granted) : free;
+    return isOutOfCapacity ? Math.min(free, granted) : free;
   });
   const ordered = zones.map((zone) => zone.reclaimable);
-  const reclaimable = hasReclaimable ? dealOnto(need.usual, ordered, caps) : [];
+  const reclaimable = hasReclaimable ? distribute(need.usual, ordered, caps) : [];
   return zones.map(({ zone }, index) => ({
     zone,
     reclaimable: reclaimable[index] ?? 0,
@@ -162,16 +162,16 @@
   const atRisk = keepReserve ? Math.max(0, ...readyByZone) : 0;
   const ready = total(readyByZone) - atRisk;
   const ordered = zones.map(({ onDemand }) => onDemand);
-  const comingByZone = zones.map((zone) => {
-    const { isDry, reclaimable, readyReclaimable, granted } = zone;
-    return Math.max(0, (isDry ? granted : reclaimable) - readyReclaimable);
+  const pendingByZone = zones.map((zone) => {
+    const { isOutOfCapacity, reclaimable, readyReclaimable, granted } = zone;
+    return Math.max(0, (isOutOfCapacity ? granted : reclaimable) - readyReclaimable);
   });
-  const beside = readyByZone.map((count, index) => count + (comingByZone[index] ?? 0));
+  const otherEngines = readyByZone.map((count, index) => count + (pendingByZone[index] ?? 0));
   const missing = need.least - ready;
-  const kept = dealOnto(Math.min(missing, total(ordered)), ordered, ordered, beside);
-  const wanted = Math.max(total(kept), missing - total(comingByZone));
-  const room = readyByZone.map((count) => maxPerZone - count);
-  return dealOnto(wanted, kept, room, beside);
+  const kept = distribute(Math.min(missing, total(ordered)), ordered, ordered, otherEngines);
+  const wanted = Math.max(total(kept), missing - total(pendingByZone));
+  const spare = readyByZone.map((count) => maxPerZone - count);
+  return distribute(wanted, kept, spare, otherEngines);
 }
 
 function total(counts: readonly number[]): number {
@@ -182,30 +182,30 @@
  * Changes counts so that they sum to a number, within caps: adds to the least, takes
  * from the greatest. What is `beside` counts in that, but not in the sum.
  */
-function dealOnto(
+function distribute(
   count: number,
   from: readonly number[],
   caps: readonly number[],
-  beside: readonly number[] = [],
+  others: readonly number[] = [],
 ): number[] {
-  const withBeside = (counts: readonly number[]): number[] =>
-    counts.map((held, index) => held + (beside[index] ?? 0));
-  const dealt = caps.map((cap, index) => Math.max(0, Math.min(cap, from[index] ?? 0)));
-  while (total(dealt) > Math.max(0, count)) {
+  const withOthers = (counts: readonly number[]): number[] =>
+    counts.map((held, index) => held + (others[index] ?? 0));
+  const distributed = caps.map((cap, index) => Math.max(0, Math.min(cap, from[index] ?? 0)));
+  while (total(distributed) > Math.max(0, count)) {
     const greatest = indexOfBest(
-      withBeside(dealt),
+      withOthers(distributed),
       (held, best) => held >= best,
-      (index) => (dealt[index] ?? 0) > 0,
+      (index) => (distributed[index] ?? 0) > 0,
     );
-    dealt[greatest] = (dealt[greatest] ?? 0) - 1;
+    distributed[greatest] = (distributed[greatest] ?? 0) - 1;
   }
-  while (total(dealt) < count) {
-    const hasRoom = (index: number): boolean => (dealt[index] ?? 0) < (caps[index] ?? 0);
-    const least = indexOfBest(withBeside(dealt), (held, best) => held < best, hasRoom);
+  while (total(distributed) < count) {
+    const hasSpare = (index: number): boolean => (distributed[index] ?? 0) < (caps[index] ?? 0);
+    const least = indexOfBest(withOthers(distributed), (held, best) => held < best, hasSpare);
     if (least < 0) break;
-    dealt[least] = (dealt[least] ?? 0) + 1;
+    distributed[least] = (distributed[least] ?? 0) + 1;
   }
-  return dealt;
+  return distributed;
 }
 
 function indexOfBest(
--- a/packages/reedlug-gateway/src/policy/limitPart.ts
+++ b/packages/reedlug-gateway/src/policy/limitShareBound.ts
@@ -14,14 +14,18 @@
  * more be sent at one moment. With the half, callers that use 0.55 of a limit go on at once
  * after the loss of all boxes, and an idle workspace may send half of its window at a moment.
  */
-const FLOW_SHARE = 0.5;
+const SUSTAINED_SHARE = 0.5;
 
 /** A part of so many units of the window; its burst and its flow over the window make the whole. */
-export function limitPart(params: {
+export function limitShareBound(params: {
   units: number;
   lengthMs: number;
   sinceMs: number;
 }): WindowBound {
   const { units, lengthMs, sinceMs } = params;
-  return { burst: units * (1 - FLOW_SHARE), perMs: (units * FLOW_SHARE) / lengthMs, sinceMs };
+  return {
+    burst: units * (1 - SUSTAINED_SHARE),
+    perMs: (units * SUSTAINED_SHARE) / lengthMs,
+    sinceMs,
+  };
 }
--- a/packages/reedlug-gateway/src/policy/peerGroups.ts
+++ b/packages/reedlug-gateway/src/policy/peerGroups.ts
@@ -13,7 +13,7 @@
 /** Boxes up to which each tells all others: 75 datagrams a second at five news a second. */
 const MAX_DIRECT_BOXES = 16;
 /** Boxes of a group: a hub then hears about 160 datagrams a second from it, some hundredths of a core. */
-const GROUP_BOXES = 32;
+const GROUP_SIZE = 32;
 
 /** Whether a fleet of so many boxes needs hubs. */
 export function needsHubs(boxes: number): boolean {
@@ -52,6 +52,6 @@
 
 /** A box's group; `zoneBoxes` counts the boxes known in its zone. */
 function groupOf(box: PeerAddress, hash: number, zoneBoxes: number): string {
-  const groups = Math.max(1, 2 ** Math.ceil(Math.log2(zoneBoxes / GROUP_BOXES)));
+  const groups = Math.max(1, 2 ** Math.ceil(Math.log2(zoneBoxes / GROUP_SIZE)));
   return `${box.zone ?? ''}/${groups}/${hash % groups}`;
 }
--- a/packages/reedlug-gateway/src/policy/rolloutStep.ts
+++ b/packages/reedlug-gateway/src/policy/rolloutStep.ts
@@ -12,23 +12,23 @@
 import { Verdict } from './rolloutVerdict.js';
 
 /** Parts of the bound that the sample and the larger sample take, as factors of the allowed share. */
-const SAMPLE_OF_BOUND = 0.4;
-const WIDENED_OF_BOUND = 2;
+const SAMPLE_BOUND_FACTOR = 0.4;
+const WIDENED_BOUND_FACTOR = 2;
 /** When the larger sample begins, as a share of the duration that is left over by then. */
-const WIDENED_FOR_SHARE = 1 / 6;
+const WIDENED_DURATION_SHARE = 1 / 6;
 /** From when everything goes to the new version until the end is written, in ms: news reach all boxes in 0.4 s, most streams end, and a version that is bad under load has shown it. */
-const SHIFTED_FOR_MS = 1200;
+const SHIFTED_DURATION_MS = 1200;
 /** Time kept before the deadline for the write of the end, in ms: the order was seen up to 0.2 s late, and one more try. */
 const WRITE_MARGIN_MS = 500;
 /** Servers of the new version, as a share of those of the old one, without which it is not completed: fewer would not carry the load. */
-const LEAST_SERVERS_SHARE = 0.3;
+const MIN_SERVERS_SHARE = 0.3;
 /** How many times its usual part the sample takes at most, where servers of the new version came late. */
-const MOST_CATCH_UP = 2;
+const MAX_CATCH_UP_FACTOR = 2;
 /** Highest share of a route's requests that a sample takes. */
-const MOST_ROUTE_SHARE = 0.3;
+const MAX_ROUTE_SHARE = 0.3;
 
 /** What decides the next phase. */
-export interface RolloutFacts {
+export interface RolloutProgress {
   phase: RolloutPhase;
   /** Time since the order, and the time that it gives, in ms. */
   ageMs: number;
@@ -46,8 +46,8 @@
 }
 
 /** The phase that follows; the same one while nothing changes. */
-export function nextPhase(facts: RolloutFacts): RolloutPhase {
-  const { phase, verdict } = facts;
+export function nextPhase(progress: RolloutProgress): RolloutPhase {
+  const { phase, verdict } = progress;
   switch (phase) {
     case RolloutPhase.held:
     case RolloutPhase.completed:
@@ -57,24 +57,25 @@
     case RolloutPhase.widened:
     case RolloutPhase.shifted:
       if (verdict === Verdict.bad) return RolloutPhase.rolledBack;
-      return phase === RolloutPhase.shifted ? afterShift(facts) : beforeShift(facts);
+      return phase === RolloutPhase.shifted ? afterShift(progress) : beforeShift(progress);
   }
 }
 
-function afterShift({ ageMs, durationMs }: RolloutFacts): RolloutPhase {
+function afterShift({ ageMs, durationMs }: RolloutProgress): RolloutPhase {
   return ageMs >= durationMs - WRITE_MARGIN_MS ? RolloutPhase.completed : RolloutPhase.shifted;
 }
 
-function beforeShift(facts: RolloutFacts): RolloutPhase {
-  const { phase, ageMs, durationMs, verdict, newServers, oldServers, oldAnswers } = facts;
+function beforeShift(progress: RolloutProgress): RolloutPhase {
+  const { phase, ageMs, durationMs, verdict, newServers, oldServers, oldAnswers } = progress;
   // Where no other version serves, nothing has to move.
   if (oldServers === 0 && oldAnswers === 0 && newServers > 0) return RolloutPhase.completed;
-  const isEnough = newServers > 0 && newServers >= oldServers * LEAST_SERVERS_SHARE;
-  const shiftAtMs = durationMs - WRITE_MARGIN_MS - SHIFTED_FOR_MS;
-  if (ageMs >= shiftAtMs && verdict === Verdict.good && isEnough) return RolloutPhase.shifted;
+  const hasEnoughServers = newServers > 0 && newServers >= oldServers * MIN_SERVERS_SHARE;
+  const shiftAtMs = durationMs - WRITE_MARGIN_MS - SHIFTED_DURATION_MS;
+  if (ageMs >= shiftAtMs && verdict === Verdict.good && hasEnoughServers)
+    return RolloutPhase.shifted;
   if (ageMs >= durationMs - WRITE_MARGIN_MS) return RolloutPhase.rolledBack;
-  const widenAtMs = shiftAtMs - durationMs * WIDENED_FOR_SHARE;
-  const mayWiden = ageMs >= widenAtMs && verdict === Verdict.good && isEnough;
+  const widenAtMs = shiftAtMs - durationMs * WIDENED_DURATION_SHARE;
+  const mayWiden = ageMs >= widenAtMs && verdict === Verdict.good && hasEnoughServers;
   return mayWiden ? RolloutPhase.widened : phase;
 }
 
@@ -85,9 +86,9 @@
     case RolloutPhase.rolledBack:
       return 0;
     case RolloutPhase.sampling:
-      return allowedShare * SAMPLE_OF_BOUND;
+      return allowedShare * SAMPLE_BOUND_FACTOR;
     case RolloutPhase.widened:
-      return Math.min(1, allowedShare * WIDENED_OF_BOUND);
+      return Math.min(1, allowedShare * WIDENED_BOUND_FACTOR);
     case RolloutPhase.shifted:
     case RolloutPhase.completed:
       return 1;
@@ -98,7 +99,7 @@
 export function catchUpFactor(params: { durationMs: number; waitedMs: number }): number {
   const { durationMs, waitedMs } = params;
   const leftMs = Math.max(1, durationMs - waitedMs);
-  return Math.min(MOST_CATCH_UP, durationMs / leftMs);
+  return Math.min(MAX_CATCH_UP_FACTOR, durationMs / leftMs);
 }
 
 /**
@@ -113,12 +114,12 @@
   const spread = new Map<string, number>();
   for (const [route, answers] of answersByRoute) {
     const even = (share * total) / (answersByRoute.size * Math.max(1, answers));
-    spread.set(route, Math.min(MOST_ROUTE_SHARE, even));
+    spread.set(route, Math.min(MAX_ROUTE_SHARE, even));
   }
   return spread;
 }
 
-const RANKS: Readonly<Record<RolloutPhase, number>> = {
+const PHASE_RANKS: Readonly<Record<RolloutPhase, number>> = {
   held: 0,
   sampling: 1,
   widened: 2,
@@ -131,5 +132,5 @@
 
 /** The phase that is further on; boxes that tell each other theirs come to the same one. */
 export function laterPhase(a: RolloutPhase, b: RolloutPhase): RolloutPhase {
-  return RANKS[b] > RANKS[a] ? b : a;
+  return PHASE_RANKS[b] > PHASE_RANKS[a] ? b : a;
 }
--- a/packages/reedlug-gateway/src/policy/rolloutVerdict.ts
+++ b/packages/reedlug-gateway/src/policy/rolloutVerdict.ts
@@ -19,23 +19,23 @@
  * Log likelihood ratio from which a version is bad: Wald's bound for a wrong verdict
  * in one of 400 at each look, for some thirty looks that are not independent.
  */
-const BAD_FROM = Math.log(400);
+const BAD_THRESHOLD = Math.log(400);
 /** The same up to which it is good: one of ten, with the larger sample that follows still to come. */
-const GOOD_UP_TO = -Math.log(10);
+const GOOD_THRESHOLD = -Math.log(10);
 /** Log likelihood ratio of the last moments from which a version is not called good: one of ten. */
-const DOUBTFUL_FROM = Math.log(10);
+const DOUBTFUL_THRESHOLD = Math.log(10);
 /** Share of bad answers that a version has at least by which it is called bad: the least that callers would complain of. */
-const LEAST_BAD_SHARE = 0.15;
+const MIN_BAD_MARGIN = 0.15;
 /** How many times worse than the old version it is then. */
-const TIMES_WORSE = 3;
+const BAD_SHARE_FACTOR = 3;
 /** Highest share that is supposed of a bad version: no answer proves it impossible. */
-const MOST_BAD_SHARE = 0.9;
+const MAX_BAD_SHARE = 0.9;
 /** Share of bad answers that a sound version is allowed at least: a crash or two among few answers. */
-const LEAST_SOUND_SHARE = 0.02;
+const MIN_ACCEPTED_SHARE = 0.02;
 /** Answers of that share that the old version's weigh against: few of them say little. */
-const SUPPOSED_ANSWERS = 20;
+const PRIOR_ANSWERS = 20;
 /** Servers of the sample from which the worst one is left out. */
-const LEAVES_OUT_FROM = 3;
+const MIN_SERVERS_TO_EXCLUDE = 3;
 
 type BadKind = 'failed' | 'slow';
 const BAD_KINDS: readonly BadKind[] = ['failed', 'slow'];
@@ -50,32 +50,35 @@
   kind: BadKind;
   answers: number;
   bad: number;
-  usualShare: number;
+  baselineShare: number;
 }
 
 /** Judges a new version by all answers, and by those of the last moments alone. */
-export function judgeRollout(
+export function evaluateRollout(
   evidence: RolloutEvidence,
   recent: readonly RolloutEvidence[] = [],
 ): RolloutVerdict {
-  const trial = withoutWorst(evidence.trial);
+  const trial = withoutWorstServer(evidence.trial);
   const whole = worstOf(compareAll(trial, evidence.usual));
   const worst = worstOf([whole, ...compareRoutes(trial, evidence.usual)]);
-  const lately = recent.map((part) => worstLately(part, evidence.usual));
-  const worstEver = worstOf([worst, ...lately]);
-  if (worstEver.evidence >= BAD_FROM) return { ...worstEver, verdict: Verdict.bad };
-  const isGood = whole.evidence <= GOOD_UP_TO && worst.evidence <= 0;
-  const turnsBad = worstEver.evidence >= DOUBTFUL_FROM;
-  return { ...worstEver, verdict: isGood && !turnsBad ? Verdict.good : Verdict.unknown };
+  const recently = recent.map((part) => worstRecent(part, evidence.usual));
+  const worstOverall = worstOf([worst, ...recently]);
+  if (worstOverall.evidence >= BAD_THRESHOLD) return { ...worstOverall, verdict: Verdict.bad };
+  const isGood = whole.evidence <= GOOD_THRESHOLD && worst.evidence <= 0;
+  const turnsBad = worstOverall.evidence >= DOUBTFUL_THRESHOLD;
+  return { ...worstOverall, verdict: isGood && !turnsBad ? Verdict.good : Verdict.unknown };
 }
 
 /** The worst comparison of the last moments, against the old version's answers of all the time and of the same moments. */
-function worstLately(recent: RolloutEvidence, usualEver: readonly BaselineTally[]): RolloutVerdict {
-  const trial = withoutWorst(recent.trial);
-  const against = (usual: readonly BaselineTally[]): RolloutVerdict =>
+function worstRecent(
+  recent: RolloutEvidence,
+  usualSinceOrder: readonly BaselineTally[],
+): RolloutVerdict {
+  const trial = withoutWorstServer(recent.trial);
+  const compareWith = (usual: readonly BaselineTally[]): RolloutVerdict =>
     worstOf([...compareAll(trial, usual), ...compareRoutes(trial, usual)]);
-  const [ever, now] = [against(usualEver), against(recent.usual)];
-  return now.evidence < ever.evidence ? now : ever;
+  const [sinceOrder, recently] = [compareWith(usualSinceOrder), compareWith(recent.usual)];
+  return recently.evidence < sinceOrder.evidence ? recently : sinceOrder;
 }
 
 function compareAll(
@@ -115,17 +118,25 @@
   const answers = sumOf(trial, 'answers');
   const bad = sumOf(trial, kind);
   const usualShare =
-    (sumOf(usual, kind) + LEAST_SOUND_SHARE * SUPPOSED_ANSWERS) /
-    (sumOf(usual, 'answers') + SUPPOSED_ANSWERS);
-  const soundShare = Math.min(MOST_BAD_SHARE / 2, Math.max(LEAST_SOUND_SHARE, usualShare));
+    (sumOf(usual, kind) + MIN_ACCEPTED_SHARE * PRIOR_ANSWERS) /
+    (sumOf(usual, 'answers') + PRIOR_ANSWERS);
+  const acceptedShare = Math.min(MAX_BAD_SHARE / 2, Math.max(MIN_ACCEPTED_SHARE, usualShare));
   const badShare = Math.min(
-    MOST_BAD_SHARE,
-    Math.max(soundShare * TIMES_WORSE, soundShare + LEAST_BAD_SHARE),
+    MAX_BAD_SHARE,
+    Math.max(acceptedShare * BAD_SHARE_FACTOR, acceptedShare + MIN_BAD_MARGIN),
   );
   const evidence =
-    bad * Math.log(badShare / soundShare) +
-    (answers - bad) * Math.log((1 - badShare) / (1 - soundShare));
-  return { verdict: Verdict.unknown, evidence, route, kind, answers, bad, usualShare };
+    bad * Math.log(badShare / acceptedShare) +
+    (answers - bad) * Math.log((1 - badShare) / (1 - acceptedShare));
+  return {
+    verdict: Verdict.unknown,
+    evidence,
+    route,
+    kind,
+    answers,
+    bad,
+    baselineShare: usualShare,
+  };
 }
 
 function sumOf(tallies: readonly AnswerTally[], field: keyof AnswerTally): number {
@@ -133,13 +144,13 @@
 }
 
 /** The tallies without a server that has more bad answers than all others, where enough of them are there. */
-function withoutWorst(trial: readonly TrialTally[]): readonly TrialTally[] {
+function withoutWorstServer(trial: readonly TrialTally[]): readonly TrialTally[] {
   const badByServer = new Map<string, number>();
   for (const { serverId, failed, slow } of trial) {
     if (serverId === '') continue;
     badByServer.set(serverId, (badByServer.get(serverId) ?? 0) + failed + slow);
   }
-  if (badByServer.size < LEAVES_OUT_FROM) return trial;
+  if (badByServer.size < MIN_SERVERS_TO_EXCLUDE) return trial;
   const [worstId, worstBad] = [...badByServer].reduce((worst, next) =>
     next[1] > worst[1] ? next : worst,
   );
--- a/packages/reedlug-gateway/src/policy/serverLimit.ts
+++ b/packages/reedlug-gateway/src/policy/serverLimit.ts
@@ -10,18 +10,18 @@
 import type { LimitedSends, LimitObservation } from '../types/serverStatement.js';
 
 /** Requests a second that a box which sends to a limited server has at least, where the limit allows it. */
-const LEAST_PART_PER_SECOND = 0.5;
+const MIN_SHARE_PER_SECOND = 0.5;
 /** Time in which nothing was heard of a limited server after which one box more may send, in ms: those that may have no callers, or are gone. */
 const SILENT_LIMIT_MS = 16_000;
 /** Least requests a second that a limited server is sent, so that its answer tells again: one in ten seconds. */
-const LEAST_PER_SECOND = 0.1;
+const MIN_LIMIT_PER_SECOND = 0.1;
 /** Time in which a box's part is kept to, in ms: the servers' limits are meant over some seconds, and callers come in clumps. */
 const WINDOW_MS = 4000;
 /** Sends of one box that are remembered at most; beyond it they are spaced over a shorter time. */
-const MOST_REMEMBERED = 64;
+const MAX_REMEMBERED_SENDS = 64;
 /** Time from the end of a limit until its server is used as all others, and in which what it gets doubles meanwhile, in ms. */
-const RISE_MS = 3000;
-const DOUBLES_MS = 500;
+const RECOVERY_MS = 3000;
+const DOUBLING_MS = 500;
 
 /**
  * Whether what a server said of its limit takes the place of what is known. Answers overtake each other,
@@ -30,14 +30,14 @@
  * for sure. Whichever comes first, the same one stands.
  */
 export function isNewerLimit(
-  given: LimitObservation,
+  observed: LimitObservation,
   known: LimitObservation | undefined,
 ): boolean {
   // The first answer without one dates the end: what the server gets rises from then on.
-  if (known?.perSecond === undefined && given.perSecond === undefined) return false;
+  if (known?.perSecond === undefined && observed.perSecond === undefined) return false;
   if (known === undefined) return true;
-  const isLower = limitOf(given) < limitOf(known);
-  return isLower ? given.receivedAtMs > known.sentAtMs : given.sentAtMs >= known.receivedAtMs;
+  const isLower = limitOf(observed) < limitOf(known);
+  return isLower ? observed.receivedAtMs > known.sentAtMs : observed.sentAtMs >= known.receivedAtMs;
 }
 
 function limitOf({ perSecond }: LimitObservation): number {
@@ -45,49 +45,49 @@
 }
 
 /** Requests a second that a server gets now, where it has named a limit; undefined for as many as come. */
-export function limitNow(
+export function currentLimit(
   limit: LimitObservation & { lastPerSecond: number },
   nowMs: number,
 ): number | undefined {
-  if (limit.perSecond !== undefined) return Math.max(LEAST_PER_SECOND, limit.perSecond);
+  if (limit.perSecond !== undefined) return Math.max(MIN_LIMIT_PER_SECOND, limit.perSecond);
   const sinceEndMs = nowMs - limit.receivedAtMs;
-  if (sinceEndMs >= RISE_MS) return undefined;
-  const from = Math.max(LEAST_PART_PER_SECOND, limit.lastPerSecond);
-  return from * 2 ** (sinceEndMs / DOUBLES_MS);
+  if (sinceEndMs >= RECOVERY_MS) return undefined;
+  const from = Math.max(MIN_SHARE_PER_SECOND, limit.lastPerSecond);
+  return from * 2 ** (sinceEndMs / DOUBLING_MS);
 }
 
 /** How many boxes share a limit of which nothing was heard for a time. */
-export function sendersOf(perSecond: number, silentMs: number): number {
-  const sharing = Math.max(1, Math.floor(perSecond / LEAST_PART_PER_SECOND));
+export function senderCount(perSecond: number, silentMs: number): number {
+  const sharing = Math.max(1, Math.floor(perSecond / MIN_SHARE_PER_SECOND));
   return sharing + Math.floor(Math.max(0, silentMs) / SILENT_LIMIT_MS);
 }
 
 /** When a box with a part of a limit may send next; in its first window its sends are spaced evenly. */
 export function nextSendAtMs(
   { atMs, sharingSinceMs, replacedAnotherBox }: LimitedSends,
-  partPerSecond: number,
+  sharePerSecond: number,
   nowMs: number,
 ): number {
-  if (sharingSinceMs === undefined || partPerSecond <= 0) return Number.POSITIVE_INFINITY;
-  const spacingMs = 1000 / partPerSecond;
-  const sends = sendsOfWindow(partPerSecond);
-  const leaving = atMs.at(-sends);
-  const byWindow = leaving === undefined ? sharingSinceMs : leaving + sends * spacingMs;
-  if (nowMs - sharingSinceMs >= WINDOW_MS && byWindow <= nowMs) return byWindow;
+  if (sharingSinceMs === undefined || sharePerSecond <= 0) return Number.POSITIVE_INFINITY;
+  const spacingMs = 1000 / sharePerSecond;
+  const sends = sendsPerWindow(sharePerSecond);
+  const oldestMs = atMs.at(-sends);
+  const byWindowMs = oldestMs === undefined ? sharingSinceMs : oldestMs + sends * spacingMs;
+  if (nowMs - sharingSinceMs >= WINDOW_MS && byWindowMs <= nowMs) return byWindowMs;
   const sentSince =
     atMs.filter((sentMs) => sentMs >= sharingSinceMs).length + (replacedAnotherBox ? 1 : 0);
-  const byBeginning = sharingSinceMs + Math.min(WINDOW_MS, sentSince * spacingMs);
-  return Math.max(byWindow, byBeginning);
+  const byStartMs = sharingSinceMs + Math.min(WINDOW_MS, sentSince * spacingMs);
+  return Math.max(byWindowMs, byStartMs);
 }
 
 /** Sends that a part holds within the window, one at least. */
-function sendsOfWindow(partPerSecond: number): number {
-  const sends = Math.ceil((partPerSecond * WINDOW_MS) / 1000);
-  return Math.min(MOST_REMEMBERED, Math.max(1, sends));
+function sendsPerWindow(sharePerSecond: number): number {
+  const sends = Math.ceil((sharePerSecond * WINDOW_MS) / 1000);
+  return Math.min(MAX_REMEMBERED_SENDS, Math.max(1, sends));
 }
 
 /** Notes a send. */
-export function noteLimitedSend({ atMs }: LimitedSends, nowMs: number): void {
+export function recordLimitedSend({ atMs }: LimitedSends, nowMs: number): void {
   atMs.push(nowMs);
-  if (atMs.length > MOST_REMEMBERED) atMs.shift();
+  if (atMs.length > MAX_REMEMBERED_SENDS) atMs.shift();
 }
--- a/packages/reedlug-gateway/src/policy/serverLoad.ts
+++ b/packages/reedlug-gateway/src/policy/serverLoad.ts
@@ -31,12 +31,12 @@
 }
 
 /** An attempt's prompt is to be read by the server. */
-export function noteUnread(view: ServerView, attempt: Attempt): void {
+export function addUnreadPrompt(view: ServerView, attempt: Attempt): void {
   changeUnread(view, attempt, 1);
 }
 
 /** The server has read an attempt's prompt, or need not any more. */
-export function noteRead(view: ServerView, attempt: Attempt): void {
+export function removeUnreadPrompt(view: ServerView, attempt: Attempt): void {
   changeUnread(view, attempt, -1);
 }
 
--- a/packages/reedlug-gateway/src/policy/unitWindow.ts
+++ b/packages/reedlug-gateway/src/policy/unitWindow.ts
@@ -6,9 +6,9 @@
  */
 
 /** Length of a slice, in ms: what the sum may be too old by. */
-const SLICE_MS = 100;
+const BUCKET_MS = 100;
 
-interface Slice {
+interface Bucket {
   startMs: number;
   units: number;
 }
@@ -17,41 +17,41 @@
 export interface UnitWindow {
   lengthMs: number;
   /** In the order of time. */
-  slices: Slice[];
+  buckets: Bucket[];
   total: number;
 }
 
 /** Returns an empty window. */
 export function createUnitWindow(lengthMs: number): UnitWindow {
-  return { lengthMs, slices: [], total: 0 };
+  return { lengthMs, buckets: [], total: 0 };
 }
 
 /** Adds units that count from a time on, which may be some ms ahead. */
 export function addUnits(window: UnitWindow, units: number, atMs: number): void {
-  const startMs = Math.floor(atMs / SLICE_MS) * SLICE_MS;
-  const { slices } = window;
-  let at = slices.length;
-  while (at > 0 && (slices[at - 1] as Slice).startMs > startMs) at -= 1;
-  const slice = slices[at - 1];
-  if (slice?.startMs === startMs) slice.units += units;
-  else slices.splice(at, 0, { startMs, units });
+  const startMs = Math.floor(atMs / BUCKET_MS) * BUCKET_MS;
+  const { buckets } = window;
+  let at = buckets.length;
+  while (at > 0 && (buckets[at - 1] as Bucket).startMs > startMs) at -= 1;
+  const bucket = buckets[at - 1];
+  if (bucket?.startMs === startMs) bucket.units += units;
+  else buckets.splice(at, 0, { startMs, units });
   window.total += units;
 }
 
 /** Units within the window that ends now; those counted ahead are in it. */
 export function unitsWithin(window: UnitWindow, nowMs: number): number {
-  while (window.slices.length > 0) {
-    const oldest = window.slices[0] as Slice;
-    if (leavesAtMs(window, oldest) > nowMs) break;
-    window.slices.shift();
+  while (window.buckets.length > 0) {
+    const oldest = window.buckets[0] as Bucket;
+    if (expiresAtMs(window, oldest) > nowMs) break;
+    window.buckets.shift();
     window.total -= oldest.units;
   }
-  if (window.slices.length === 0) window.total = 0;
+  if (window.buckets.length === 0) window.total = 0;
   return window.total;
 }
 
-function leavesAtMs({ lengthMs }: UnitWindow, { startMs }: Slice): number {
-  return startMs + SLICE_MS + lengthMs;
+function expiresAtMs({ lengthMs }: UnitWindow, { startMs }: Bucket): number {
+  return startMs + BUCKET_MS + lengthMs;
 }
 
 /** What may be added to a window: so much at one moment, and so much more for each ms that a span is long. */
@@ -67,35 +67,35 @@
  * that ends then holds more than `burst` and `perMs` for each of its ms. Spans that
  * begin before `sinceMs` are left out.
  */
-export function roomIn(
+export function spareUnits(
   window: UnitWindow,
   { burst, perMs, sinceMs }: WindowBound,
   atMs: number,
 ): number {
-  let room = burst;
+  let spare = burst;
   let units = 0;
-  for (let at = window.slices.length - 1; at >= 0; at -= 1) {
-    const slice = window.slices[at] as Slice;
-    if (leavesAtMs(window, slice) <= atMs || slice.startMs + SLICE_MS <= sinceMs) break;
-    units += slice.units;
-    const spanMs = Math.max(0, atMs - slice.startMs - SLICE_MS);
-    room = Math.min(room, burst + perMs * spanMs - units);
+  for (let at = window.buckets.length - 1; at >= 0; at -= 1) {
+    const bucket = window.buckets[at] as Bucket;
+    if (expiresAtMs(window, bucket) <= atMs || bucket.startMs + BUCKET_MS <= sinceMs) break;
+    units += bucket.units;
+    const spanMs = Math.max(0, atMs - bucket.startMs - BUCKET_MS);
+    spare = Math.min(spare, burst + perMs * spanMs - units);
   }
-  return room;
+  return spare;
 }
 
 /** Steps in which the time to room is looked for, in ms: fine against the times that callers are told. */
-const ROOM_STEP_MS = 100;
+const SEARCH_STEP_MS = 100;
 
 /** Time from now until there is room for so many units if nothing is added, in ms; the window's length when there never is. */
-export function timeToRoom(
+export function timeUntilSpareMs(
   window: UnitWindow,
   bounds: readonly WindowBound[],
   params: { units: number; nowMs: number },
 ): number {
   const { units, nowMs } = params;
-  for (let ms = 0; ms < window.lengthMs; ms += ROOM_STEP_MS) {
-    if (bounds.every((bound) => roomIn(window, bound, nowMs + ms) >= units)) return ms;
+  for (let ms = 0; ms < window.lengthMs; ms += SEARCH_STEP_MS) {
+    if (bounds.every((bound) => spareUnits(window, bound, nowMs + ms) >= units)) return ms;
   }
   return window.lengthMs;
 }
--- a/packages/reedlug-gateway/src/slices/__tests__/quotas.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/quotas.test.ts
@@ -129,7 +129,7 @@
   const { charged } = box.state.quotas.get('tiger') ?? {};
   expect(charged?.total).to.equal(20_000);
   expect(
-    charged?.slices.filter(({ units }) => units > 0).map(({ startMs }) => startMs),
+    charged?.buckets.filter(({ units }) => units > 0).map(({ startMs }) => startMs),
   ).to.deep.equal([400]);
 });
 
--- a/packages/reedlug-gateway/src/slices/attempts.ts
+++ b/packages/reedlug-gateway/src/slices/attempts.ts
@@ -4,9 +4,9 @@
 import { RouteKind } from '../types/configuration.js';
 import type { Attempt } from '../types/request.js';
 import { log, type GatewayState, type Step } from '../state.js';
-import { noteFailure, noteSuccess } from '../policy/serverHealth.js';
-import { noteRead } from '../policy/serverLoad.js';
-import { noteHeard } from '../policy/serverSilence.js';
+import { recordFailure, recordSuccess } from '../policy/serverHealth.js';
+import { removeUnreadPrompt } from '../policy/serverLoad.js';
+import { recordActivity } from '../policy/serverSilence.js';
 import { closeAttempt, giveUp, reachWhenLost, serverOf } from './ending.js';
 import { isPastPoint, noteGoodRun } from './crashSuspects.js';
 import { noteEnd, noteFirstEvent } from './engineModels.js';
@@ -39,7 +39,7 @@
   const found = find(state, event);
   if (found === undefined) return;
   const view = closeAttempt(state, found.attempt, Reach.none);
-  if (view !== undefined) noteFailure(view, step.nowMs);
+  if (view !== undefined) recordFailure(view, step.nowMs);
   found.record.failedToConnect = true;
   tryAgain(state, step, found, event.reason);
 }
@@ -81,7 +81,7 @@
     }
     case 'invalid': {
       const view = closeAttempt(state, attempt, Reach.maybe);
-      if (view !== undefined) noteFailure(view, step.nowMs);
+      if (view !== undefined) recordFailure(view, step.nowMs);
       noteAnswer(state, step, { record, attempt, end: AnswerEnd.failed });
       step.effects.push({ type: 'cancelAttempt', attemptId: attempt.attemptId });
       return afterLoss(state, step, { record, attempt }, 'invalidAnswer');
@@ -115,7 +115,7 @@
   const { record, attempt } = found;
   begin(state, step, found);
   const view = serverOf(state, attempt);
-  if (view !== undefined && status >= 500) noteFailure(view, step.nowMs);
+  if (view !== undefined && status >= 500) recordFailure(view, step.nowMs);
   if (status >= 500) noteAnswer(state, step, { record, attempt, end: AnswerEnd.failed });
   // An answer that is there goes to the caller where the limit holds no other run.
   const mayGoOn = status >= 500 && !record.relayed && mayRepeat(state, step, record);
@@ -145,7 +145,7 @@
   if (attempt.firstOutputAtMs === undefined) {
     attempt.firstOutputAtMs = step.nowMs;
     const view = serverOf(state, attempt);
-    if (view !== undefined) noteRead(view, attempt);
+    if (view !== undefined) removeUnreadPrompt(view, attempt);
   }
   attempt.reach = Reach.answered;
   countBegun(state, step, record);
@@ -156,7 +156,7 @@
   const view = closeAttempt(state, attempt, Reach.answered);
   if (outcome === 'success') {
     noteEnd(state, step, record, attempt);
-    if (view !== undefined) noteSuccess(view, step.nowMs);
+    if (view !== undefined) recordSuccess(view, step.nowMs);
     noteServed(state, step, attempt);
     noteGoodRun(state, step, record);
   }
@@ -228,5 +228,5 @@
 function hear(state: GatewayState, step: Step, attempt: Attempt): void {
   attempt.lastActivityAtMs = step.nowMs;
   const view = serverOf(state, attempt);
-  if (view !== undefined) noteHeard(view, step.nowMs);
+  if (view !== undefined) recordActivity(view, step.nowMs);
 }
--- a/packages/reedlug-gateway/src/slices/capacity.ts
+++ b/packages/reedlug-gateway/src/slices/capacity.ts
@@ -9,7 +9,7 @@
   spreadEngines,
   type EngineNeed,
   type ZoneOffer,
-  type ZoneWanted,
+  type ZoneTarget,
 } from '../policy/engineTarget.js';
 import { log, type GatewayState, type Step } from '../state.js';
 import { dutyFence } from './duties.js';
@@ -84,7 +84,7 @@
       granted,
       reclaimable: lastOrdered(state, service.name, zone, true),
       onDemand: lastOrdered(state, service.name, zone, false),
-      isDry: step.nowMs < dryUntilMs,
+      isOutOfCapacity: step.nowMs < dryUntilMs,
     };
   });
 }
@@ -110,7 +110,7 @@
 
 /** While two versions stand, none is given up: the platform may take the ones that came last, all of the new version. */
 function keepOrdered(state: GatewayState, { name }: ServiceSpec) {
-  return ({ zone, reclaimable, onDemand }: ZoneWanted): ZoneWanted => ({
+  return ({ zone, reclaimable, onDemand }: ZoneTarget): ZoneTarget => ({
     zone,
     reclaimable: Math.max(reclaimable, lastOrdered(state, name, zone, true)),
     onDemand: Math.max(onDemand, lastOrdered(state, name, zone, false)),
--- a/packages/reedlug-gateway/src/slices/crashRefusal.ts
+++ b/packages/reedlug-gateway/src/slices/crashRefusal.ts
@@ -1,6 +1,6 @@
 /** Refusals of requests that may crash the servers that run them. */
 import { hashString } from 'reedlug-coordination';
-import { CRASHES_TO_KEEP_OUT } from '../policy/crashVerdict.js';
+import { CRASHES_TO_BLOCK } from '../policy/crashVerdict.js';
 import { log, type GatewayState, type Step } from '../state.js';
 import type { CrashSuspect } from '../types/crashSuspect.js';
 import type { RequestRecord } from '../types/request.js';
@@ -54,7 +54,7 @@
   const refusal = { status: 503, reason: 'crashSuspect' };
   if (evaluationDueAtMs !== undefined)
     return { ...refusal, retryAfterMs: evaluationDueAtMs - nowMs };
-  if (crashes.length < CRASHES_TO_KEEP_OUT || mayTry(state, suspect, nowMs)) return undefined;
+  if (crashes.length < CRASHES_TO_BLOCK || mayTry(state, suspect, nowMs)) return undefined;
   return { ...refusal, retryAfterMs: TRIAL_RETRY_MS };
 }
 
--- a/packages/reedlug-gateway/src/slices/crashSuspects.ts
+++ b/packages/reedlug-gateway/src/slices/crashSuspects.ts
@@ -9,8 +9,8 @@
  */
 import {
   AGE_ERROR_MS,
-  CRASHES_TO_KEEP_OUT,
-  isCulprit,
+  CRASHES_TO_BLOCK,
+  causesCrashes,
   isSameCrash,
 } from '../policy/crashVerdict.js';
 import { log, type GatewayState, type Step } from '../state.js';
@@ -79,7 +79,7 @@
 
 /** After a crash that may decide, the others' word on it is awaited, and nothing is sent meanwhile. */
 export function awaitJudgement(state: GatewayState, step: Step, suspect: CrashSuspect): void {
-  if (suspect.crashes.length < CRASHES_TO_KEEP_OUT || suspect.blockedSinceMs !== undefined) return;
+  if (suspect.crashes.length < CRASHES_TO_BLOCK || suspect.blockedSinceMs !== undefined) return;
   // Of what happened before its start, a box knows too little to judge; others have.
   if ((suspect.crashes.at(-1)?.endedAtMs ?? 0) < state.startedAtMs) return;
   suspect.evaluationDueAtMs ??= step.nowMs + JUDGED_AFTER_MS;
@@ -162,7 +162,7 @@
   suspect.goodRunAtMs = goodRunAtMs;
   const before = suspect.crashes.length;
   suspect.crashes = suspect.crashes.filter(({ sentAtMs }) => sentAtMs > goodRunAtMs);
-  if (suspect.crashes.length < CRASHES_TO_KEEP_OUT) suspect.evaluationDueAtMs = undefined;
+  if (suspect.crashes.length < CRASHES_TO_BLOCK) suspect.evaluationDueAtMs = undefined;
   const { blockedSinceMs } = suspect;
   const isLifted = blockedSinceMs !== undefined && blockedSinceMs <= goodRunAtMs;
   if (isLifted) suspect.blockedSinceMs = undefined;
@@ -206,7 +206,7 @@
   suspect.evaluationDueAtMs = undefined;
   if (suspect.blockedSinceMs !== undefined) return;
   const scene = { suspects: state.crashSuspects.values(), recent: state.recentCrashes };
-  if (!isCulprit(suspect, scene)) return;
+  if (!causesCrashes(suspect, scene)) return;
   keepOut(state, step, suspect, step.nowMs);
   state.crashGossipDue.add(suspect.key);
   state.crashRow.hasUnwrittenObservations = true;
--- a/packages/reedlug-gateway/src/slices/ending.ts
+++ b/packages/reedlug-gateway/src/slices/ending.ts
@@ -3,7 +3,7 @@
 import { RouteKind } from '../types/configuration.js';
 import type { Attempt, RequestFacts, RequestRecord } from '../types/request.js';
 import { log, type GatewayState, type Step } from '../state.js';
-import { noteRead } from '../policy/serverLoad.js';
+import { removeUnreadPrompt } from '../policy/serverLoad.js';
 import type { ServerView } from '../types/views.js';
 
 /** When to come back after no server took a request, in ms: an engine's queue moves on in this time. */
@@ -29,7 +29,7 @@
   const view = serverOf(state, attempt);
   if (view === undefined) return undefined;
   view.running -= 1;
-  if (attempt.firstOutputAtMs === undefined) noteRead(view, attempt);
+  if (attempt.firstOutputAtMs === undefined) removeUnreadPrompt(view, attempt);
   return view;
 }
 
--- a/packages/reedlug-gateway/src/slices/engineModels.ts
+++ b/packages/reedlug-gateway/src/slices/engineModels.ts
@@ -3,15 +3,15 @@
 import {
   addSendSums,
   createSendSums,
-  fadeSends,
+  decaySends,
   fitEngineModel,
-  noteStay,
-  noteWait,
+  recordStay,
+  recordWait,
   type EngineModel,
   type OwnSends,
   type SendSums,
 } from '../policy/engineModel.js';
-import { noteSlowness } from '../policy/serverHealth.js';
+import { recordSlowness } from '../policy/serverHealth.js';
 import type { GatewayState, Step } from '../state.js';
 import type { Attempt, RequestRecord } from '../types/request.js';
 import { countedPeers } from './fleet.js';
@@ -28,7 +28,7 @@
   const parts: SendSums[] = [];
   const own = state.ownSends.get(service);
   if (own !== undefined) {
-    fadeSends(own, nowMs);
+    decaySends(own, nowMs);
     parts.push(own.sums);
   }
   for (const { message } of countedPeers(state, nowMs)) {
@@ -49,7 +49,7 @@
 ): void {
   const { conditions, expectedMs } = attempt;
   const waitMs = step.nowMs - attempt.sentAtMs;
-  noteWait(ownSendsOf(state, record.service), {
+  recordWait(ownSendsOf(state, record.service), {
     conditions,
     waitMs,
     expectedMs,
@@ -58,7 +58,7 @@
   const view = serverOf(state, attempt);
   const isJudged = Math.max(waitMs, expectedMs) >= JUDGED_FROM_MS;
   if (view !== undefined && isJudged) {
-    noteSlowness(view, waitMs / Math.max(JUDGED_FROM_MS, expectedMs), step.nowMs);
+    recordSlowness(view, waitMs / Math.max(JUDGED_FROM_MS, expectedMs), step.nowMs);
   }
 }
 
@@ -69,13 +69,13 @@
   record: RequestRecord,
   attempt: Attempt,
 ): void {
-  noteStay(ownSendsOf(state, record.service), step.nowMs - attempt.sentAtMs, step.nowMs);
+  recordStay(ownSendsOf(state, record.service), step.nowMs - attempt.sentAtMs, step.nowMs);
 }
 
 function ownSendsOf(state: GatewayState, service: string): OwnSends {
   const known = state.ownSends.get(service);
   if (known !== undefined) return known;
-  const own: OwnSends = { sums: createSendSums(), fadedAtMs: 0 };
+  const own: OwnSends = { sums: createSendSums(), decayedAtMs: 0 };
   state.ownSends.set(service, own);
   return own;
 }
@@ -84,7 +84,7 @@
 export function ownSendSums(state: GatewayState, nowMs: number): Record<string, SendSums> {
   const told: Record<string, SendSums> = {};
   for (const [service, own] of state.ownSends) {
-    fadeSends(own, nowMs);
+    decaySends(own, nowMs);
     told[service] = { ...own.sums };
   }
   return told;
--- a/packages/reedlug-gateway/src/slices/engineNeed.ts
+++ b/packages/reedlug-gateway/src/slices/engineNeed.ts
@@ -2,7 +2,7 @@
 import { LimitUnit, type ServiceSpec, type WorkspaceSpec } from '../types/configuration.js';
 import {
   enginesNeeded,
-  firstReclaimable,
+  initialReclaimable,
   type EngineNeed,
   type ServiceLoad,
 } from '../policy/engineTarget.js';
@@ -83,10 +83,10 @@
   );
   if (isFirst && reclaimable === 0) {
     const expected = Math.max(stood, expectedByLimits(state, step, service));
-    return Math.max(ordered, firstReclaimable(zones.length, expected));
+    return Math.max(ordered, initialReclaimable(zones.length, expected));
   }
   if (stood === 0 && onDemand <= reclaimable) return ordered;
-  return Math.max(ordered, firstReclaimable(zones.length, stood));
+  return Math.max(ordered, initialReclaimable(zones.length, stood));
 }
 
 /** Engines for the part of all limits that callers are likely to use; none where a workspace has no limit in tokens. */
--- a/packages/reedlug-gateway/src/slices/engineOrders.ts
+++ b/packages/reedlug-gateway/src/slices/engineOrders.ts
@@ -1,7 +1,7 @@
 /** Orders of engines to the platform: what was ordered last, and what came of it. */
 import type { EventOf } from '../types/event.js';
 import type { ServiceSpec } from '../types/configuration.js';
-import type { ZoneWanted } from '../policy/engineTarget.js';
+import type { ZoneTarget } from '../policy/engineTarget.js';
 import { log, type GatewayState, type Step } from '../state.js';
 import type { EngineOrder } from '../types/views.js';
 import { modelOf } from './engineModels.js';
@@ -83,7 +83,7 @@
 export function orderEngines(
   state: GatewayState,
   step: Step,
-  params: { service: ServiceSpec; plan: readonly ZoneWanted[]; fence: number },
+  params: { service: ServiceSpec; plan: readonly ZoneTarget[]; fence: number },
 ): void {
   const { service, plan, fence } = params;
   for (const { zone, reclaimable, onDemand } of plan) {
--- a/packages/reedlug-gateway/src/slices/lateRefusals.ts
+++ b/packages/reedlug-gateway/src/slices/lateRefusals.ts
@@ -1,7 +1,7 @@
 /** Refusals of requests that no engine would begin in time. */
 import type { Choice } from '../policy/chooseServer.js';
 import { decideSend } from '../policy/decideSend.js';
-import { spreadRetryMs } from '../policy/retrySpread.js';
+import { addRetryJitter } from '../policy/retryJitter.js';
 import { log, type Step } from '../state.js';
 import { RouteKind } from '../types/configuration.js';
 import type { RequestRecord } from '../types/request.js';
@@ -29,7 +29,7 @@
     leftMs: Math.round(leftMs),
     hasReturned,
   });
-  const retryAfterMs = spreadRetryMs(decision.retryAfterMs, facts.requestId);
+  const retryAfterMs = addRetryJitter(decision.retryAfterMs, facts.requestId);
   refuse(step, { exchangeId, facts, status: 503, reason: 'tooLate', retryAfterMs });
   return true;
 }
--- a/packages/reedlug-gateway/src/slices/lostServers.ts
+++ b/packages/reedlug-gateway/src/slices/lostServers.ts
@@ -6,7 +6,7 @@
  * after, when it is born again, or when its entry goes: the first says so some ms after
  * the loss, the others seconds later.
  */
-import { noteFailure, noteGone } from '../policy/serverHealth.js';
+import { recordFailure, recordGone } from '../policy/serverHealth.js';
 import type { GatewayState, Step } from '../state.js';
 import type { EventOf } from '../types/event.js';
 import type { LostServer } from '../types/crashSuspect.js';
@@ -31,7 +31,7 @@
 ): void {
   const { record, attempt, view } = params;
   if (view === undefined) return;
-  noteFailure(view, step.nowMs);
+  recordFailure(view, step.nowMs);
   noteLostSend(state, step, { record, attempt, view });
 }
 
@@ -76,7 +76,7 @@
   if (lost === undefined || lost.isGone) return;
   lost.isGone = true;
   const view = state.servers.get(lost.serverId);
-  if (view?.life === life) noteGone(view, step.nowMs);
+  if (view?.life === life) recordGone(view, step.nowMs);
   for (const send of lost.sends) noteSendCrash(state, step, lost, send);
 }
 
--- a/packages/reedlug-gateway/src/slices/quotas.ts
+++ b/packages/reedlug-gateway/src/slices/quotas.ts
@@ -9,12 +9,12 @@
 import { LimitUnit, type WorkspaceSpec } from '../types/configuration.js';
 import type { RequestFacts, RequestRecord } from '../types/request.js';
 import { mayHaveRun } from 'reedlug-coordination';
-import { limitPart } from '../policy/limitPart.js';
+import { limitShareBound } from '../policy/limitShareBound.js';
 import {
   addUnits,
   createUnitWindow,
-  roomIn,
-  timeToRoom,
+  spareUnits,
+  timeUntilSpareMs,
   unitsWithin,
   type WindowBound,
 } from '../policy/unitWindow.js';
@@ -151,7 +151,7 @@
   const bounds = partOf(state, quota, nowMs);
   const burst = Math.min(...bounds.map((bound) => bound.burst));
   if (bounds.length === 0) return LOAN_MS;
-  return timeToRoom(quota.charged, bounds, { units: Math.min(units, burst), nowMs });
+  return timeUntilSpareMs(quota.charged, bounds, { units: Math.min(units, burst), nowMs });
 }
 
 /** Units of a workspace that were charged to this box's part of the window, and the part. */
@@ -170,7 +170,7 @@
 function roomOfPart(state: GatewayState, quota: QuotaView, nowMs: number): number {
   const bounds = partOf(state, quota, nowMs);
   unitsWithin(quota.charged, nowMs);
-  const rooms = bounds.map((bound) => roomIn(quota.charged, bound, nowMs));
+  const rooms = bounds.map((bound) => spareUnits(quota.charged, bound, nowMs));
   return rooms.length === 0 ? 0 : Math.min(...rooms);
 }
 
@@ -180,7 +180,7 @@
   openPart(state, quota, nowMs);
   const lengthMs = chargedLengthMs(state);
   return windowBounds(state, quota, nowMs).map(({ units, sinceMs }) =>
-    limitPart({ units: units / state.part.divisor, lengthMs, sinceMs }),
+    limitShareBound({ units: units / state.part.divisor, lengthMs, sinceMs }),
   );
 }
 
@@ -201,7 +201,7 @@
 }
 
 function burstOf(state: GatewayState, units: number): number {
-  return limitPart({ units, lengthMs: chargedLengthMs(state), sinceMs: 0 }).burst;
+  return limitShareBound({ units, lengthMs: chargedLengthMs(state), sinceMs: 0 }).burst;
 }
 
 /** What an earlier life lent may have been sent until its loans ended. */
--- a/packages/reedlug-gateway/src/slices/repeats.ts
+++ b/packages/reedlug-gateway/src/slices/repeats.ts
@@ -5,7 +5,7 @@
  * repeated, within the route's number of attempts, its time and the budget.
  */
 import { mayHaveRun } from 'reedlug-coordination';
-import { CRASHES_TO_KEEP_OUT } from '../policy/crashVerdict.js';
+import { CRASHES_TO_BLOCK } from '../policy/crashVerdict.js';
 import type { Choice } from '../policy/chooseServer.js';
 import { log, type GatewayState, type Step } from '../state.js';
 import type { Attempt, RequestRecord } from '../types/request.js';
@@ -56,7 +56,7 @@
  */
 function mayBeTriedAgain(state: GatewayState, record: RequestRecord): boolean {
   const crashes = suspectOf(state, record)?.crashes.length ?? 0;
-  return crashes + 1 < CRASHES_TO_KEEP_OUT;
+  return crashes + 1 < CRASHES_TO_BLOCK;
 }
 
 /** Sends a request to another server after its own was lost, to the one chosen where that is done. */
--- a/packages/reedlug-gateway/src/slices/rolloutJudgement.ts
+++ b/packages/reedlug-gateway/src/slices/rolloutJudgement.ts
@@ -2,7 +2,7 @@
 import { hashString } from 'reedlug-coordination';
 import { highestRanked } from '../policy/highestRanked.js';
 import { nextPhase, shareOfPhase, spreadSample } from '../policy/rolloutStep.js';
-import { evidenceSince, judgeRollout } from '../policy/rolloutVerdict.js';
+import { evidenceSince, evaluateRollout } from '../policy/rolloutVerdict.js';
 import type { GatewayState, Step } from '../state.js';
 import { RolloutPhase, type RolloutEvidence, type RolloutView } from '../types/rollout.js';
 import type { ServerView } from '../types/views.js';
@@ -35,7 +35,7 @@
   const oldOnes = servers.filter(({ entry }) => !isTarget(view, entry) && !isBarred(view, entry));
   if (newOnes.length > 0) view.waitedMs ??= step.nowMs - view.orderedAtMs;
   layOutSample(state, view, { evidence, newOnes, oldServers: oldOnes.length });
-  const found = judgeRollout(evidence, recentEvidence(view, evidence, step.nowMs));
+  const found = evaluateRollout(evidence, recentEvidence(view, evidence, step.nowMs));
   const facts = {
     phase: view.phase,
     ageMs: step.nowMs - view.orderedAtMs,
@@ -55,7 +55,7 @@
     kind: found.kind,
     answers: found.answers,
     bad: found.bad,
-    usualShare: Number(found.usualShare.toFixed(3)),
+    usualShare: Number(found.baselineShare.toFixed(3)),
     newServers: facts.newServers,
     oldServers: facts.oldServers,
   });
--- a/packages/reedlug-gateway/src/slices/sending.ts
+++ b/packages/reedlug-gateway/src/slices/sending.ts
@@ -1,8 +1,8 @@
 /** Sends of requests to servers. */
 import { describeRevision, hashString, Reach } from 'reedlug-coordination';
-import { chooseServer, notePartsRead, type Choice } from '../policy/chooseServer.js';
-import { noteUnread } from '../policy/serverLoad.js';
-import { noteSend } from '../policy/serverSilence.js';
+import { chooseServer, recordPartsRead, type Choice } from '../policy/chooseServer.js';
+import { addUnreadPrompt } from '../policy/serverLoad.js';
+import { recordSend } from '../policy/serverSilence.js';
 import { log, type GatewayState, type Step } from '../state.js';
 import { RouteKind } from '../types/configuration.js';
 import type { Attempt, RequestRecord } from '../types/request.js';
@@ -17,23 +17,23 @@
   state: GatewayState,
   step: Step,
   record: RequestRecord,
-  avoid: ReadonlySet<string> = record.excludedServers,
+  excludedServers: ReadonlySet<string> = record.excludedServers,
 ): Choice | undefined {
   const params = {
     service: record.service,
     facts: record.facts,
     urgency: record.urgency,
-    avoid,
+    excludedServers,
     staysInZone: record.failedToConnect,
     trialHash: trialHash(state, record),
     nowMs: step.nowMs,
   };
   const rule = versionRule(state, record);
   if (rule === undefined) return chooseServer(state, params);
-  const choice = chooseServer(state, { ...params, admits: rule.admits });
+  const choice = chooseServer(state, { ...params, isAllowed: rule.admits });
   if (choice !== undefined || !rule.isSample) return choice;
   // No server of the sample takes work: the request goes the usual way.
-  return chooseServer(state, { ...params, admits: ({ entry }) => carriesLoad(state, entry) });
+  return chooseServer(state, { ...params, isAllowed: ({ entry }) => carriesLoad(state, entry) });
 }
 
 /**
@@ -87,12 +87,12 @@
   };
   state.nextAttemptId += 1;
   record.attempts.push(attempt);
-  noteSend(view, step.nowMs);
+  recordSend(view, step.nowMs);
   noteSendToStating(view, step.nowMs);
   view.running += 1;
-  noteUnread(view, attempt);
+  addUnreadPrompt(view, attempt);
   if (record.attempts.length === 1) state.workTokens += prefillTokens;
-  notePartsRead(view, record.facts, step.nowMs);
+  recordPartsRead(view, record.facts, step.nowMs);
   const { exchangeId, route } = record;
   step.effects.push({
     type: 'send',
--- a/packages/reedlug-gateway/src/slices/statements/eligibility.ts
+++ b/packages/reedlug-gateway/src/slices/statements/eligibility.ts
@@ -1,5 +1,5 @@
 /** Whether a server may be sent a request by what it has said: the one gate of all sends. */
-import { limitNow, nextSendAtMs, noteLimitedSend } from '../../policy/serverLimit.js';
+import { currentLimit, nextSendAtMs, recordLimitedSend } from '../../policy/serverLimit.js';
 import type { GatewayState } from '../../state.js';
 import type { IncarnationStatements } from '../../types/serverStatement.js';
 import type { ServerView } from '../../types/views.js';
@@ -20,7 +20,7 @@
   if (view.statements === undefined) return nowMs;
   const { limit } = view.statements;
   const fromMs = Math.max(nowMs, restedAtMs(state, view.statements, nowMs));
-  const perSecond = limit && limitNow(limit, nowMs);
+  const perSecond = limit && currentLimit(limit, nowMs);
   if (limit === undefined || perSecond === undefined) return fromMs;
   const part = ownPart(state, view, { limit, perSecond, nowMs });
   return Math.max(fromMs, nextSendAtMs(limit.sends, part, nowMs));
@@ -36,7 +36,7 @@
 
 /** Whether a server names a limit, or did so a moment ago. */
 export function isLimited({ statements }: ServerView, nowMs: number): boolean {
-  return statements?.limit !== undefined && limitNow(statements.limit, nowMs) !== undefined;
+  return statements?.limit !== undefined && currentLimit(statements.limit, nowMs) !== undefined;
 }
 
 /** Whether a server that names a limit has not answered for a while. */
@@ -47,6 +47,6 @@
 
 /** Notes a send to a server, for what it has said. */
 export function noteSendToStating({ statements }: ServerView, nowMs: number): void {
-  if (statements?.limit !== undefined) noteLimitedSend(statements.limit.sends, nowMs);
+  if (statements?.limit !== undefined) recordLimitedSend(statements.limit.sends, nowMs);
   if (statements?.rest !== undefined) noteSendInRest(statements.rest, nowMs);
 }
--- a/packages/reedlug-gateway/src/slices/statements/missingEngines.ts
+++ b/packages/reedlug-gateway/src/slices/statements/missingEngines.ts
@@ -1,5 +1,5 @@
 /** Engines that limits and rests leave missing: one in need counts for what it takes. */
-import { limitNow } from '../../policy/serverLimit.js';
+import { currentLimit } from '../../policy/serverLimit.js';
 import type { EngineModel } from '../../policy/engineModel.js';
 import type { EngineNeed, ServiceLoad } from '../../policy/engineTarget.js';
 import type { GatewayState, Step } from '../../state.js';
@@ -40,5 +40,5 @@
   { nowMs, bootMs }: { nowMs: number; bootMs: number },
 ): number | undefined {
   if (rest !== undefined && restsUntilMs(rest) - nowMs > bootMs) return 0;
-  return limit && limitNow(limit, nowMs);
+  return limit && currentLimit(limit, nowMs);
 }
--- a/packages/reedlug-gateway/src/slices/statements/refusals.ts
+++ b/packages/reedlug-gateway/src/slices/statements/refusals.ts
@@ -1,5 +1,5 @@
 /** Refusals without a time, of which all boxes hear: else each of them learns alone that a server refuses. */
-import { noteFailure } from '../../policy/serverHealth.js';
+import { recordFailure } from '../../policy/serverHealth.js';
 import type { GatewayState, Step } from '../../state.js';
 import type { IncarnationStatements } from '../../types/serverStatement.js';
 
@@ -17,5 +17,5 @@
   if (known !== undefined && atMs < known.atMs + SAME_REFUSAL_MS) return;
   statements.refusal = { atMs, announcement: { changedAtMs: nowMs, announcedAtMs: undefined } };
   const view = state.servers.get(statements.serverId);
-  if (view?.statements === statements) noteFailure(view, nowMs);
+  if (view?.statements === statements) recordFailure(view, nowMs);
 }
--- a/packages/reedlug-gateway/src/slices/statements/returnTimes.ts
+++ b/packages/reedlug-gateway/src/slices/statements/returnTimes.ts
@@ -5,8 +5,8 @@
  * Each is told the next moment that is not told to another one, as fast as the servers will
  * take requests. An urgent one goes before those that are less so.
  */
-import { limitNow } from '../../policy/serverLimit.js';
-import { spreadRetryMs } from '../../policy/retrySpread.js';
+import { currentLimit } from '../../policy/serverLimit.js';
+import { addRetryJitter } from '../../policy/retryJitter.js';
 import type { GatewayState } from '../../state.js';
 import type { RequestRecord } from '../../types/request.js';
 import { modelOf } from '../engineModels.js';
@@ -41,7 +41,7 @@
   const waitMs = Math.min(mostRetryMs, Math.max(0, atMs - nowMs));
   told.set(urgency, nowMs + waitMs);
   state.retryAfterTimes.set(service, told);
-  return spreadRetryMs(waitMs, facts.requestId);
+  return addRetryJitter(waitMs, facts.requestId);
 }
 
 /** What servers that name limits or rest will take. */
@@ -63,7 +63,7 @@
   const { stayMs } = modelOf(state, service, nowMs);
   for (const view of statingServersOf(state, service)) {
     const { limit, rest } = view.statements ?? {};
-    const limitPerSecond = limit && limitNow(limit, nowMs);
+    const limitPerSecond = limit && currentLimit(limit, nowMs);
     const isResting = rest !== undefined && restsUntilMs(rest) > nowMs;
     if (excludedServers.has(view.entry.id) || (limitPerSecond === undefined && !isResting))
       continue;
@@ -91,7 +91,7 @@
     ...leavingServersOf(state, service).map(({ announcement }) => announcement.changedAtMs),
   );
   if (bootMs === undefined || leftAtMs + bootMs <= nowMs) return undefined;
-  return spreadRetryMs(leftAtMs + bootMs - nowMs, facts.requestId);
+  return addRetryJitter(leftAtMs + bootMs - nowMs, facts.requestId);
 }
 
 function bootMsOf({ active }: GatewayState, service: string): number | undefined {
--- a/packages/reedlug-gateway/src/slices/statements/senderPart.ts
+++ b/packages/reedlug-gateway/src/slices/statements/senderPart.ts
@@ -8,7 +8,7 @@
  * within the limit.
  */
 import { hashString } from 'reedlug-coordination';
-import { sendersOf } from '../../policy/serverLimit.js';
+import { senderCount } from '../../policy/serverLimit.js';
 import type { GatewayState } from '../../state.js';
 import { incarnationOf, type ServerIncarnation } from '../../types/server.js';
 import type { ReachableFleet, SenderRank, ServerLimit } from '../../types/serverStatement.js';
@@ -37,7 +37,7 @@
 ): number {
   const isFirstLook = limit.rank === undefined;
   const rank = rankOf(state, { life: incarnationOf(view.entry), ranked: limit, nowMs });
-  const senders = sendersOf(perSecond, nowMs - limit.receivedAtMs);
+  const senders = senderCount(perSecond, nowMs - limit.receivedAtMs);
   // The callers of a box that stops go to others.
   const isSender = rank < senders && state.stoppingSinceMs === undefined;
   noteSender(state, limit, { isSender, isFirstLook, nowMs });
--- a/packages/reedlug-gateway/src/slices/waitingSends.ts
+++ b/packages/reedlug-gateway/src/slices/waitingSends.ts
@@ -5,7 +5,7 @@
  * that others can't serve either is refused at once.
  */
 import type { Choice } from '../policy/chooseServer.js';
-import { spreadRetryMs } from '../policy/retrySpread.js';
+import { addRetryJitter } from '../policy/retryJitter.js';
 import { log, type GatewayState, type Step } from '../state.js';
 import type { EventOf } from '../types/event.js';
 import type { WorkspaceSpec } from '../types/configuration.js';
@@ -121,6 +121,6 @@
     divisor: state.part.divisor,
   });
   const waitMs = timeToUnits(state, workspace, units, step.nowMs);
-  const retryAfterMs = spreadRetryMs(waitMs, facts.requestId);
+  const retryAfterMs = addRetryJitter(waitMs, facts.requestId);
   refuse(step, { exchangeId, facts, status: 429, reason: 'overLimit', retryAfterMs });
 }
