--- a/packages/reedlug-gateway/src/policy/__tests__/chooseServer.test.ts
+++ b/packages/reedlug-gateway/src/policy/__tests__/chooseServer.test.ts
@@ -4,7 +4,7 @@
 import type { PromptPart, RequestFacts } from '../../types/request.js';
 import { chooseServer } from '../chooseServer.js';
 
-/** A box that knows so many idle engines. */
+/** Creates a box that knows this many idle engines. */
 function createBoxWith(engines: number): TestBox {
   const box = createBox();
   const entries = Array.from({ length: engines }, (_, index) =>
@@ -26,10 +26,10 @@
   return facts({ requestId, promptTokens: 1000, maxOutputTokens: 10, promptParts });
 }
 
-test('boxes that see the same old loads do not all choose the same of many engines', () => {
+test('boxes that see the same outdated loads do not all choose the same of many engines', () => {
   const counts = new Map<string, number>();
   for (let index = 0; index < 60; index += 1) {
-    // Each request comes at another box, which knows of none of the others.
+    // Each request arrives at another box, which does not know the other requests.
     const chosen = chosenFor(createBoxWith(30), prompt(index)) ?? '';
     counts.set(chosen, (counts.get(chosen) ?? 0) + 1);
   }
@@ -37,7 +37,7 @@
   expect(Math.max(...counts.values())).to.be.lessThan(8);
 });
 
-test('requests about one subject go to its home among many engines', () => {
+test('requests with the same shared prompt part go to one preferred engine among many', () => {
   const parts = [
     { id: 'a1', tokens: 6000 },
     { id: 'own', tokens: 500 },
@@ -48,14 +48,14 @@
   expect(chosen.size).to.equal(1);
 });
 
-test('of few engines the least loaded one is chosen', () => {
+test('among few engines the least loaded one is chosen', () => {
   const box = createBoxWith(8);
   for (const view of box.state.servers.values())
     view.running = view.entry.id === 'engine-5' ? 0 : 9;
   expect(chosenFor(box, prompt(1))).to.equal('engine-5');
 });
 
-/** A box of zone-a that knows engines of five zones, four in each. */
+/** Creates a box in zone-a that knows engines in five zones, four in each. */
 function createBoxOfFiveZones(): TestBox {
   const box = createBox();
   const zones = ['zone-a', 'zone-b', 'zone-c', 'zone-d', 'zone-e'];
@@ -80,13 +80,13 @@
   return new Set(chosen);
 }
 
-test('a request that found no connection stays in its zone', () => {
+test('a request that failed to connect stays in the zone of its box', () => {
   const box = createBoxOfFiveZones();
   expect(zonesChosen(box, false).size).to.equal(5);
   expect([...zonesChosen(box, true)]).to.deep.equal(['zone-a']);
 });
 
-test('servers of zones that are not heard are left out while others are there', () => {
+test('servers in silent zones are left out while there are others', () => {
   const box = createBoxOfFiveZones();
   box.state.silentZones = new Set(['zone-b', 'zone-c', 'zone-d', 'zone-e']);
   expect([...zonesChosen(box, false)]).to.deep.equal(['zone-a']);
@@ -96,7 +96,7 @@
   expect(zonesChosen(box, false).size).to.equal(4);
 });
 
-test('of many idle engines the one is chosen that ranks first for the request', () => {
+test('among many idle engines the one that ranks first for the request is chosen', () => {
   const box = createBoxWith(200);
   for (let index = 0; index < 50; index += 1) {
     const keyHash = hashString(`request-${index}`);
@@ -108,7 +108,7 @@
 });
 
 test('a choice among 1,000 engines takes a fraction of a millisecond', () => {
-  // 977 µs with all of them hashed and sorted for each request, 160 µs since (median of runs alone).
+  // Median: 160 µs; hashing and sorting all engines for each request takes 977 µs.
   const box = createBoxWith(1000);
   for (let index = 0; index < 300; index += 1) chosenFor(box, prompt(index));
   const takenMs = Array.from({ length: 100 }, (_, index) => {
--- a/packages/reedlug-gateway/src/policy/__tests__/crashVerdict.test.ts
+++ b/packages/reedlug-gateway/src/policy/__tests__/crashVerdict.test.ts
@@ -2,7 +2,7 @@
 import type { CrashSuspect, ServerCrash } from '../../types/crashSuspect.js';
 import { causesCrashes, isSameCrash } from '../crashVerdict.js';
 
-/** A request that ran for 60 ms at a server until it ended. */
+/** Returns a crash of a server 60 ms after the request was sent. */
 function crash(serverId: string, endedAtMs: number, changes: Partial<ServerCrash> = {}) {
   return { serverId, bornAtMs: 1, sentAtMs: endedAtMs - 60, endedAtMs, ...changes };
 }
@@ -19,7 +19,7 @@
   };
 }
 
-/** Judges the first of some suspects, beside crashes at which none of them was. */
+/** Evaluates the first suspect; `others` are crashes at which no suspect was present. */
 function evaluate(suspects: CrashSuspect[], others: ServerCrash[] = []): boolean {
   const recent = [...others, ...suspects.flatMap(({ crashes }) => crashes)];
   const distinct = recent.filter(
@@ -28,31 +28,31 @@
   return causesCrashes(suspects[0] as CrashSuspect, { suspects, recent: distinct });
 }
 
-test('three crashes one after the other make a culprit, two do not', () => {
+test('three consecutive crashes suffice to block a request, two do not', () => {
   const crashes = [crash('a', 100), crash('b', 200), crash('c', 500)];
   expect(evaluate([suspect('x', crashes)])).to.equal(true);
   expect(evaluate([suspect('x', crashes.slice(0, 2))])).to.equal(false);
 });
 
-test('crashes of one moment count as one round where servers went without the request', () => {
+test('simultaneous crashes count as one round if servers crashed without the request', () => {
   const crashes = [crash('a', 100), crash('b', 101), crash('c', 102), crash('d', 110)];
   const others = ['e', 'f', 'g', 'h', 'i'].map((id) => crash(id, 105));
   expect(evaluate([suspect('popular', crashes)], others)).to.equal(false);
 });
 
-test('a send at the moment of a crash does not make a second round of it', () => {
+test('a send at the moment of a crash does not start a second round', () => {
   const crashes = [crash('a', 100), crash('b', 101), crash('c', 103, { sentAtMs: 101 })];
   const others = ['e', 'f', 'g'].map((id) => crash(id, 105));
   expect(evaluate([suspect('popular', crashes)], others)).to.equal(false);
 });
 
-test('copies that came at once make a culprit with the next crash, and not before', () => {
+test('copies that arrive at once are found to cause crashes only after one further crash', () => {
   const crashes = ['a', 'b', 'c', 'd', 'e'].map((id) => crash(id, 100));
   expect(evaluate([suspect('x', crashes)])).to.equal(false);
   expect(evaluate([suspect('x', [...crashes, crash('f', 2000)])])).to.equal(true);
 });
 
-test('who was at each crash beside another one is not told from it, and waits', () => {
+test('a suspect that was always present with another one is not blocked until a crash tells them apart', () => {
   const crashes = [crash('a', 100), crash('b', 200), crash('c', 500)];
   expect(evaluate([suspect('x', crashes), suspect('y', [...crashes])])).to.equal(false);
   const next = [...crashes, crash('d', 900)];
@@ -60,19 +60,19 @@
   expect(evaluate([suspect('y', crashes), suspect('x', next)])).to.equal(false);
 });
 
-test('crashes of one that is kept out count for no other', () => {
+test('crashes of a blocked request count for no other suspect', () => {
   const crashes = [crash('a', 100), crash('b', 200), crash('c', 500)];
   const known = suspect('x', crashes, { blockedSinceMs: 600 });
   const beside = suspect('y', [...crashes, crash('d', 700)]);
   expect(evaluate([beside, known])).to.equal(false);
 });
 
-test('five crashes in three rounds suffice whoever else was there', () => {
+test('five crashes in three rounds suffice whichever other suspects were present', () => {
   const crashes = ['a', 'b', 'c', 'd', 'e'].map((id, index) => crash(id, 100 + index * 100));
   expect(evaluate([suspect('x', crashes), suspect('y', [...crashes])])).to.equal(true);
 });
 
-test('two lives under one id are two crashes, two words on one life are one', () => {
+test('two incarnations of one id are two crashes, two reports of one incarnation are one', () => {
   expect(isSameCrash(crash('a', 100), crash('a', 9000))).to.equal(true);
   expect(isSameCrash(crash('a', 100), crash('a', 200, { bornAtMs: 2 }))).to.equal(false);
   const untold = { bornAtMs: undefined };
@@ -80,7 +80,7 @@
   expect(isSameCrash(crash('a', 100, untold), crash('a', 3000, untold))).to.equal(false);
 });
 
-test('who was there for long without an event is less likely than who had just come', () => {
+test('a request that was open for long without an event is less likely than a recent one', () => {
   const alone = crash('a', 100, { sentAtMs: -900 });
   const ends = [crash('b', 1500), crash('c', 2700)];
   const long = ends.map((end) => ({ ...end, sentAtMs: end.endedAtMs - 1200 }));
@@ -91,7 +91,7 @@
   expect(evaluate([suspect('x', [...ends, third]), innocent])).to.equal(true);
 });
 
-test('who had come 5 ms before a crash is no likelier than who had come 150 ms before', () => {
+test('a request sent 5 ms before a crash is no likelier than one sent 150 ms before', () => {
   const ends = [crash('a', 1000), crash('b', 2000), crash('c', 3000)];
   const culprit = suspect(
     'x',
--- a/packages/reedlug-gateway/src/policy/__tests__/engineModel.test.ts
+++ b/packages/reedlug-gateway/src/policy/__tests__/engineModel.test.ts
@@ -17,7 +17,10 @@
   slots: number;
 }
 
-/** Sends to engines of a kind, as a box sees them; every `badEvery`th goes to one that is `badFactor` times as slow. */
+/**
+ * Records sends to engines of one kind; every `badEvery`th send goes to an engine that is
+ * `badFactor` times as slow.
+ */
 function observe(
   engine: TrueEngine,
   params: { sends: number; badEvery?: number; badFactor?: number },
@@ -46,7 +49,7 @@
 ];
 
 for (const engine of ENGINES) {
-  test(`${engine.tokensPerMs} tokens a ms and ${engine.slots} places are learned from 150 sends`, () => {
+  test(`${engine.tokensPerMs} tokens per ms and ${engine.slots} slots are learned from 150 sends`, () => {
     const model = fitEngineModel(observe(engine, { sends: 150 }).sums);
     expect(model.tokensPerMs).to.be.closeTo(engine.tokensPerMs, engine.tokensPerMs * 0.15);
     const idle = expectedWaitMs(model, { tokens: 5000, running: 0, slots: engine.slots });
@@ -64,14 +67,14 @@
   expect(model.tokensPerMs).to.be.within(67, 133);
 });
 
-test('before any send the start values hold', () => {
+test('before any send the initial model applies', () => {
   const model = fitEngineModel(createSendSums());
   expect(model.sends).to.equal(0);
   expect(model.tokensPerMs).to.be.closeTo(60, 0.01);
   expect(model.stayMs).to.equal(500);
 });
 
-test('sums of boxes add up to what one box would have seen', () => {
+test('sums of several boxes add up to those of a single box', () => {
   const engine = { tokensPerMs: 100, runningMs: 0.5, slots: 24 };
   const parts = [observe(engine, { sends: 30 }).sums, observe(engine, { sends: 30 }).sums];
   const model = fitEngineModel(addSendSums(parts));
@@ -82,14 +85,14 @@
   expect(model.tokensPerMs).to.be.closeTo(100, 15);
 });
 
-test('a send that found no place free teaches nothing of the reading', () => {
+test('a send without a free slot does not change the prefill rate', () => {
   const own: OwnSends = { sums: createSendSums(), decayedAtMs: 0 };
   const conditions = { tokens: 100, running: 24, slots: 24, unread: 0 };
   recordWait(own, { conditions, waitMs: 4000, expectedMs: 50, nowMs: 0 });
   expect(own.sums.sends).to.equal(0);
 });
 
-test('a send behind many prompts teaches nothing of the reading', () => {
+test('a send behind many prompts does not change the prefill rate', () => {
   const noted = (unread: number): number => {
     const own: OwnSends = { sums: createSendSums(), decayedAtMs: 0 };
     const conditions = { tokens: 40_000, running: 20, unread, slots: 48 };
@@ -100,7 +103,7 @@
   expect(noted(3)).to.equal(0);
 });
 
-test('absurd times leave the figures finite', () => {
+test('invalid times leave the model finite', () => {
   const own: OwnSends = { sums: createSendSums(), decayedAtMs: 0 };
   const conditions = { tokens: 0, running: 0, slots: 1, unread: 0 };
   for (const waitMs of [0, Number.NaN, Number.POSITIVE_INFINITY, -5]) {
@@ -112,7 +115,7 @@
     expect(Number.isFinite(value)).to.equal(true);
 });
 
-test('with all places taken, the wait for one is part of what is expected', () => {
+test('the expected time includes the wait for a slot if all are in use', () => {
   const model: EngineModel = {
     baseMs: 20,
     tokensPerMs: 100,
@@ -125,14 +128,14 @@
   expect(expectedWaitMs(model, { tokens: 0, running: 19, slots: 10 })).to.equal(1020);
 });
 
-test('a registry entry without places does not divide by nothing', () => {
+test('a registry entry without slots does not divide by zero', () => {
   const model = fitEngineModel(createSendSums());
   expect(Number.isFinite(expectedWaitMs(model, { tokens: 0, running: 3, slots: 0 }))).to.equal(
     true,
   );
 });
 
-test('a cold start is forgotten', () => {
+test('the effect of a cold start decays', () => {
   const engine = { tokensPerMs: 100, runningMs: 0.5, slots: 24 };
   const cold = observe(engine, { sends: 60, badEvery: 1, badFactor: 3 });
   const warm = observe(engine, { sends: 60 });
--- a/packages/reedlug-gateway/src/policy/__tests__/engineTarget.test.ts
+++ b/packages/reedlug-gateway/src/policy/__tests__/engineTarget.test.ts
@@ -8,7 +8,7 @@
   type ZoneOffer,
 } from '../engineTarget.js';
 
-/** An engine that reads so many tokens a ms. */
+/** Returns the model of an engine with this prefill rate. */
 function engine(tokensPerMs: number): EngineModel {
   return { baseMs: 20, tokensPerMs, runningMs: 0.5, stayMs: 800, sends: 100 };
 }
@@ -46,14 +46,14 @@
   },
 ];
 
-/** Zones in which no more is granted than there is, where nothing else is said. */
+/** Returns zone offers; unless stated, only ready engines are granted. */
 function offers(
   zones: readonly (Omit<ZoneOffer, 'granted'> & { granted?: number })[],
 ): ZoneOffer[] {
   return zones.map((zone) => ({ ...zone, granted: zone.granted ?? zone.readyReclaimable }));
 }
 
-/** The plan of a service with reclaimable engines, four of all kinds in a zone at most. */
+/** Plans a service with reclaimable engines and at most four engines of all kinds per zone. */
 function planFor(need: EngineNeed, zones: Parameters<typeof offers>[0]) {
   return spreadEngines({
     need,
@@ -64,28 +64,28 @@
   });
 }
 
-test('without load a few engines stay', () => {
+test('a few engines remain without load', () => {
   expect(needOf({})).to.deep.equal({ usual: 3, least: 2 });
 });
 
-test('engines grow with the tokens to be read', () => {
+test('the number of engines grows with the prompt tokens', () => {
   const { usual, least } = needOf({ tokensPerSecond: 50_000 });
   expect(usual).to.equal(6);
   expect(least).to.equal(4);
 });
 
-test('engines grow with the requests in progress', () => {
+test('the number of engines grows with the requests in progress', () => {
   expect(needOf({ openRequests: 110 })).to.deep.equal({ usual: 11, least: 7 });
   expect(needOf({ openRequests: 110 }, 24, 100, 4)).to.deep.equal({ usual: 15, least: 7 });
   expect(needOf({ openRequests: 110 }, 128)).to.deep.equal({ usual: 3, least: 2 });
 });
 
-test('quicker engines are fewer', () => {
+test('fewer engines are needed if they are faster', () => {
   const load = { tokensPerSecond: 170_000 };
   expect(needOf(load, 24, 157).usual).to.be.lessThan(needOf(load, 24, 36).usual / 3);
 });
 
-test('the loss of half of the zones leaves what is needed at least', () => {
+test('the loss of half of the zones leaves the minimum', () => {
   for (const zones of [2, 3, 4, 6]) {
     for (let openRequests = 0; openRequests < 400; openRequests += 7) {
       const { usual, least } = needOf({ openRequests }, 24, 100, zones);
@@ -95,14 +95,14 @@
   }
 });
 
-test('engines that nobody takes back need no reserve', () => {
+test('engines that are never reclaimed need no reserve', () => {
   const load = { openRequests: 110, tokensPerSecond: 0 };
   const params = { load, model: engine(100), slots: 24, zones: 4 };
   expect(enginesNeeded({ ...params, hasReclaimable: false }).usual).to.equal(10);
   expect(enginesNeeded({ ...params, hasReclaimable: true }).usual).to.equal(15);
 });
 
-test('reclaimable engines spread over zones, the cheapest first', () => {
+test('reclaimable engines are spread over zones, the cheapest first', () => {
   const zones = ZONES.map((zone) => ({ ...zone, readyReclaimable: 2 }));
   const plan = planFor({ usual: 4, least: 3 }, zones);
   expect(plan).to.deep.equal([
@@ -112,7 +112,7 @@
   ]);
 });
 
-test('on-demand engines fill what a reclaim leaves missing', () => {
+test('on-demand engines replace reclaimed ones', () => {
   const zones = [
     {
       zone: 'zone-a',
@@ -144,7 +144,7 @@
   expect(plan[0]).to.deep.equal({ zone: 'zone-a', reclaimable: 0, onDemand: 1 });
 });
 
-test('without reclaimable engines all are on demand', () => {
+test('all engines are on demand if none are reclaimable', () => {
   const plan = spreadEngines({
     need: { usual: 4, least: 2 },
     zones: offers(ZONES),
@@ -155,7 +155,7 @@
   expect(plan.map(({ onDemand }) => onDemand)).to.deep.equal([2, 1, 1]);
 });
 
-test('a full zone that runs dry leaves its room to on-demand engines', () => {
+test('a zone that is out of capacity accepts on-demand engines', () => {
   const zones = ZONES.map((zone) => ({
     ...zone,
     isOutOfCapacity: true,
@@ -167,20 +167,20 @@
   expect(plan.map(({ onDemand }) => onDemand)).to.deep.equal([2, 2, 2]);
 });
 
-test('on-demand engines stay while the zone may have reclaimable ones again', () => {
+test('on-demand engines stay until ordered reclaimable ones are ready', () => {
   const zones = ZONES.map((zone) => ({ ...zone, isOutOfCapacity: false, onDemand: 2 }));
   const plan = planFor({ usual: 12, least: 6 }, zones);
   expect(plan.map(({ onDemand }) => onDemand)).to.deep.equal([2, 2, 2]);
   expect(plan.map(({ reclaimable }) => reclaimable)).to.deep.equal([2, 2, 2]);
 });
 
-test('on-demand engines go where fewest engines are', () => {
+test('on-demand engines are ordered in the zones with the fewest engines', () => {
   const zones = ZONES.map((zone, index) => ({ ...zone, readyReclaimable: [3, 3, 0][index] ?? 0 }));
   const plan = planFor({ usual: 6, least: 8 }, zones);
   expect(plan.find(({ zone }) => zone === 'zone-c')?.onDemand).to.equal(2);
 });
 
-test('a dry zone keeps what is on its way, and on-demand engines are not ordered for it', () => {
+test('a zone out of capacity keeps its starting engines, and no on-demand engines replace them', () => {
   const zones = ZONES.map((zone) => ({
     ...zone,
     isOutOfCapacity: true,
@@ -192,13 +192,13 @@
   expect(plan.map(({ onDemand }) => onDemand)).to.deep.equal([0, 0, 0]);
 });
 
-test('on-demand engines go once reclaimable ones are there', () => {
+test('on-demand engines are released once reclaimable ones are ready', () => {
   const zones = ZONES.map((zone) => ({ ...zone, readyReclaimable: 2, onDemand: 2 }));
   const plan = planFor({ usual: 6, least: 5 }, zones);
   expect(plan.map(({ onDemand }) => onDemand)).to.deep.equal([0, 0, 0]);
 });
 
-test('nothing moves while what is ordered fits', () => {
+test('no engine moves while the ordered numbers fit', () => {
   const zones = ZONES.map((zone, index) => ({
     ...zone,
     reclaimable: index === 1 ? 4 : 1,
@@ -214,7 +214,7 @@
   expect(plan.map(({ onDemand }) => onDemand)).to.deep.equal([0, 0, 0]);
 });
 
-test('while zones are taken back, on-demand engines stand in for the next zone', () => {
+test('while zones are being reclaimed, on-demand engines cover the loss of one more zone', () => {
   const zones = ZONES.map((zone, index) => ({
     ...zone,
     isOutOfCapacity: true,
--- a/packages/reedlug-gateway/src/policy/__tests__/rolloutStep.test.ts
+++ b/packages/reedlug-gateway/src/policy/__tests__/rolloutStep.test.ts
@@ -24,31 +24,31 @@
   };
 }
 
-test('a bad version goes back from wherever it is', () => {
+test('a bad version is rolled back from any phase', () => {
   const phases = [RolloutPhase.sampling, RolloutPhase.widened, RolloutPhase.shifted];
   for (const phase of phases) {
     expect(nextPhase(facts({ phase, verdict: Verdict.bad }))).to.equal(RolloutPhase.rolledBack);
   }
 });
 
-test('nothing moves before a box knows how far it was', () => {
+test('the phase does not change while the recorded one is unknown', () => {
   const held = facts({ phase: RolloutPhase.held, ageMs: 60_000, verdict: Verdict.bad });
   expect(nextPhase(held)).to.equal(RolloutPhase.held);
 });
 
-test('a version of which too little is known by the deadline goes back', () => {
+test('a version without enough evidence by the deadline is rolled back', () => {
   expect(nextPhase(facts({ ageMs: 11_600, verdict: Verdict.unknown }))).to.equal(
     RolloutPhase.rolledBack,
   );
   expect(nextPhase(facts({ ageMs: 11_600, newServers: 1 }))).to.equal(RolloutPhase.rolledBack);
 });
 
-test('where the target serves alone it is completed at once', () => {
+test('a roll-out is completed at once if only the target version serves', () => {
   expect(nextPhase(facts({ oldServers: 0, oldAnswers: 0 }))).to.equal(RolloutPhase.completed);
   expect(nextPhase(facts({ oldServers: 0 }))).to.equal(RolloutPhase.sampling);
 });
 
-test('a version that is bad only under full load has had less than the bound when it is found', () => {
+test('a version that fails only under full load gets less than the bound before it is found bad', () => {
   const foundAfterMs = 700;
   for (const durationMs of [12_000, 20_000, 60_000]) {
     let phase: RolloutPhase = RolloutPhase.sampling;
@@ -61,12 +61,12 @@
       exposedMs += tickMs * shareOfPhase(phase, ALLOWED_SHARE);
     }
     expect(phase).to.equal(RolloutPhase.rolledBack);
-    // 187 requests a second: 50 on top are 0.27 s of them.
+    // At 187 requests a second, the 50 requests on top correspond to 0.27 s.
     expect(exposedMs).to.be.lessThan(durationMs * ALLOWED_SHARE + 270);
   }
 });
 
-test('a sound version is completed before its deadline', () => {
+test('a good version is completed before its deadline', () => {
   let phase: RolloutPhase = RolloutPhase.sampling;
   let ageMs = 0;
   for (; phase !== RolloutPhase.completed && ageMs < 20_000; ageMs += 50) {
@@ -75,7 +75,7 @@
   expect(ageMs).to.be.within(11_000, 11_700);
 });
 
-test('seldom routes get as large a sample as frequent ones', () => {
+test('rare routes get as large a sample as frequent ones', () => {
   const answers = new Map([
     ['draft', 400],
     ['review', 900],
@@ -96,7 +96,7 @@
   ).to.equal(0.3);
 });
 
-test('boxes that tell each other their phases agree', () => {
+test('boxes that exchange their phases agree', () => {
   expect(laterPhase(RolloutPhase.shifted, RolloutPhase.rolledBack)).to.equal('rolledBack');
   expect(laterPhase(RolloutPhase.completed, RolloutPhase.rolledBack)).to.equal('completed');
   expect(laterPhase(RolloutPhase.sampling, RolloutPhase.held)).to.equal('sampling');
--- a/packages/reedlug-gateway/src/policy/__tests__/rolloutVerdict.test.ts
+++ b/packages/reedlug-gateway/src/policy/__tests__/rolloutVerdict.test.ts
@@ -14,30 +14,30 @@
   return evaluateRollout({ trial: trials, usual: usuals }).verdict;
 }
 
-test('few answers say nothing', () => {
+test('a few answers give no verdict', () => {
   expect(verdictOf([])).to.equal(Verdict.unknown);
   expect(verdictOf([trial({ answers: 5 })])).to.equal(Verdict.unknown);
   expect(verdictOf([trial({ answers: 3, failed: 1 })])).to.equal(Verdict.unknown);
 });
 
-test('a version that answers as the old one does is good', () => {
+test('a version that answers like the old one is good', () => {
   expect(verdictOf([trial({ answers: 40 })])).to.equal(Verdict.good);
   expect(verdictOf([trial({ answers: 60, failed: 1, slow: 2 })])).to.equal(Verdict.good);
 });
 
-test('failures and slow answers make it bad', () => {
+test('failures and slow answers make a version bad', () => {
   expect(verdictOf([trial({ answers: 12, failed: 4 })])).to.equal(Verdict.bad);
   expect(verdictOf([trial({ answers: 12, slow: 6 })])).to.equal(Verdict.bad);
 });
 
-test('what the old version shows as well is no verdict', () => {
+test('faults that the old version shows as well give no verdict', () => {
   const burst = usual({ answers: 400, failed: 120, slow: 200 });
   expect(verdictOf([trial({ answers: 30, failed: 9, slow: 15 })], [burst])).not.to.equal(
     Verdict.bad,
   );
 });
 
-test('a version that is bad on one seldom route is bad', () => {
+test('a version that is bad on one rare route is bad', () => {
   const trials = [
     trial({ route: 'chat', answers: 80 }),
     trial({ route: 'draft', answers: 8, failed: 4 }),
@@ -46,7 +46,7 @@
   expect(verdictOf(trials, usuals)).to.equal(Verdict.bad);
 });
 
-test('a version that turns bad after a good start is bad by its last answers', () => {
+test('a version that becomes bad after a good start is bad by its recent answers', () => {
   const ever = { trial: [trial({ answers: 150, failed: 5 })], usual: [usual({ answers: 2000 })] };
   const lately = {
     trial: [trial({ answers: 12, failed: 5 })],
@@ -56,7 +56,7 @@
   expect(evaluateRollout(ever, [lately]).verdict).to.equal(Verdict.bad);
 });
 
-test('what both versions have failed lately is no verdict', () => {
+test('recent failures of both versions give no verdict', () => {
   const ever = { trial: [trial({ answers: 150, failed: 5 })], usual: [usual({ answers: 2000 })] };
   const lately = {
     trial: [trial({ answers: 12, failed: 5 })],
@@ -65,15 +65,15 @@
   expect(evaluateRollout(ever, [lately]).verdict).not.to.equal(Verdict.bad);
 });
 
-test('one failing server among several is no failing version', () => {
+test('one failing server among several does not make the version bad', () => {
   const trials = ['a', 'b', 'c', 'd'].map((serverId) =>
     trial({ serverId, answers: 10, failed: serverId === 'c' ? 9 : 0 }),
   );
   expect(verdictOf(trials)).not.to.equal(Verdict.bad);
 });
 
-test('wrong verdicts are seldom whatever the old version fails', () => {
-  // Every answer is looked at, as many as a roll-out of 12 s gathers.
+test('wrong verdicts are rare', () => {
+  // The verdict is checked after each answer, for as many answers as a roll-out of 12 s gathers.
   let seed = 1;
   const chance = (share: number): boolean => {
     seed = (seed * 1_103_515_245 + 12_345) % 2_147_483_648;
--- a/packages/reedlug-gateway/src/policy/__tests__/serverLimit.test.ts
+++ b/packages/reedlug-gateway/src/policy/__tests__/serverLimit.test.ts
@@ -9,7 +9,7 @@
   senderCount,
 } from '../serverLimit.js';
 
-/** Counts what a box sends that tries each 20 ms, and gives the times. */
+/** Returns the times at which a box sends if it tries every 20 ms. */
 function sendAll(
   shareAt: (nowMs: number) => number,
   forMs: number,
@@ -38,42 +38,45 @@
   );
 }
 
-test('a box keeps to its part over each four seconds, and uses it', () => {
-  for (const part of [0.1, 0.4, 1, 1.2, 3, 8, 50]) {
+test('a box keeps to its share over each four seconds, and uses it', () => {
+  for (const share of [0.1, 0.4, 1, 1.2, 3, 8, 50]) {
     for (const replacedAnotherBox of [true, false]) {
-      const sent = sendAll(() => part, 40_000, replacedAnotherBox);
-      const label = `${part} a second`;
-      expect(maxInWindow(sent, 4000), label).to.be.at.most(Math.ceil(part * 4) + 1);
-      expect(sent.length, label).to.be.within(part * 40 - part * 4 - 1, part * 40 + 4 * part + 1);
+      const sent = sendAll(() => share, 40_000, replacedAnotherBox);
+      const label = `${share} per second`;
+      expect(maxInWindow(sent, 4000), label).to.be.at.most(Math.ceil(share * 4) + 1);
+      expect(sent.length, label).to.be.within(
+        share * 40 - share * 4 - 1,
+        share * 40 + 4 * share + 1,
+      );
     }
   }
 });
 
-test('a box that takes the place of another one begins with nothing', () => {
+test('a box that replaces another one delays its first send', () => {
   const sent = sendAll(() => 2, 4000, true);
   expect(sent[0]).to.equal(500);
   expect(sent.length).to.be.at.most(8);
 });
 
-test('a box without a part never sends', () => {
+test('a box without a share never sends', () => {
   expect(sendAll(() => 0, 10_000, false)).to.deep.equal([]);
   const sends: LimitedSends = { atMs: [], sharingSinceMs: undefined, replacedAnotherBox: false };
   expect(nextSendAtMs(sends, 5, 1000)).to.equal(Number.POSITIVE_INFINITY);
 });
 
-test('half a request a second is left to each box that sends', () => {
+test('each box that sends gets at least half a request per second', () => {
   expect([0, 0.4, 1, 1.9, 8, 50].map((limit) => senderCount(limit, 0))).to.deep.equal([
     1, 1, 2, 3, 16, 100,
   ]);
   expect(senderCount(1, 40_000)).to.equal(4);
 });
 
-test('a limit of nothing leaves one send in ten seconds, to hear of its end', () => {
+test('a limit of zero leaves one send in ten seconds, which shows its end', () => {
   const observation = { perSecond: 0, lastPerSecond: 0, sentAtMs: 0, receivedAtMs: 0 };
   expect(currentLimit(observation, 1000)).to.equal(0.1);
 });
 
-test('after its end a limit rises until it is gone', () => {
+test('after its end a limit rises until it no longer applies', () => {
   const observation = { perSecond: undefined, lastPerSecond: 2, sentAtMs: 0, receivedAtMs: 0 };
   expect(currentLimit(observation, 0)).to.equal(2);
   expect(currentLimit(observation, 1000)).to.equal(8);
@@ -92,7 +95,7 @@
     receivedAtMs: sentAtMs + tookMs,
   }));
 
-test('of two words the same one stands, whichever is heard first', () => {
+test('of two observations the same one counts, whichever is received first', () => {
   fc.assert(
     fc.property(observation, observation, (one, other) => {
       fc.pre(one.perSecond !== other.perSecond);
@@ -101,7 +104,7 @@
   );
 });
 
-test('an answer that was on its way when the need began does not end the limit', () => {
+test('an answer that was in flight when the limit was set does not end it', () => {
   const named = { perSecond: 1, sentAtMs: 900, receivedAtMs: 1000 };
   const before = { perSecond: undefined, sentAtMs: 800, receivedAtMs: 1100 };
   expect(isNewerLimit(before, named)).to.equal(false);
--- a/packages/reedlug-gateway/src/policy/__tests__/unitWindow.test.ts
+++ b/packages/reedlug-gateway/src/policy/__tests__/unitWindow.test.ts
@@ -16,7 +16,7 @@
   expect(unitsWithin(window, 1600)).to.equal(0);
 });
 
-test('units that count from a time ahead are in the window at once, and later ones stay in order', () => {
+test('units that count from a future time are in the window at once, and later ones stay in order', () => {
   const window = createUnitWindow(1000);
   addUnits(window, 50, 5500);
   addUnits(window, 10, 5050);
@@ -27,7 +27,7 @@
   expect(unitsWithin(window, 6600)).to.equal(0);
 });
 
-test('a window takes its burst at one moment and the rest with time', () => {
+test('a window accepts its burst at once and the rest over time', () => {
   const window = createUnitWindow(1000);
   const bound = { burst: 60, perMs: 0.04, sinceMs: 0 };
   expect(spareUnits(window, bound, 0)).to.equal(60);
@@ -36,11 +36,11 @@
   expect(spareUnits(window, bound, 600)).to.equal(20);
   addUnits(window, 20, 600);
   expect(spareUnits(window, bound, 600)).to.equal(0);
-  // The first 60 have left: of any span no more than its burst and its flow is taken.
+  // The first 60 units have left the window, so the whole burst is spare again.
   expect(spareUnits(window, bound, 1200)).to.equal(60);
 });
 
-test('no span of a window holds more than its bound, whatever is asked', () => {
+test('no span of a window exceeds its bound, whatever is requested', () => {
   const window = createUnitWindow(1000);
   const bound = { burst: 50, perMs: 0.05, sinceMs: 0 };
   const taken: { atMs: number; units: number }[] = [];
@@ -60,7 +60,7 @@
   }
 });
 
-test('the time to room is that after which so many units are let in', () => {
+test('the time until units are spare is that after which this many are accepted', () => {
   const window = createUnitWindow(1000);
   const bound = { burst: 60, perMs: 0.04, sinceMs: 0 };
   addUnits(window, 60, 0);
@@ -69,7 +69,7 @@
   expect(timeUntilSpareMs(window, [bound], { units: 60, nowMs: 100 })).to.equal(1000);
 });
 
-test('a bound that holds from a time on leaves out what was added before', () => {
+test('a bound that applies from a time on ignores earlier units', () => {
   const window = createUnitWindow(1000);
   const bound = { burst: 20, perMs: 0.01, sinceMs: 500 };
   addUnits(window, 90, 300);
--- a/packages/reedlug-gateway/src/policy/chooseServer.ts
+++ b/packages/reedlug-gateway/src/policy/chooseServer.ts
@@ -1,11 +1,12 @@
 /**
- * Choice of a backend server: the least expected time to the first event.
+ * Chooses the backend server with the lowest expected time to the first event.
  *
- * The time is what the service's sends have shown for what is open at the server
- * and for the prompt parts that it does not keep, more at a server that is slow
- * of late, and small charges for distance and recent failures.
- * Without news of a cache, the server that ranks first for the prompt's last
- * shared part is taken to keep its shared parts, so that all boxes agree.
+ * The estimate comes from the service's fitted model, the work in progress at the server
+ * and the prompt parts that its cache lacks. A server that was slow recently gets a longer
+ * estimate, and distance and recent failures add small costs.
+ * Servers do not report the contents of their caches, so the server that ranks first for
+ * the prompt's last shared part is assumed to hold the shared parts. All boxes compute the
+ * same ranking and therefore agree.
  */
 import { hashString } from 'reedlug-coordination';
 import type { RequestFacts } from '../types/request.js';
@@ -21,48 +22,60 @@
 import { failureScore, currentSlowness, SUSPECT_SCORE } from './serverHealth.js';
 import { silenceCostMs } from './serverSilence.js';
 
-/** Charge for a server in another zone, in ms: a round trip, and bytes between zones are paid for. */
+/** Cost of a server in another zone, in ms: a round trip, and traffic between zones is billed. */
 const OTHER_ZONE_COST_MS = 4;
-/** Charge for each recent failure, in ms: a failed send costs about a request's time. */
+/** Cost of each recent failure, in ms: a failed send takes about as long as a request. */
 const FAILURE_COST_MS = 60;
-/** Charge for a server whose registry entry has lapsed, in ms: another is better while there is one. */
+/**
+ * Cost of a server whose registry entry is missing and about to expire, in ms: it is used only if
+ * no other server is left.
+ */
 const EXPIRING_COST_MS = 300;
-/** What an answer of a server is worth whose limit may have ended, in ms: with it all boxes use the server again. */
+/**
+ * Bonus for a server whose limit may have ended, in ms: its next answer lets all boxes use it
+ * again.
+ */
 const LIMIT_PROBE_BONUS_MS = 200;
-/** Time for which a prompt part is taken to stay in an engine's cache, in ms. */
+/** Time for which a prompt part is assumed to stay in an engine's cache, in ms. */
 const CACHE_RETENTION_MS = 30_000;
 
-/** Servers up to which all are compared: a choice among twelve takes some tens of microseconds. */
+/**
+ * Maximum number of candidates that are all compared: a choice among twelve takes some tens of
+ * microseconds.
+ */
 const MAX_COMPARED_SERVERS = 12;
-/** Servers drawn for a request among many, besides its home: more bring little over two, and spread less. */
+/**
+ * Number of servers sampled for a request, in addition to the preferred one: more than two add
+ * little, and more samples spread the requests less.
+ */
 const SAMPLED_SERVERS = 4;
 
-/** A chosen server with the figures that decided it. */
+/** A chosen server with the figures behind the choice. */
 export interface Choice {
   view: ServerView;
   costMs: number;
-  /** Prompt tokens that it is expected to read. */
+  /** Prompt tokens that the server is expected to process. */
   prefillTokens: number;
-  /** What the expectation rests on. */
+  /** State of the server that the estimate is based on. */
   conditions: SendConditions;
-  /** Expected time to the first event, without charges. */
+  /** Expected time to the first event, without added costs. */
   expectedMs: number;
 }
 
-/** The best server for a request, or undefined when none may take it. */
+/** Returns the best server for a request, or undefined if no server may accept it. */
 export function chooseServer(
   state: GatewayState,
   params: {
     service: string;
     facts: RequestFacts;
-    /** 0 to 9; prompts of less urgent requests are read after it. */
+    /** 0 to 9; prompts of less urgent requests are processed after it. */
     urgency: number;
     excludedServers: ReadonlySet<string>;
-    /** True once a send of the request found no connection. */
+    /** True once an attempt of the request failed to connect. */
     staysInZone?: boolean;
-    /** Servers that the request may go to by their version; all when left out. */
+    /** Selects the servers whose version may serve the request; all servers if omitted. */
     isAllowed?: (view: ServerView) => boolean;
-    /** Set for a request that may crash its server: the hash by which all boxes send it to one place. */
+    /** Set for a crash suspect: a hash by which all boxes send its copies to the same server. */
     trialHash?: number | undefined;
     nowMs: number;
   },
@@ -86,7 +99,7 @@
   }
   const healthy = eligible.filter((view) => failureScore(view, nowMs) < SUSPECT_SCORE);
   const candidates = filterReachable(state, healthy.length > 0 ? healthy : eligible, staysInZone);
-  // Most of the time no server names a limit, and there may be thousands.
+  // Avoids a pass over thousands of servers while none of them has stated anything.
   const isAnyLimited = state.statements.size > 0;
   const limited = new Set(
     isAnyLimited ? candidates.filter((view) => isLimited(view, nowMs)) : undefined,
@@ -119,10 +132,9 @@
 }
 
 /**
- * The servers that a connection is likely to be had to: those of zones that are
- * heard, and those of this box's own zone once a send found no connection. A zone
- * that is cut off has a few servers in many of its own, so that three tries among all of
- * them would refuse most of its callers.
+ * Returns the servers that are probably reachable: those in zones whose boxes respond, or only
+ * those in this box's zone once an attempt failed to connect. In a zone that is cut off, most
+ * servers are unreachable, so three attempts among all servers would fail for most callers.
  */
 function filterReachable(
   state: GatewayState,
@@ -139,9 +151,9 @@
 }
 
 /**
- * The servers whose loads are compared. All boxes see the same loads, which are
- * some tenths of a second old: if each compared all of many servers, all would
- * send to the same one until the next news. So each request has a few of its own.
+ * Returns the servers whose loads are compared. All boxes see the same loads, which are some
+ * tenths of a second old. If every box compared all of many servers, all boxes would send to
+ * the same server until the next update. So each request compares a small sample of its own.
  */
 function serversToCompare(
   candidates: readonly ServerView[],
@@ -186,7 +198,7 @@
   return { view, prefillTokens, conditions, expectedMs, costMs };
 }
 
-/** Open work at a server: this box's own and what peers last told. */
+/** Returns the open work at a server: this box's own and the work last reported by peers. */
 function totalLoad(view: ServerView, peers: readonly HeardPeer[]): ServerLoad {
   let total: ServerLoad = view;
   for (const peer of peers) {
@@ -215,8 +227,8 @@
 }
 
 /**
- * The server that ranks first for the prompt's last shared part. One that names a limit is
- * home to nothing: it takes too few, and not all boxes may send to it.
+ * Returns the server that ranks first for the prompt's last shared part. Servers with a limit
+ * are left out: they accept too few requests, and not all boxes may send to them.
  */
 function preferredServerId(
   candidates: readonly ServerView[],
@@ -230,7 +242,7 @@
   return highestRanked(unlimited, hashString(sharedPart.id), 1)[0]?.entry.id;
 }
 
-/** Notes that a server has read a request's prompt. */
+/** Records that a server has processed a request's prompt, and drops expired parts. */
 export function recordPartsRead(view: ServerView, facts: RequestFacts, nowMs: number): void {
   for (const part of facts.promptParts) {
     view.cachedParts.delete(part.id);
--- a/packages/reedlug-gateway/src/policy/crashVerdict.ts
+++ b/packages/reedlug-gateway/src/policy/crashVerdict.ts
@@ -1,53 +1,69 @@
 /**
- * Whether a request crashes the servers that run it.
+ * Decides whether a request crashes the servers that run it.
  *
- * With a server go all requests that are open there; most of them are innocent. What tells
- * the culprit: it is at each crash, one after the other, and never runs well in between.
- * A popular request is at many crashes of a bad hour, but has good runs between them, and
- * one good run clears a request. Crashes at the same moment count as one round, since
- * servers that go together do so for a common cause; where others went without it, it takes
- * more rounds. A crash counts for the likeliest of the suspects that were there.
+ * A crash ends every request that is open on the server, and most of them did not cause it.
+ * A request that causes crashes is present at consecutive crashes and never succeeds in
+ * between. A popular request is present at many crashes during an outage, but also succeeds
+ * between them, and one success clears a request. Simultaneous crashes count as one round,
+ * because servers that fail together have a common cause. If other servers crashed without
+ * the request, more rounds are required. Each crash is attributed to the likeliest of the
+ * suspects that were present.
  */
 import type { CrashSuspect, ServerCrash } from '../types/crashSuspect.js';
 
-/** Crashes that make a request kept out: the users' figure of what may be lost to one. */
+/**
+ * Number of crashes from which a request may be blocked: the users accept this many lost servers
+ * for one request.
+ */
 export const CRASHES_TO_BLOCK = 3;
 /**
- * Rounds among them, for who was at most of the crashes since its first one, and for others.
- * One round never decides, whatever the share: of servers that go together, those that
- * nobody used at the moment are not noticed. One more send of copies that came together
- * tells, and the users allow three.
+ * Number of rounds required of a suspect that was present at most crashes since its first one,
+ * and of other suspects. A single round never suffices, whatever the share: when servers fail
+ * together, crashes of idle ones go unnoticed, so the share is too high. If copies of a request
+ * arrive at once, one further send settles the case, and the users allow three.
  */
 const ROUNDS_FOR_FREQUENT = 2;
 const ROUNDS_FOR_OTHERS = 3;
-/** Share of the crashes from which a suspect was at most of them. */
+/** Share of the crashes from which a suspect counts as present at most of them. */
 const FREQUENT_SHARE = 0.5;
-/** Crashes in three rounds without a good run that suffice also where others were at each of them. */
+/**
+ * Number of crashes, in three rounds and without a success, that suffices even if other suspects
+ * were present at each of them.
+ */
 const CRASHES_DESPITE_OTHERS = 5;
-/** Time in which a server is likely to crash under a request, in ms: below it, who came later tells nothing. */
+/**
+ * Time within which a request usually crashes its server, in ms: of requests that are younger than
+ * this, the order of arrival says nothing.
+ */
 const TYPICAL_CRASH_DELAY_MS = 300;
-/** Two news of one crash of a server that does not tell its births differ by less, in ms: it takes longer to start again. */
+/**
+ * Two reports of a server that does not state its start time are of the same crash if they differ
+ * by less than this, in ms: a restart takes longer.
+ */
 const SAME_CRASH_MS = 1500;
-/** Servers that go together are lost within this time, in ms: a busy box's turn. */
+/** Crashes within this time are simultaneous, in ms: a busy box needs this long to process them. */
 const SIMULTANEOUS_MS = 50;
-/** A send that is this much older than a crash, in ms, still followed it: the ages that boxes tell are late by the way of a datagram. */
+/**
+ * A send that appears to precede a crash by up to this time, in ms, still counts as after it: ages
+ * that boxes report lag by the transit time of a datagram.
+ */
 export const AGE_ERROR_MS = 20;
 
-/** Whether two are one end of one life of a server. */
+/** Returns whether two reports are of the same crash of one server incarnation. */
 export function isSameCrash(a: ServerCrash, b: ServerCrash): boolean {
   if (a.serverId !== b.serverId) return false;
   if (a.bornAtMs !== undefined && b.bornAtMs !== undefined) return a.bornAtMs === b.bornAtMs;
   return Math.abs(a.endedAtMs - b.endedAtMs) < SAME_CRASH_MS;
 }
 
-/** What a verdict looks at beside the suspect. */
+/** Facts that a verdict considers in addition to the suspect. */
 export interface CrashContext {
   suspects: Iterable<CrashSuspect>;
-  /** Crashes of the last time, whoever was there. */
+  /** Recent crashes, whichever requests were present. */
   recent: readonly ServerCrash[];
 }
 
-/** Whether a suspect is to be kept out. */
+/** Returns whether a suspect causes crashes and is to be blocked. */
 export function causesCrashes(suspect: CrashSuspect, { suspects, recent }: CrashContext): boolean {
   const { crashes } = suspect;
   if (crashes.length < CRASHES_TO_BLOCK) return false;
@@ -75,10 +91,11 @@
 }
 
 /**
- * How much speaks for a suspect: a crash at which it was alone counts whole, one at which
- * several were counts in parts, the more for who had been there for the shortest time. A
- * server crashes as it begins with a request; one with a long prompt is open there
- * for long without an event. Who has had a good run since is no suspect of it.
+ * Returns how strongly the crashes point at a suspect. A crash with one suspect present counts
+ * 1; a crash with several is divided among them, with larger shares for requests that had been
+ * open for a shorter time. A server crashes when it starts to process a request, whereas a
+ * request with a long prompt is open for long without an event. A request that has succeeded
+ * since is no longer a suspect of that crash.
  */
 function suspicionScore({ crashes }: CrashSuspect, known: readonly CrashSuspect[]): number {
   const parts = crashes.map((crash) => {
@@ -92,7 +109,7 @@
   return 1 / Math.max(TYPICAL_CRASH_DELAY_MS, endedAtMs - sentAtMs);
 }
 
-/** Share of the crashes since the suspect's first one at which it was. */
+/** Returns the share of the crashes since the suspect's first one at which it was present. */
 function shareOf(crashes: readonly ServerCrash[], recent: readonly ServerCrash[]): number {
   const sinceMs = Math.min(...crashes.map(({ endedAtMs }) => endedAtMs)) - SIMULTANEOUS_MS;
   const all = recent.filter(({ endedAtMs }) => endedAtMs >= sinceMs).length;
@@ -103,7 +120,10 @@
   return suspect.crashes.some((known) => isSameCrash(known, crash));
 }
 
-/** Crashes that followed one another, each with a send after the end before, and not at the same moment. */
+/**
+ * Counts rounds: crashes that are not simultaneous and whose request was sent after the previous
+ * crash.
+ */
 function countRounds(crashes: readonly ServerCrash[]): number {
   let rounds = 0;
   let lastEndMs = Number.NEGATIVE_INFINITY;
--- a/packages/reedlug-gateway/src/policy/decayFactor.ts
+++ b/packages/reedlug-gateway/src/policy/decayFactor.ts
@@ -1,6 +1,6 @@
-/** Figures that halve in a fixed time. */
+/** Exponential decay. */
 
-/** What is left of a figure after a time, as a share; all of it before any time has passed. */
+/** Returns the share of a value that is left after a time; 1 for negative times. */
 export function decayFactor(elapsedMs: number, halfLifeMs: number): number {
   return 0.5 ** (Math.max(0, elapsedMs) / halfLifeMs);
 }
--- a/packages/reedlug-gateway/src/policy/decideSend.ts
+++ b/packages/reedlug-gateway/src/policy/decideSend.ts
@@ -1,39 +1,45 @@
 /**
- * Whether a request goes to an engine now or is refused at once.
+ * Decides whether a request is sent to an engine now or refused at once.
  *
- * It answers the load in which more is asked than the engines read: prompts then
- * wait, urgent ones first, until their callers leave, and nearly all of a kind of
- * request are late instead of a part of them being refused.
+ * Refusals handle overload, when more prompt tokens arrive than the engines can process.
+ * Without them, prompts queue in order of urgency until their callers leave, and nearly all
+ * requests of a kind are late, instead of some of them being refused.
  */
 
-/** Share of an engine's places up to which nothing is refused: there, what waits does so for a moment. */
+/** Share of an engine's slots in use below which nothing is refused: waits are then short. */
 const FREE_SLOTS_SHARE = 0.5;
-/** Expected wait from which a request is refused, as a multiple of its route's target: later, its answer is late for sure. */
+/**
+ * Expected wait above which a request is refused, as a multiple of its route's target: beyond it,
+ * the answer is certainly late.
+ */
 const LATE_FACTOR = 1;
-/** The same of one that came back, as a share of the time that it has left: it goes before others. */
+/**
+ * The same limit for a request that was refused before, as a share of its remaining time: retries
+ * take precedence over new requests.
+ */
 const RETRY_TIME_SHARE = 0.5;
-/** Shortest and longest time to come back that is told, in ms. */
+/** Shortest and longest `Retry-After` of a refusal, in ms. */
 const MIN_RETRY_AFTER_MS = 500;
 const MAX_RETRY_AFTER_MS = 5000;
 
-/** What decides. */
+/** Facts that the decision is based on. */
 export interface SendContext {
   /** Expected time to the first event at the best engine. */
   expectedMs: number;
-  /** Requests in progress there, and its places. */
+  /** Requests in progress at that engine, and its slots. */
   running: number;
   slots: number;
-  /** The route's time to the first event, and what is left of the request's time. */
+  /** The route's target for the first event, and the remaining time of the request. */
   targetMs: number;
   leftMs: number;
-  /** The caller was refused before and came back. */
+  /** True if the request was refused before and is a retry. */
   hasReturned: boolean;
 }
 
-/** What is decided. */
+/** Outcome of the decision. */
 export type SendDecision = { kind: 'send' } | { kind: 'refuse'; retryAfterMs: number };
 
-/** Decides. */
+/** Decides whether to send a request or to refuse it. */
 export function decideSend(context: SendContext): SendDecision {
   const { expectedMs, running, slots, targetMs, leftMs, hasReturned } = context;
   if (running < slots * FREE_SLOTS_SHARE) return { kind: 'send' };
--- a/packages/reedlug-gateway/src/policy/engineModel.ts
+++ b/packages/reedlug-gateway/src/policy/engineModel.ts
@@ -1,42 +1,56 @@
 /**
- * What sends to the servers of a service have shown: how long the first event
- * takes by the tokens to be read and by the requests that run beside, and how
- * long a request keeps its place.
+ * Performance model of a service's engines, learned from sends: the time to the first event as
+ * a function of the prompt tokens to process and of the concurrent requests, and the time for
+ * which a request occupies a slot.
  *
- * Each box sums up its own sends. The sums fade, are told to peers and add up,
- * so that a box that has just started or has few callers knows what all saw.
- * The fit is a least-squares line with a few supposed sends as its start.
+ * Each box accumulates statistics of its own sends. They decay exponentially, are sent to peers
+ * and add up, so that a box that has just started or has few callers uses the data of all boxes.
+ * The model is fitted by linear least squares with a few hypothetical sends as a prior.
  */
 import { decayFactor } from './decayFactor.js';
 
-/** Time in which a sum halves, in ms: some hundred sends at a box with a few requests a second, and a service that changes its speed is known anew within a minute. */
+/**
+ * Half-life of the sums, in ms: some hundred sends at a box with a few requests a second, and a
+ * change in speed is learned within a minute.
+ */
 const HALF_LIFE_MS = 15_000;
-/** Longest wait taken from one send, as a multiple of what was expected: one slow, cold or silent server must not set the figures of all. */
+/**
+ * Maximum wait recorded for one send, as a multiple of the expected one: a single slow, cold or
+ * silent server must not dominate the model.
+ */
 const MAX_WAIT_RATIO = 4;
-/** Shortest expected wait that the multiple is taken of, in ms: below it, network and timers decide. */
+/**
+ * Minimum expected wait that the multiple applies to, in ms: below it, network and timers dominate.
+ */
 const MIN_EXPECTED_MS = 20;
 
 /**
- * Prompts that others wait with at a server, up to which a send tells how fast it
- * reads: behind more, urgency decides who is next and callers leave before their
- * turn, so waits no longer grow with the tokens. Learning from those takes engines
- * under overload for fast ones, and orders others away.
+ * Maximum number of other unprocessed prompts at a server for a send to be recorded. With more
+ * of them, urgency decides which prompt is next and callers leave before their turn, so waits
+ * no longer grow with the tokens. Learning from such sends would mistake overloaded engines for
+ * fast ones and reduce the number of engines ordered.
  */
 const MAX_UNREAD_PROMPTS = 2;
 
-/** Start values, until sends have shown others; they are no machine's figures, only of a usual order. */
+/**
+ * Initial model, used until sends are recorded: typical orders of magnitude rather than the figures
+ * of a real machine.
+ */
 const INITIAL_MODEL = { baseMs: 20, tokensPerMs: 60, runningMs: 0.5, stayMs: 500 } as const;
-/** Sends that the start values weigh as much as. */
+/** Weight of the initial model, as a number of sends. */
 const PRIOR_SENDS = 5;
-/** Tokens and running requests of a supposed send. */
+/** Prompt tokens and running requests of a hypothetical send of the prior. */
 const PRIOR_TOKENS = 2000;
 const PRIOR_RUNNING = 8;
-/** Fastest reading that is believed, in tokens a ms: sends that are all short say nothing of reading. */
+/**
+ * Maximum prefill rate of a fit, in tokens per ms: sends with short prompts alone do not determine
+ * the rate.
+ */
 const MAX_TOKENS_PER_MS = 1000;
-/** Rounds of the fit; the coefficients differ by under a hundredth after them. */
+/** Iterations of the fit, after which the coefficients are accurate to one hundredth. */
 const FIT_ITERATIONS = 60;
 
-/** Faded sums over the sends of a service; those of several boxes add up. */
+/** Decayed sums over the sends of a service; the sums of several boxes can be added. */
 export interface SendSums {
   sends: number;
   tokens: number;
@@ -47,43 +61,43 @@
   runningSquared: number;
   tokensWait: number;
   runningWait: number;
-  /** Sends that ended with success, and how long they kept their places in sum. */
+  /** Number of successful sends, and the total time for which they occupied their slots. */
   ended: number;
   stayMs: number;
 }
 
-/** The sums of one box, and when they last faded. */
+/** Sums of one box, and the time of their last decay. */
 export interface OwnSends {
   sums: SendSums;
   decayedAtMs: number;
 }
 
-/** A server's state at a send, as the box saw it. */
+/** State of a server at the time of a send, as seen by the box. */
 export interface SendConditions {
-  /** Prompt tokens to be read at the server, those of the request included. */
+  /** Prompt tokens to process at the server, including those of the request. */
   tokens: number;
-  /** Requests in progress there, those that wait for a place included. */
+  /** Requests in progress, including those that wait for a slot. */
   running: number;
-  /** Other requests there whose prompts are still to be read. */
+  /** Other requests whose prompts have not been processed yet. */
   unread: number;
-  /** Places of the server. */
+  /** Slots of the server. */
   slots: number;
 }
 
-/** The fitted figures of a service. */
+/** Fitted model of a service. */
 export interface EngineModel {
-  /** Time to the first event of a request without a prompt at an idle server. */
+  /** Time to the first event of a request without a prompt on an idle server. */
   baseMs: number;
   tokensPerMs: number;
-  /** What each running request adds to the time to the first event. */
+  /** Time that each running request adds to the time to the first event. */
   runningMs: number;
-  /** Mean time in which a request keeps its place. */
+  /** Mean time for which a request occupies a slot. */
   stayMs: number;
-  /** Sends that the figures rest on, faded; 0 for start values. */
+  /** Decayed number of sends that the model is based on; 0 for the initial model. */
   sends: number;
 }
 
-/** Sums of no send. */
+/** Returns sums without any sends. */
 export function createSendSums(): SendSums {
   return {
     sends: 0,
@@ -100,7 +114,7 @@
   };
 }
 
-/** Adds sums up. */
+/** Adds the sums of several boxes. */
 export function addSendSums(parts: readonly SendSums[]): SendSums {
   const sum = createSendSums();
   const keys = Object.keys(sum) as (keyof SendSums)[];
@@ -110,14 +124,17 @@
   return sum;
 }
 
-/** Fades a box's sums to a time. */
+/** Decays a box's sums to the given time. */
 export function decaySends(own: OwnSends, nowMs: number): void {
   const factor = decayFactor(nowMs - own.decayedAtMs, HALF_LIFE_MS);
   own.decayedAtMs = nowMs;
   for (const key of Object.keys(own.sums) as (keyof SendSums)[]) own.sums[key] *= factor;
 }
 
-/** Takes the time to the first event of a send. Sends that found no place free, or many prompts before theirs, say little of the server and are left out. */
+/**
+ * Records the time to the first event of a send. Sends to a server without a free slot or with
+ * many unprocessed prompts are ignored, since their waits say little about the server's speed.
+ */
 export function recordWait(
   own: OwnSends,
   sample: { conditions: SendConditions; waitMs: number; expectedMs: number; nowMs: number },
@@ -140,7 +157,7 @@
   sums.runningWait += running * waitMs;
 }
 
-/** Takes how long a send that ended well kept its place. */
+/** Records how long a successful send occupied its slot. */
 export function recordStay(own: OwnSends, stayMs: number, nowMs: number): void {
   if (!Number.isFinite(stayMs) || stayMs < 0) return;
   decaySends(own, nowMs);
@@ -149,8 +166,8 @@
 }
 
 /**
- * Fits the figures: least squares over the sends and the supposed ones, no
- * coefficient below nothing. Coordinate descent keeps the bounds by itself.
+ * Fits the model by least squares over the recorded and the hypothetical sends, without
+ * negative coefficients. Coordinate descent can enforce the lower bounds at each step.
  */
 export function fitEngineModel(sums: SendSums): EngineModel {
   const weight = {
@@ -191,7 +208,10 @@
   return { baseMs, tokensPerMs: 1 / msPerToken, runningMs, stayMs, sends: sums.sends };
 }
 
-/** One coefficient by least squares while the others stand, with its supposed value's weight. */
+/**
+ * Returns the least-squares value of one coefficient while the others are fixed, including its
+ * prior.
+ */
 function coefficient(sums: {
   rest: number;
   squares: number;
@@ -203,7 +223,9 @@
   return Math.max(minimum, (rest + weight * start) / (squares + weight));
 }
 
-/** The expected time to the first event, with the wait for a place where all are taken. */
+/**
+ * Returns the expected time to the first event, including the wait for a slot if all are in use.
+ */
 export function expectedWaitMs(
   model: EngineModel,
   conditions: Omit<SendConditions, 'unread'>,
@@ -218,7 +240,7 @@
   );
 }
 
-/** The expected wait for a place: nothing while one is free. */
+/** Returns the expected wait for a slot: 0 while one is free. */
 export function slotWaitMs(
   model: EngineModel,
   { running, slots }: Pick<SendConditions, 'running' | 'slots'>,
--- a/packages/reedlug-gateway/src/policy/engineTarget.ts
+++ b/packages/reedlug-gateway/src/policy/engineTarget.ts
@@ -1,58 +1,64 @@
-/** How many engines a service needs for its load, and where. */
+/** Determines how many engines a service needs for its load, and in which zones. */
 import type { EngineModel } from './engineModel.js';
 
-/** Shares of what engines can do that are used on average. */
+/** Average utilization of engines, as shares of their capacity. */
 interface Utilization {
-  /** Of their reading: above it, each step carries a piece of a prompt and streams miss their deadlines. */
+  /**
+   * Share of the prefill capacity: above it, each step includes a chunk of a prompt and streams
+   * miss their deadlines.
+   */
   prefill: number;
-  /** Of their places: above it, clumps of requests wait for one. */
+  /** Share of the slots: above it, requests that arrive in bursts wait for a slot. */
   slots: number;
 }
-/** In usual times, where no zone can be lost: a choice. */
+/** Target in normal operation, before the reserve for lost zones. */
 const USUAL_UTILIZATION: Utilization = { prefill: 0.38, slots: 0.5 };
 /**
- * Borne after half of the zones are lost, before on-demand ones are paid for: a choice;
- * above it, waits grow several times. On-demand engines from 0.7 of the reading on cost
- * 6 % fewer engine seconds on a played quiet day, but its worst seconds got 0.83 of
- * their worth in place of 0.91.
+ * Utilization that is tolerated after the loss of half of the zones before on-demand engines are
+ * ordered; above it, waits grow several times. With 0.7 in place of 0.55 of the prefill capacity,
+ * a simulated quiet day costs 6 % fewer engine seconds, but its worst seconds earn 0.83 of their
+ * worth in place of 0.91.
  */
 const STRAINED_UTILIZATION: Utilization = { prefill: 0.55, slots: 0.7 };
-/** Engines that are there whatever the load: one loss must leave others. */
+/** Minimum number of engines, whatever the load: others must remain after the loss of one. */
 const MIN_ENGINES = 3;
-/** Engines of any kind below which on-demand ones are ordered, whatever the load. */
+/**
+ * Minimum number of ready engines of any kind, whatever the load; below it, on-demand engines are
+ * ordered.
+ */
 const MIN_READY = 2;
 
-/** Engines of a service by its load. */
+/** Number of engines that a service needs. */
 export interface EngineNeed {
-  /** For usual times. */
+  /** Number in normal operation. */
   usual: number;
-  /** With fewer ready ones, on-demand engines are ordered. */
+  /** Number of ready engines below which on-demand engines are ordered. */
   least: number;
 }
 
-/** What callers ask of a service, over all boxes. */
+/** Load of a service, over all boxes. */
 export interface ServiceLoad {
-  /** Requests in progress, those that wait for a place included. */
+  /** Requests in progress, including those that wait for a slot. */
   openRequests: number;
-  /** Prompt tokens to be read a second. */
+  /** Prompt tokens to process per second. */
   tokensPerSecond: number;
 }
 
 /**
- * Engines needed for a load: by reading or by places, whichever asks for more.
- * Requests in progress are arrivals times their stay (Little's law), so a slower
- * engine shows in both. In usual times the loss of half of the zones leaves what
- * is needed at least: after a reclaim there are none to be had for a while, and
- * zones go one after the other.
+ * Returns the number of engines needed for a load: the larger of the numbers needed for prefill
+ * and for slots. Requests in progress equal the arrival rate times the time in the system
+ * (Little's law), so slower engines raise both numbers. In normal operation, the loss of half
+ * of the zones still leaves the minimum, because no engines are available in a zone for a while
+ * after a reclaim, and zones are reclaimed one after the other.
  */
 export function enginesNeeded(params: {
   load: ServiceLoad;
   model: EngineModel;
-  /** Places of one engine. */
+  /** Slots of one engine. */
   slots: number;
-  /** Zones that engines are spread over. */
+  /** Number of zones that engines are spread over. */
   zones: number;
-  /** False where the service has no engines that may be taken back. */
+  /** False if the service has no reclaimable engines. */
   hasReclaimable: boolean;
 }): EngineNeed {
   const { load, model, slots, zones, hasReclaimable } = params;
@@ -67,7 +73,10 @@
   return { usual, least };
 }
 
-/** Engines spread evenly over zones of which so many are left after half of the zones, rounded down, are lost. */
+/**
+ * Returns the smallest number of engines of which `remaining` are left after the loss of half of
+ * the zones, rounded down, if they are spread evenly.
+ */
 function withZoneLossReserve(remaining: number, zones: number): number {
   const lost = Math.floor(zones / 2);
   let engines = remaining;
@@ -75,53 +84,60 @@
   return engines;
 }
 
-/** Reclaimable engines ordered in each zone at a first start at least, when no load is known; they cost a fraction, and more come one boot after the load is known. */
+/**
+ * Minimum number of reclaimable engines ordered in each zone at the first start, while the load is
+ * unknown: they cost a fraction of on-demand ones, and once the load is known, more are ready after
+ * one boot time.
+ */
 const INITIAL_RECLAIMABLE_PER_ZONE = 3;
 
 /**
- * Reclaimable engines at the first start of a service, over all zones, while nobody
- * has asked anything yet. Three a zone alone left 195 boxes with 15 engines where
- * their callers needed 35: the first six seconds earned 0.52 to 0.77 of what they could.
+ * Returns the number of reclaimable engines, over all zones, at the first start of a service
+ * before any request has arrived. Without the expected number, three engines per zone gave 195
+ * boxes 15 engines in place of the 35 that their callers needed, and the first six seconds
+ * earned 0.52 to 0.77 of their worth.
  */
 export function initialReclaimable(zones: number, expected: number): number {
   return Math.max(expected, zones * INITIAL_RECLAIMABLE_PER_ZONE);
 }
 
-/** What is wanted of each zone and kind. */
+/** Target numbers of engines of each kind in a zone. */
 export interface ZoneTarget {
   zone: string;
   reclaimable: number;
   onDemand: number;
 }
 
-/** A zone that engines may be ordered in. */
+/** Zone in which engines may be ordered. */
 export interface ZoneOffer {
   zone: string;
   price: number;
-  /** Reclaimable engines there that take work. */
+  /** Reclaimable engines in the zone that accept requests. */
   readyReclaimable: number;
-  /** Those, and what the platform has granted and is on its way. */
+  /** Those engines, and granted ones that are still starting. */
   granted: number;
-  /** Engines last ordered there, by kind. */
+  /** Engines last ordered in the zone, by kind. */
   reclaimable: number;
   onDemand: number;
-  /** True while no further reclaimable engines are to be had there. */
+  /** True while no further reclaimable engines are available in the zone. */
   isOutOfCapacity: boolean;
 }
 
 /**
- * Spreads reclaimable engines evenly over zones, the cheapest first. On-demand
- * ones fill what is missing to the least while reclaimable ones are away.
- * Whatever was ordered stays where it is as long as it fits: moving an engine
- * costs a start and a cold cache.
+ * Spreads reclaimable engines evenly over zones, starting with the cheapest one. On-demand
+ * engines make up the difference to the minimum while too few reclaimable ones are ready.
+ * Engines that were ordered stay in their zones if possible, because moving one costs a start
+ * and a cold cache.
  */
 export function spreadEngines(params: {
   need: EngineNeed;
   zones: readonly ZoneOffer[];
   maxPerZone: number;
-  /** False where the service has no reclaimable engines. */
+  /** False if the service has no reclaimable engines. */
   hasReclaimable: boolean;
-  /** True while zones are being taken back: then the loss of one more must leave enough. */
+  /**
+   * True while zones are being reclaimed, when the loss of one more zone must leave enough engines.
+   */
   keepReserve: boolean;
 }): ZoneTarget[] {
   const { need, maxPerZone, hasReclaimable, keepReserve } = params;
@@ -133,7 +149,8 @@
         [],
         zones.map(() => maxPerZone),
       );
-  // A dry zone keeps what it has and what comes: what is wished for there would only take the room of others.
+  // An exhausted zone keeps its ready and starting engines. Ordering more there would only use up
+  // the numbers of other zones.
   const caps = zones.map(({ isOutOfCapacity, granted }, index) => {
     const free = maxPerZone - (onDemand[index] ?? 0);
     return isOutOfCapacity ? Math.min(free, granted) : free;
@@ -148,8 +165,9 @@
 }
 
 /**
- * On-demand engines that are there stay until enough reclaimable ones serve; new
- * ones count those on their way, and go where fewest engines are.
+ * Returns the target numbers of on-demand engines by zone. Existing ones stay until enough
+ * reclaimable engines are ready. New ones are ordered only beyond the engines that are starting,
+ * in the zones with the fewest engines.
  */
 function onDemandFor(params: {
   need: EngineNeed;
@@ -179,8 +197,8 @@
 }
 
 /**
- * Changes counts so that they sum to a number, within caps: adds to the least, takes
- * from the greatest. What is `beside` counts in that, but not in the sum.
+ * Changes counts so that they add up to a number, within caps: it increments the smallest counts
+ * and decrements the largest. `others` affect which count is smallest or largest, but not the sum.
  */
 function distribute(
   count: number,
--- a/packages/reedlug-gateway/src/policy/highestRanked.ts
+++ b/packages/reedlug-gateway/src/policy/highestRanked.ts
@@ -1,8 +1,11 @@
-/** The ranking of servers for a key, on which all boxes agree. */
+/** Ranks servers for a key by rendezvous hashing, which gives the same result at all boxes. */
 import { rendezvousWeight } from 'reedlug-coordination';
 import type { ServerView } from '../types/views.js';
 
-/** The servers that rank highest for a key, in order; one walk over all, since few are taken of many. */
+/**
+ * Returns the servers that rank highest for a key, in order. A single pass avoids sorting many
+ * servers to take a few.
+ */
 export function highestRanked(
   candidates: readonly ServerView[],
   keyHash: number,
--- a/packages/reedlug-gateway/src/policy/peerGroups.ts
+++ b/packages/reedlug-gateway/src/policy/peerGroups.ts
@@ -1,21 +1,27 @@
 /**
- * Groups of boxes, and who sums up a group's news.
+ * Divides boxes into gossip groups and ranks the hubs of each group.
  *
- * A few boxes tell each other everything. In a larger fleet that would cost each
- * box a datagram from every other one, several times a second. There, boxes of a
- * zone form groups; the best box of a group that can be heard is its hub: members
- * tell it their news, hubs tell each other the sums of their groups, and each
- * member gets the sum of everyone else in one message.
+ * In a small fleet, all boxes send gossip to each other. In a larger one, each box would receive
+ * a datagram from every other box several times a second. There, the boxes of a zone form groups,
+ * and the best reachable box of a group is its hub: members send their gossip to the hub, hubs
+ * send each other the sums of their groups, and each member receives the sum of all other boxes
+ * in one message.
  */
 import { hashId } from 'reedlug-coordination';
 import type { PeerAddress } from '../types/peer.js';
 
-/** Boxes up to which each tells all others: 75 datagrams a second at five news a second. */
+/**
+ * Maximum number of boxes that all send to each other: each receives 75 datagrams a second at five
+ * messages a second.
+ */
 const MAX_DIRECT_BOXES = 16;
-/** Boxes of a group: a hub then hears about 160 datagrams a second from it, some hundredths of a core. */
+/**
+ * Target number of boxes in a group: a hub then receives about 160 datagrams a second from its
+ * group, which takes some hundredths of a core.
+ */
 const GROUP_SIZE = 32;
 
-/** Whether a fleet of so many boxes needs hubs. */
+/** Returns whether a fleet of this many boxes needs hubs. */
 export function needsHubs(boxes: number): boolean {
   return boxes > MAX_DIRECT_BOXES;
 }
@@ -25,14 +31,17 @@
   hash: number;
 }
 
-/** Order of boxes as hubs: more processor time first, then by a hash that all boxes share. */
+/**
+ * Compares boxes as hubs: by processor time, highest first, then by a hash that is the same at all
+ * boxes.
+ */
 function compareRanked(a: Ranked, b: Ranked): number {
   const byCores = b.box.processorCores - a.box.processorCores;
   if (byCores !== 0) return byCores;
   return a.hash - b.hash || a.box.boxId.localeCompare(b.box.boxId);
 }
 
-/** Boxes by group, the best hub first. */
+/** Returns the boxes by group, the preferred hub first. */
 export function groupBoxes(boxes: readonly PeerAddress[]): Map<string, PeerAddress[]> {
   const zoneBoxes = new Map<string, number>();
   for (const { zone = '' } of boxes) zoneBoxes.set(zone, (zoneBoxes.get(zone) ?? 0) + 1);
@@ -50,7 +59,7 @@
   return new Map(inOrder);
 }
 
-/** A box's group; `zoneBoxes` counts the boxes known in its zone. */
+/** Returns a box's group; `zoneBoxes` is the number of known boxes in its zone. */
 function groupOf(box: PeerAddress, hash: number, zoneBoxes: number): string {
   const groups = Math.max(1, 2 ** Math.ceil(Math.log2(zoneBoxes / GROUP_SIZE)));
   return `${box.zone ?? ''}/${groups}/${hash % groups}`;
--- a/packages/reedlug-gateway/src/policy/retryJitter.ts
+++ b/packages/reedlug-gateway/src/policy/retryJitter.ts
@@ -1,10 +1,13 @@
-/** Spreads the times at which refused callers come back. */
+/** Adds jitter to the times after which refused callers retry. */
 import { hashShare } from 'reedlug-coordination';
 
-/** Greatest part added to the time to come back, drawn by the request's id, so that those refused together do not come back together. */
+/**
+ * Maximum jitter as a share of the retry time. It is derived from the request's id, so that
+ * requests refused together are not retried together.
+ */
 const MAX_RETRY_JITTER = 0.25;
 
-/** The time to come back that a request is told, in ms. */
+/** Returns the retry time of a request including its jitter, in ms. */
 export function addRetryJitter(retryMs: number, requestId: string): number {
   return retryMs * (1 + MAX_RETRY_JITTER * hashShare(requestId));
 }
--- a/packages/reedlug-gateway/src/policy/rolloutStep.ts
+++ b/packages/reedlug-gateway/src/policy/rolloutStep.ts
@@ -1,51 +1,70 @@
 /**
- * The course of a roll-out: a small sample, a larger one near the end, then everything.
+ * Phases of a roll-out: a small sample, a larger one near the end, then all traffic.
  *
- * What a bad version gets before its deadline is bounded by the users, as a share of
- * all requests. So the sample stays small for as long as possible, and what goes
- * beyond it is left for the last seconds: a version that shows no fault before
- * everything goes to it may have it for 0.7 s until it is found bad.
- * 12 s at the users' bound of a tenth: 8.3 s of 4 %, 2 s of 20 % and 0.7 s of all are
- * 1.43 s of the traffic, 1.2 s and 50 requests on top are allowed (1.47 s at 187 a second).
+ * The users bound the requests that a bad version may get before its deadline, as a share of all
+ * requests. So the sample stays small for as long as possible, and most of the bound is left for
+ * the last seconds: a version that shows no fault before it gets all traffic may serve all of it
+ * for 0.7 s until it is found bad.
+ * For a roll-out of 12 s and a bound of a tenth, 8.3 s at 4 %, 2 s at 20 % and 0.7 s at 100 %
+ * amount to 1.43 s of the traffic. The bound allows 1.2 s and 50 requests on top, which is 1.47 s
+ * at 187 requests a second.
  */
 import { RolloutPhase } from '../types/rollout.js';
 import { Verdict } from './rolloutVerdict.js';
 
-/** Parts of the bound that the sample and the larger sample take, as factors of the allowed share. */
+/**
+ * Shares of the requests that the sample and the larger sample get, as factors of the allowed
+ * share.
+ */
 const SAMPLE_BOUND_FACTOR = 0.4;
 const WIDENED_BOUND_FACTOR = 2;
-/** When the larger sample begins, as a share of the duration that is left over by then. */
+/**
+ * Time between the start of the larger sample and the shift of all traffic, as a share of the
+ * duration.
+ */
 const WIDENED_DURATION_SHARE = 1 / 6;
-/** From when everything goes to the new version until the end is written, in ms: news reach all boxes in 0.4 s, most streams end, and a version that is bad under load has shown it. */
+/**
+ * Time from the shift of all traffic until completion is written, in ms: gossip reaches all boxes
+ * within 0.4 s, most streams end, and a version that fails under load shows it.
+ */
 const SHIFTED_DURATION_MS = 1200;
-/** Time kept before the deadline for the write of the end, in ms: the order was seen up to 0.2 s late, and one more try. */
+/**
+ * Time reserved before the deadline for writing completion, in ms: it covers an order that is seen
+ * up to 0.2 s late, and one retry.
+ */
 const WRITE_MARGIN_MS = 500;
-/** Servers of the new version, as a share of those of the old one, without which it is not completed: fewer would not carry the load. */
+/**
+ * Minimum number of servers of the new version for completion, as a share of the old ones: fewer
+ * cannot carry the load.
+ */
 const MIN_SERVERS_SHARE = 0.3;
-/** How many times its usual part the sample takes at most, where servers of the new version came late. */
+/** Maximum factor by which the sample grows if servers of the new version started late. */
 const MAX_CATCH_UP_FACTOR = 2;
-/** Highest share of a route's requests that a sample takes. */
+/** Maximum share of a route's requests in a sample. */
 const MAX_ROUTE_SHARE = 0.3;
 
-/** What decides the next phase. */
+/** Facts that the next phase is based on. */
 export interface RolloutProgress {
   phase: RolloutPhase;
-  /** Time since the order, and the time that it gives, in ms. */
+  /** Time since the order, and the duration that it specifies, in ms. */
   ageMs: number;
   durationMs: number;
   verdict: Verdict;
-  /** Servers that take work, of the new version and of others, and answers that those others gave since the order. */
+  /**
+   * Servers that accept requests, of the new version and of others, and answers of those others
+   * since the order.
+   */
   newServers: number;
   oldServers: number;
   oldAnswers: number;
 }
 
-/** Whether a duration leaves any time to judge; an order with another one moves nothing. */
+/** Returns whether a duration is positive and finite; an order with another one has no effect. */
 export function isUsableDuration(durationMs: number): boolean {
   return Number.isFinite(durationMs) && durationMs > 0;
 }
 
-/** The phase that follows; the same one while nothing changes. */
+/** Returns the next phase; the current one if nothing changes. */
 export function nextPhase(progress: RolloutProgress): RolloutPhase {
   const { phase, verdict } = progress;
   switch (phase) {
@@ -67,7 +86,7 @@
 
 function beforeShift(progress: RolloutProgress): RolloutPhase {
   const { phase, ageMs, durationMs, verdict, newServers, oldServers, oldAnswers } = progress;
-  // Where no other version serves, nothing has to move.
+  // No other version serves, so there is no traffic to shift.
   if (oldServers === 0 && oldAnswers === 0 && newServers > 0) return RolloutPhase.completed;
   const hasEnoughServers = newServers > 0 && newServers >= oldServers * MIN_SERVERS_SHARE;
   const shiftAtMs = durationMs - WRITE_MARGIN_MS - SHIFTED_DURATION_MS;
@@ -79,7 +98,7 @@
   return mayWiden ? RolloutPhase.widened : phase;
 }
 
-/** Share of a service's requests that goes to the new version in a phase. */
+/** Returns the share of a service's requests that goes to the new version in a phase. */
 export function shareOfPhase(phase: RolloutPhase, allowedShare: number): number {
   switch (phase) {
     case RolloutPhase.held:
@@ -95,7 +114,10 @@
   }
 }
 
-/** The factor by which the sample makes up for the time until the first server of the new version stood. */
+/**
+ * Returns the factor by which the sample grows to make up for the wait for the first server of the
+ * new version.
+ */
 export function catchUpFactor(params: { durationMs: number; waitedMs: number }): number {
   const { durationMs, waitedMs } = params;
   const leftMs = Math.max(1, durationMs - waitedMs);
@@ -103,8 +125,8 @@
 }
 
 /**
- * The share of each route's requests that a sample takes: as many of each route, so
- * that a version that is bad on a seldom one shows it, and the given share of all.
+ * Returns the share of each route's requests in a sample that has the given share of all requests.
+ * Each route contributes the same number, so that a version that fails on a rare route shows it.
  */
 export function spreadSample(
   share: number,
@@ -124,13 +146,15 @@
   sampling: 1,
   widened: 2,
   shifted: 3,
-  // Once one box has found it bad, no other one's view brings it back.
+  // Ranks above the others, so that the roll-back that one box decided is not undone by another
+  // box's view.
   rolledBack: 4,
-  // It counts only once the table has it: the old servers are gone then.
+  // Ranks highest: it takes effect only once it is in the table, and the old servers are gone by
+  // then.
   completed: 5,
 };
 
-/** The phase that is further on; boxes that tell each other theirs come to the same one. */
+/** Returns the later one of two phases, so that boxes that exchange theirs converge. */
 export function laterPhase(a: RolloutPhase, b: RolloutPhase): RolloutPhase {
   return PHASE_RANKS[b] > PHASE_RANKS[a] ? b : a;
 }
--- a/packages/reedlug-gateway/src/policy/rolloutVerdict.ts
+++ b/packages/reedlug-gateway/src/policy/rolloutVerdict.ts
@@ -1,51 +1,68 @@
 /**
- * Whether a new version answers worse than the one before.
+ * Decides whether a new version answers worse than the old one.
  *
- * Both serve side by side, so a burst or a lost zone shows in both. Each answer is
- * good or bad in two ways (failed, slow), and a sequential test compares two
- * suppositions: the new version is as bad as the old one, or much worse. It is made
- * for all routes together and for each alone, since a version may be bad on one, and
- * for the last seconds alone, since it may turn bad after a good start.
- * A server that gave more than half of the bad answers is left out while others are
- * there: one failing server is no failing version.
+ * Both versions serve concurrently, so a burst or a lost zone affects both. Answers can be bad in
+ * two ways (failed, slow), and a sequential probability ratio test compares two hypotheses for
+ * each: the new version is as bad as the old one, or much worse. The test is applied to all routes
+ * together, to each route alone, since a version may fail on one of them, and to the last seconds
+ * alone, since a version may become bad after a good start.
+ * A server that gave more than half of the bad answers is excluded if there are others, because a
+ * single failing server does not make the version bad.
  */
 import type { AnswerTally, RolloutEvidence, TrialTally, BaselineTally } from '../types/rollout.js';
 
-/** What the answers say. */
+/** Outcome of the comparison. */
 export const Verdict = { unknown: 'unknown', good: 'good', bad: 'bad' } as const;
 export type Verdict = (typeof Verdict)[keyof typeof Verdict];
 
 /**
- * Log likelihood ratio from which a version is bad: Wald's bound for a wrong verdict
- * in one of 400 at each look, for some thirty looks that are not independent.
+ * Log likelihood ratio from which a version is bad: Wald's bound for an error rate of 1/400 per
+ * check, for some thirty checks that are not independent.
  */
 const BAD_THRESHOLD = Math.log(400);
-/** The same up to which it is good: one of ten, with the larger sample that follows still to come. */
+/**
+ * Log likelihood ratio up to which a version is good: an error rate of 1/10, since a larger sample
+ * follows.
+ */
 const GOOD_THRESHOLD = -Math.log(10);
-/** Log likelihood ratio of the last moments from which a version is not called good: one of ten. */
+/**
+ * Log likelihood ratio of recent answers from which a version is not considered good: an error rate
+ * of 1/10.
+ */
 const DOUBTFUL_THRESHOLD = Math.log(10);
-/** Share of bad answers that a version has at least by which it is called bad: the least that callers would complain of. */
+/**
+ * Minimum excess of a bad version over the accepted share of bad answers: the smallest one that
+ * callers would complain about.
+ */
 const MIN_BAD_MARGIN = 0.15;
-/** How many times worse than the old version it is then. */
+/** Minimum ratio of the share of bad answers of a bad version to the accepted share. */
 const BAD_SHARE_FACTOR = 3;
-/** Highest share that is supposed of a bad version: no answer proves it impossible. */
+/**
+ * Maximum assumed share of bad answers: below 1, so that a single good answer does not rule out the
+ * hypothesis.
+ */
 const MAX_BAD_SHARE = 0.9;
-/** Share of bad answers that a sound version is allowed at least: a crash or two among few answers. */
+/**
+ * Minimum accepted share of bad answers of a good version: it allows for one or two crashes among
+ * few answers.
+ */
 const MIN_ACCEPTED_SHARE = 0.02;
-/** Answers of that share that the old version's weigh against: few of them say little. */
+/**
+ * Weight of that minimum share as a prior, in answers: a few answers of the old version say little.
+ */
 const PRIOR_ANSWERS = 20;
-/** Servers of the sample from which the worst one is left out. */
+/** Minimum number of servers in the sample for the worst one to be excluded. */
 const MIN_SERVERS_TO_EXCLUDE = 3;
 
 type BadKind = 'failed' | 'slow';
 const BAD_KINDS: readonly BadKind[] = ['failed', 'slow'];
 
-/** A verdict with the figures that decided it. */
+/** A verdict with the figures behind it. */
 export interface RolloutVerdict {
   verdict: Verdict;
-  /** The highest log likelihood ratio that the new version is the worse one. */
+  /** Highest log likelihood ratio of the hypothesis that the new version is worse. */
   evidence: number;
-  /** What was compared there: all routes, or one. */
+  /** Route with that ratio; empty for all routes together. */
   route: string;
   kind: BadKind;
   answers: number;
@@ -53,7 +70,7 @@
   baselineShare: number;
 }
 
-/** Judges a new version by all answers, and by those of the last moments alone. */
+/** Evaluates a new version by all its answers, and by its recent answers alone. */
 export function evaluateRollout(
   evidence: RolloutEvidence,
   recent: readonly RolloutEvidence[] = [],
@@ -69,7 +86,10 @@
   return { ...worstOverall, verdict: isGood && !turnsBad ? Verdict.good : Verdict.unknown };
 }
 
-/** The worst comparison of the last moments, against the old version's answers of all the time and of the same moments. */
+/**
+ * Returns the worst comparison of recent answers with the old version's answers, both recent ones
+ * and all since the order; the lower ratio of the two counts.
+ */
 function worstRecent(
   recent: RolloutEvidence,
   usualSinceOrder: readonly BaselineTally[],
@@ -108,7 +128,7 @@
   return compared.reduce((worst, next) => (next.evidence > worst.evidence ? next : worst));
 }
 
-/** One comparison: bad answers of one kind, of one route or of all. */
+/** Compares the bad answers of one kind, for one route or for all routes. */
 function compare(
   route: string,
   kind: BadKind,
@@ -143,7 +163,10 @@
   return tallies.reduce((sum, tally) => sum + tally[field], 0);
 }
 
-/** The tallies without a server that has more bad answers than all others, where enough of them are there. */
+/**
+ * Returns the tallies without the server that gave more than half of the bad answers, if there are
+ * enough servers.
+ */
 function withoutWorstServer(trial: readonly TrialTally[]): readonly TrialTally[] {
   const badByServer = new Map<string, number>();
   for (const { serverId, failed, slow } of trial) {
@@ -159,7 +182,7 @@
   return trial.filter(({ serverId }) => serverId !== worstId);
 }
 
-/** Sums answers over routes and servers. */
+/** Sums up answers over routes and servers. */
 export function sumTallies(tallies: readonly AnswerTally[]): AnswerTally {
   return {
     answers: sumOf(tallies, 'answers'),
@@ -168,7 +191,7 @@
   };
 }
 
-/** Adds up what several boxes saw. */
+/** Adds up the evidence of several boxes. */
 export function addEvidence(parts: readonly RolloutEvidence[]): RolloutEvidence {
   const trial = new Map<string, TrialTally>();
   const usual = new Map<string, BaselineTally>();
@@ -179,7 +202,9 @@
   return { trial: [...trial.values()], usual: [...usual.values()] };
 }
 
-/** What came since an earlier sum; what a box that died had told counts for neither. */
+/**
+ * Returns the evidence since an earlier sum. Counts that shrank, because a box is gone, become 0.
+ */
 export function evidenceSince(now: RolloutEvidence, before: RolloutEvidence): RolloutEvidence {
   const trialBefore = new Map(
     before.trial.map((tally) => [`${tally.route} ${tally.serverId}`, tally]),
--- a/packages/reedlug-gateway/src/policy/serverLimit.ts
+++ b/packages/reedlug-gateway/src/policy/serverLimit.ts
@@ -1,39 +1,53 @@
 /**
- * The limit of a server in need: which of two statements is newer, how many boxes share it, and
- * when a box may send.
+ * Enforces the request limit of an overloaded server: which of two observations is newer, how
+ * many boxes share the limit, and when a box may send.
  *
- * A limit is for all boxes together. Equal parts of all boxes would leave each with one
- * send in many seconds, at callers who may not come then, so that most of it is unused;
- * one box alone may have too few callers for a high one. So as many boxes send as leave
- * each half a request a second.
+ * A limit applies to all boxes together. If all boxes shared it equally, each would get one send
+ * in many seconds, often while it has no request, and most of the limit would stay unused. A
+ * single box may have too few callers for a high limit. So the number of boxes that send is
+ * chosen such that each gets at least half a request a second.
  */
 import type { LimitedSends, LimitObservation } from '../types/serverStatement.js';
 
-/** Requests a second that a box which sends to a limited server has at least, where the limit allows it. */
+/**
+ * Minimum requests per second of each box that sends to a limited server, if the limit allows it.
+ */
 const MIN_SHARE_PER_SECOND = 0.5;
-/** Time in which nothing was heard of a limited server after which one box more may send, in ms: those that may have no callers, or are gone. */
+/**
+ * Time without an answer of a limited server after which one more box may send, in ms: the boxes
+ * that share the limit may have no callers, or be gone.
+ */
 const SILENT_LIMIT_MS = 16_000;
-/** Least requests a second that a limited server is sent, so that its answer tells again: one in ten seconds. */
+/**
+ * Minimum requests per second to a limited server, one in ten seconds: only an answer shows that
+ * the limit has changed.
+ */
 const MIN_LIMIT_PER_SECOND = 0.1;
-/** Time in which a box's part is kept to, in ms: the servers' limits are meant over some seconds, and callers come in clumps. */
+/**
+ * Window over which a box keeps to its share, in ms: servers mean their limits over some seconds,
+ * and requests arrive in bursts.
+ */
 const WINDOW_MS = 4000;
-/** Sends of one box that are remembered at most; beyond it they are spaced over a shorter time. */
+/** Maximum number of remembered sends of one box; for larger shares, a shorter window applies. */
 const MAX_REMEMBERED_SENDS = 64;
-/** Time from the end of a limit until its server is used as all others, and in which what it gets doubles meanwhile, in ms. */
+/**
+ * Time from the end of a limit until its server is used without restriction, and time in which its
+ * requests per second double meanwhile, in ms.
+ */
 const RECOVERY_MS = 3000;
 const DOUBLING_MS = 500;
 
 /**
- * Whether what a server said of its limit takes the place of what is known. Answers overtake each other,
- * and boxes hear them at different times: a higher limit, or its end, counts only if its
- * request was sent after the known answer had come; a lower one counts unless it is older
- * for sure. Whichever comes first, the same one stands.
+ * Returns whether an observation of a server's limit replaces the known one. Answers overtake each
+ * other, and boxes receive them in different orders. A higher limit, or the end of a limit, counts
+ * only if its request was sent after the known answer was received; a lower one counts unless it
+ * is certainly older. So the result does not depend on the order.
  */
 export function isNewerLimit(
   observed: LimitObservation,
   known: LimitObservation | undefined,
 ): boolean {
-  // The first answer without one dates the end: what the server gets rises from then on.
+  // The first answer without a limit determines its end, from which the rate rises.
   if (known?.perSecond === undefined && observed.perSecond === undefined) return false;
   if (known === undefined) return true;
   const isLower = limitOf(observed) < limitOf(known);
@@ -44,7 +58,7 @@
   return perSecond ?? Number.POSITIVE_INFINITY;
 }
 
-/** Requests a second that a server gets now, where it has named a limit; undefined for as many as come. */
+/** Returns the requests per second that a server gets now; undefined without a limit. */
 export function currentLimit(
   limit: LimitObservation & { lastPerSecond: number },
   nowMs: number,
@@ -56,13 +70,16 @@
   return from * 2 ** (sinceEndMs / DOUBLING_MS);
 }
 
-/** How many boxes share a limit of which nothing was heard for a time. */
+/** Returns how many boxes share a limit, given the time since the last answer of its server. */
 export function senderCount(perSecond: number, silentMs: number): number {
   const sharing = Math.max(1, Math.floor(perSecond / MIN_SHARE_PER_SECOND));
   return sharing + Math.floor(Math.max(0, silentMs) / SILENT_LIMIT_MS);
 }
 
-/** When a box with a part of a limit may send next; in its first window its sends are spaced evenly. */
+/**
+ * Returns when a box with a share of a limit may send next. In its first window, sends are spaced
+ * evenly.
+ */
 export function nextSendAtMs(
   { atMs, sharingSinceMs, replacedAnotherBox }: LimitedSends,
   sharePerSecond: number,
@@ -80,13 +97,13 @@
   return Math.max(byWindowMs, byStartMs);
 }
 
-/** Sends that a part holds within the window, one at least. */
+/** Returns the number of sends per window that a share allows, at least 1. */
 function sendsPerWindow(sharePerSecond: number): number {
   const sends = Math.ceil((sharePerSecond * WINDOW_MS) / 1000);
   return Math.min(MAX_REMEMBERED_SENDS, Math.max(1, sends));
 }
 
-/** Notes a send. */
+/** Records a send. */
 export function recordLimitedSend({ atMs }: LimitedSends, nowMs: number): void {
   atMs.push(nowMs);
   if (atMs.length > MAX_REMEMBERED_SENDS) atMs.shift();
--- a/packages/reedlug-gateway/src/policy/serverLoad.ts
+++ b/packages/reedlug-gateway/src/policy/serverLoad.ts
@@ -1,9 +1,9 @@
-/** Open work at a server: this box's own, and summed up over boxes. */
+/** Tracks the open work at a server: this box's own, and sums over several boxes. */
 import type { ServerLoad } from '../types/peer.js';
 import type { Attempt } from '../types/request.js';
 import type { ServerView } from '../types/views.js';
 
-/** Adds the work of two boxes, or takes the second one alone. */
+/** Adds the work of two boxes; returns the second one if the first one is undefined. */
 export function addLoads(first: ServerLoad | undefined, second: ServerLoad): ServerLoad {
   if (first === undefined) return second;
   return {
@@ -23,19 +23,22 @@
   return long.map((tokens, urgency) => tokens + (short[urgency] ?? 0));
 }
 
-/** Prompt tokens at a server that are read before those of a request that comes now. */
+/**
+ * Returns the prompt tokens that a server processes before those of a new request of the given
+ * urgency.
+ */
 export function tokensAhead(load: ServerLoad, urgency: number): number {
   const { unreadByUrgency, prefillTokens } = load;
   if (unreadByUrgency === undefined) return prefillTokens;
   return unreadByUrgency.slice(0, urgency + 1).reduce((sum, tokens) => sum + tokens, 0);
 }
 
-/** An attempt's prompt is to be read by the server. */
+/** Adds an attempt's prompt to those that the server has yet to process. */
 export function addUnreadPrompt(view: ServerView, attempt: Attempt): void {
   changeUnread(view, attempt, 1);
 }
 
-/** The server has read an attempt's prompt, or need not any more. */
+/** Removes an attempt's prompt once it is processed or no longer needed. */
 export function removeUnreadPrompt(view: ServerView, attempt: Attempt): void {
   changeUnread(view, attempt, -1);
 }
--- a/packages/reedlug-gateway/src/policy/unitWindow.ts
+++ b/packages/reedlug-gateway/src/policy/unitWindow.ts
@@ -1,11 +1,11 @@
 /**
- * Units charged in the last span of time.
+ * Sliding window of charged units.
  *
- * Units are kept in slices; a slice leaves the window when its newest moment has,
+ * Units are kept in buckets. A bucket leaves the window only once its latest moment has left it,
  * so the sum is never below the true one.
  */
 
-/** Length of a slice, in ms: what the sum may be too old by. */
+/** Length of a bucket, in ms: units may count for this much longer than the window. */
 const BUCKET_MS = 100;
 
 interface Bucket {
@@ -13,10 +13,10 @@
   units: number;
 }
 
-/** A sliding window of units. */
+/** Sliding window of units. */
 export interface UnitWindow {
   lengthMs: number;
-  /** In the order of time. */
+  /** In order of time. */
   buckets: Bucket[];
   total: number;
 }
@@ -26,7 +26,7 @@
   return { lengthMs, buckets: [], total: 0 };
 }
 
-/** Adds units that count from a time on, which may be some ms ahead. */
+/** Adds units that count from the given time on, which may lie in the future. */
 export function addUnits(window: UnitWindow, units: number, atMs: number): void {
   const startMs = Math.floor(atMs / BUCKET_MS) * BUCKET_MS;
   const { buckets } = window;
@@ -38,7 +38,10 @@
   window.total += units;
 }
 
-/** Units within the window that ends now; those counted ahead are in it. */
+/**
+ * Returns the units in the window that ends now, including those that count from a future time, and
+ * drops older ones.
+ */
 export function unitsWithin(window: UnitWindow, nowMs: number): number {
   while (window.buckets.length > 0) {
     const oldest = window.buckets[0] as Bucket;
@@ -54,18 +57,21 @@
   return startMs + BUCKET_MS + lengthMs;
 }
 
-/** What may be added to a window: so much at one moment, and so much more for each ms that a span is long. */
+/**
+ * Bound on the units of each span of a window: a burst, and a number of units for each ms of the
+ * span.
+ */
 export interface WindowBound {
   burst: number;
   perMs: number;
-  /** From when on it holds. */
+  /** Time from which the bound applies. */
   sinceMs: number;
 }
 
 /**
- * Units that may be added at a time, now or later, so that no span of the window
- * that ends then holds more than `burst` and `perMs` for each of its ms. Spans that
- * begin before `sinceMs` are left out.
+ * Returns the units that may be added at a time, now or later, so that no span of the window
+ * ending then exceeds `burst` plus `perMs` for each of its ms. Spans that begin before `sinceMs`
+ * are ignored.
  */
 export function spareUnits(
   window: UnitWindow,
@@ -84,10 +90,16 @@
   return spare;
 }
 
-/** Steps in which the time to room is looked for, in ms: fine against the times that callers are told. */
+/**
+ * Step of the search for the time until units are spare, in ms: small compared with the
+ * `Retry-After` times of callers.
+ */
 const SEARCH_STEP_MS = 100;
 
-/** Time from now until there is room for so many units if nothing is added, in ms; the window's length when there never is. */
+/**
+ * Returns the time until this many units are spare if nothing is added, in ms; the window's length
+ * if they never are.
+ */
 export function timeUntilSpareMs(
   window: UnitWindow,
   bounds: readonly WindowBound[],
