--- a/packages/reedlug-gateway/src/__tests__/__fixtures__/box.ts
+++ b/packages/reedlug-gateway/src/__tests__/__fixtures__/box.ts
@@ -19,7 +19,7 @@
 export const KEY = 'key-of-tiger';
 
 /** The head of an answer that says nothing of its server. */
-export const NOTHING_SAID: AnswerStatements = {
+export const NO_STATEMENTS: AnswerStatements = {
   limit: { kind: 'none' },
   isDraining: false,
   pauseMs: undefined,
@@ -198,7 +198,7 @@
 }
 
 /** News of another box of what servers said. */
-export function statementNews(...statements: IncarnationStatement[]) {
+export function statementsEvent(...statements: IncarnationStatement[]) {
   const message = { kind: 'serverStatements' as const, boxId: 'box-2', statements };
   return { type: 'serverStatements' as const, message };
 }
@@ -212,7 +212,7 @@
 }
 
 /** A rest as another box tells it that was asked for just now. */
-export function restStatement(leftMs: number): ServerStatement {
+export function pauseStatement(leftMs: number): ServerStatement {
   return { kind: 'rest', leftMs, askedAgeMs: 0, probeAgeMs: undefined, servedAgeMs: undefined };
 }
 
@@ -220,7 +220,7 @@
 export interface TestBox {
   state: GatewayState;
   nowMs: number;
-  wallOffsetMs: number;
+  wallClockOffsetMs: number;
   /** Feeds an event and returns its effects. */
   take: (event: EventBody) => Effect[];
   /** Moves the clock on, with a tick at the end. */
@@ -231,9 +231,13 @@
   const box: TestBox = {
     state: createGatewayState({ settings: boxSettings, incarnation: 1, nowMs: 0 }),
     nowMs: 0,
-    wallOffsetMs: 1_000_000,
+    wallClockOffsetMs: 1_000_000,
     take: (event) =>
-      reduce(box.state, { ...event, nowMs: box.nowMs, wallClockMs: box.nowMs + box.wallOffsetMs }),
+      reduce(box.state, {
+        ...event,
+        nowMs: box.nowMs,
+        wallClockMs: box.nowMs + box.wallClockOffsetMs,
+      }),
     pass(ms) {
       box.nowMs += ms;
       return box.take({ type: 'tick' });
@@ -244,12 +248,12 @@
 
 /** Tells a box that the store lists it and others, all of them with parts of which nothing was sent. */
 export function listBoxes(box: TestBox, others: readonly PeerAddress[] = []): void {
-  listBoxesAgain(box, others);
+  listBoxesAfterRestart(box, others);
   box.state.part.opening = { kind: 'unused' };
 }
 
 /** Tells a box that the store lists it and others, itself from an earlier life. */
-export function listBoxesAgain(box: TestBox, others: readonly PeerAddress[] = []): void {
+export function listBoxesAfterRestart(box: TestBox, others: readonly PeerAddress[] = []): void {
   const { id: boxId, ip: host, zone, processorCores } = box.state.settings.box;
   const port = box.state.settings.listen.peersPort;
   const own: PeerAddress = { boxId, host, port, zone, processorCores };
--- a/packages/reedlug-gateway/src/__tests__/__fixtures__/fleet.ts
+++ b/packages/reedlug-gateway/src/__tests__/__fixtures__/fleet.ts
@@ -3,7 +3,7 @@
   configuration,
   createBox,
   listBoxes,
-  listBoxesAgain,
+  listBoxesAfterRestart,
   ofType,
   server,
   settings,
@@ -67,9 +67,9 @@
       }
     }
   };
-  const answerQuestions = (boxId: string, asked: readonly Effect[]): void => {
+  const answerStateRequests = (boxId: string, requests: readonly Effect[]): void => {
     const box = boxes.get(boxId);
-    for (const { peer, withServers } of ofType(asked, 'askPeer')) {
+    for (const { peer, withServers } of ofType(requests, 'askPeer')) {
       const sender = boxes.get(idByHost.get(peer.host) ?? '');
       if (box === undefined || sender === undefined) continue;
       for (const event of eventsOfShared(sharedStateOf(sender.state, withServers))) box.take(event);
@@ -91,7 +91,7 @@
       const address = addresses.find((known) => known.boxId === boxId);
       if (before === undefined || address === undefined) throw new Error(`no ${boxId}`);
       const box = createFleetBox(address, before.state.incarnation + 1, before.nowMs);
-      listBoxesAgain(box, othersOf(box, addresses));
+      listBoxesAfterRestart(box, othersOf(box, addresses));
       boxes.set(boxId, box);
     },
     kill: (boxId) => void boxes.delete(boxId),
@@ -104,7 +104,7 @@
         });
         answered.clear();
         for (const batch of sent) deliver(batch);
-        for (const [boxId, done] of answered) answerQuestions(boxId, done);
+        for (const [boxId, done] of answered) answerStateRequests(boxId, done);
       }
     },
   };
--- a/packages/reedlug-gateway/src/__tests__/__fixtures__/lease.ts
+++ b/packages/reedlug-gateway/src/__tests__/__fixtures__/lease.ts
@@ -27,14 +27,14 @@
 }
 
 /** Purposes whose writes the table takes while time passes for a holder. */
-const TAKEN_WRITES: readonly string[] = ['lease', 'checkpoint'];
+const ACCEPTED_WRITES: readonly string[] = ['lease', 'checkpoint'];
 
 /** Lets time pass in ticks while the table takes lease and checkpoint; returns all other effects. */
 export function passAsHolder(box: TestBox, ms: number): Effect[] {
   const others: Effect[] = [];
   for (let passed = 0; passed < ms; passed += TICK_MS) {
     for (const effect of box.pass(TICK_MS)) {
-      if (effect.type !== 'requestTable' || !TAKEN_WRITES.includes(effect.purpose.kind)) {
+      if (effect.type !== 'requestTable' || !ACCEPTED_WRITES.includes(effect.purpose.kind)) {
         others.push(effect);
         continue;
       }
--- a/packages/reedlug-gateway/src/slices/__tests__/capacity.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/capacity.test.ts
@@ -8,8 +8,8 @@
   server,
   type TestBox,
   limitStatement,
-  restStatement,
-  statementNews,
+  pauseStatement,
+  statementsEvent,
 } from '../../__tests__/__fixtures__/box.js';
 import { callsOf, passAsHolder, takeLease } from '../../__tests__/__fixtures__/lease.js';
 import type { CloudCall } from '../../types/effect.js';
@@ -287,7 +287,7 @@
     takeLease(box);
     const life = entries.map(({ id }) => ({ serverId: id, bornAtMs: undefined }));
     if (statement !== undefined) {
-      box.take(statementNews(...life.map((known) => ({ ...known, statement }))));
+      box.take(statementsEvent(...life.map((known) => ({ ...known, statement }))));
     }
     for (let turn = 0; turn < 40; turn += 1) {
       const request = facts({ requestId: `r${turn}`, path: '/draft/1', deadlineMs: 60_000 });
@@ -300,7 +300,7 @@
   const usual = wantedWith(undefined);
   expect(wantedWith(limitStatement(1))).to.be.above(usual);
   expect(wantedWith(limitStatement(1_000_000))).to.equal(usual);
-  expect(wantedWith(restStatement(30_000))).to.be.above(usual);
+  expect(wantedWith(pauseStatement(30_000))).to.be.above(usual);
   // Over before another engine would be there.
-  expect(wantedWith(restStatement(3000))).to.equal(usual);
+  expect(wantedWith(pauseStatement(3000))).to.equal(usual);
 });
--- a/packages/reedlug-gateway/src/slices/__tests__/limitsOverBoxes.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/limitsOverBoxes.test.ts
@@ -10,7 +10,7 @@
   createBox,
   facts,
   listBoxes,
-  listBoxesAgain,
+  listBoxesAfterRestart,
   ofType,
   settings,
   type TestBox,
@@ -241,7 +241,7 @@
       const isListed = box.state.part.listRevision > 0;
       const sinceMs = nowMs - box.state.startedAtMs;
       if (!isListed && sinceMs >= scene.storeAnswersAfterMs) {
-        listBoxesAgain(box, othersOf(from, scene.boxes));
+        listBoxesAfterRestart(box, othersOf(from, scene.boxes));
       }
     });
   }
--- a/packages/reedlug-gateway/src/slices/__tests__/quotas.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/quotas.test.ts
@@ -3,7 +3,7 @@
   configuration,
   createServingBox,
   facts,
-  listBoxesAgain,
+  listBoxesAfterRestart,
   ofType,
   only,
   settings,
@@ -84,7 +84,7 @@
 test('a box that starts again has sent its burst as far as it knows, and goes on with the flow', () => {
   const box = createServingBox(settings({ limitOverShare: 0 }));
   box.state.part.opening = undefined;
-  listBoxesAgain(box);
+  listBoxesAfterRestart(box);
   expect(ask(box, 1, 1000)).to.equal(false);
   box.pass(1700);
   expect(ask(box, 2, 5000)).to.equal(true);
--- a/packages/reedlug-gateway/src/slices/__tests__/serverLifeOrders.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/serverLifeOrders.test.ts
@@ -6,9 +6,9 @@
   ofType,
   server,
   type TestBox,
-  NOTHING_SAID,
+  NO_STATEMENTS,
   limitStatement,
-  statementNews,
+  statementsEvent,
 } from '../../__tests__/__fixtures__/box.js';
 import type { Effect } from '../../types/effect.js';
 import type { EventBody } from '../../types/event.js';
@@ -89,7 +89,7 @@
         const ages = { sentAgeMs: step.ageMs, receivedAgeMs: step.ageMs };
         const statement = limitStatement(step.perSecond ?? undefined, ages);
         const before = limitOf(box, step.id);
-        take(statementNews({ serverId: step.id, bornAtMs: step.bornAtMs, statement }));
+        take(statementsEvent({ serverId: step.id, bornAtMs: step.bornAtMs, statement }));
         if (isOfOtherLife(box, step)) expect(limitOf(box, step.id)).to.equal(before);
         break;
       }
@@ -124,7 +124,7 @@
   if (how === 'leave') return take({ type: 'callerGone', exchangeId: ids.exchangeId });
   if (how === 'lose') return take({ type: 'attemptLost', ...ids, reason: 'reset' });
   const word = limit > 0 ? { kind: 'limit' as const, perSecond: limit } : { kind: 'none' as const };
-  take({ type: 'answerBegun', ...ids, statements: { ...NOTHING_SAID, limit: word } });
+  take({ type: 'answerBegun', ...ids, statements: { ...NO_STATEMENTS, limit: word } });
   const verdict = how === 'answer' ? ('success' as const) : ('notRun' as const);
   take({ type: 'attemptAnswered', ...ids, verdict, status: how === 'answer' ? 200 : 503 });
 }
--- a/packages/reedlug-gateway/src/slices/__tests__/suspension.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/suspension.test.ts
@@ -5,7 +5,7 @@
   ofType,
   type TestBox,
   limitStatement,
-  statementNews,
+  statementsEvent,
 } from '../../__tests__/__fixtures__/box.js';
 import { takeLease } from '../../__tests__/__fixtures__/lease.js';
 import type { Effect } from '../../types/effect.js';
@@ -13,7 +13,7 @@
 
 /** A machine stands still for a time that its steady clock does not count. */
 function suspend(box: TestBox, ms: number): Effect[] {
-  box.wallOffsetMs += ms;
+  box.wallClockOffsetMs += ms;
   return box.pass(50);
 }
 
@@ -76,7 +76,7 @@
     bornAtMs: undefined,
     statement,
   }));
-  box.take(statementNews(...limits));
+  box.take(statementsEvent(...limits));
   const ask = (exchangeId: number): Effect[] =>
     box.take({
       type: 'requestArrived',
--- a/packages/reedlug-gateway/src/slices/__tests__/usage.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/usage.test.ts
@@ -89,7 +89,7 @@
 test('a step of this box`s wall clock does not move a request to another window', () => {
   const box = createHolder();
   const window = Math.floor(box.nowMs / 5000);
-  box.wallOffsetMs += 2_400_000;
+  box.wallClockOffsetMs += 2_400_000;
   serve(box, 1);
   expect([...box.state.usage.keys()]).to.deep.equal([window]);
 });
--- a/packages/reedlug-gateway/src/slices/statements/__tests__/leaving.test.ts
+++ b/packages/reedlug-gateway/src/slices/statements/__tests__/leaving.test.ts
@@ -3,18 +3,18 @@
   createServingBox,
   facts,
   limitStatement,
-  NOTHING_SAID,
+  NO_STATEMENTS,
   ofType,
   only,
   server,
-  statementNews,
+  statementsEvent,
   type TestBox,
 } from '../../../__tests__/__fixtures__/box.js';
 import { createFleet } from '../../../__tests__/__fixtures__/fleet.js';
 import type { AnswerVerdict } from '../../../types/request.js';
 import { ServerState } from '../../../types/server.js';
 
-const LEAVING = { ...NOTHING_SAID, isDraining: true };
+const LEAVING = { ...NO_STATEMENTS, isDraining: true };
 
 /** Sends a request; gives the server that was chosen, which says that it leaves in its answer. */
 function askLeaving(box: Pick<TestBox, 'take'>, exchangeId: number, verdict: AnswerVerdict) {
@@ -64,7 +64,7 @@
 test('when all engines leave, callers are told when the next one comes', () => {
   const box = createServingBox();
   for (const serverId of ['engine-1', 'engine-2']) {
-    box.take(statementNews({ serverId, bornAtMs: undefined, statement: { kind: 'leaving' } }));
+    box.take(statementsEvent({ serverId, bornAtMs: undefined, statement: { kind: 'leaving' } }));
     box.pass(1000);
   }
   const request = facts({ requestId: 'r1', path: '/draft/1', deadlineMs: 8000 });
@@ -90,7 +90,7 @@
 test('an entry that says ready, comes late or anew does not undo that its server leaves', () => {
   const box = createServingBox();
   read(box, 'records-1', 5, ServerState.ready);
-  box.take(statementNews({ serverId: 'records-1', bornAtMs: 5, statement: { kind: 'leaving' } }));
+  box.take(statementsEvent({ serverId: 'records-1', bornAtMs: 5, statement: { kind: 'leaving' } }));
   expect(isLeaving(box, 'records-1')).to.equal(true);
   read(box, 'records-1', 5, ServerState.ready);
   expect(isLeaving(box, 'records-1')).to.equal(true);
@@ -102,7 +102,7 @@
 
 test('a server leaves that said so before its entry was known', () => {
   const box = createServingBox();
-  box.take(statementNews({ serverId: 'records-9', bornAtMs: 5, statement: { kind: 'leaving' } }));
+  box.take(statementsEvent({ serverId: 'records-9', bornAtMs: 5, statement: { kind: 'leaving' } }));
   box.pass(1000);
   read(box, 'records-9', 5, ServerState.ready);
   expect(isLeaving(box, 'records-9')).to.equal(true);
@@ -110,7 +110,7 @@
 
 test('the next life of a server that left begins clean', () => {
   const box = createServingBox();
-  const news = statementNews({
+  const news = statementsEvent({
     serverId: 'records-1',
     bornAtMs: 5,
     statement: { kind: 'leaving' },
@@ -127,7 +127,7 @@
   const box = createServingBox();
   read(box, 'records-1', 5, ServerState.ready);
   const statement = limitStatement(2);
-  box.take(statementNews({ serverId: 'records-1', bornAtMs: 6, statement }));
+  box.take(statementsEvent({ serverId: 'records-1', bornAtMs: 6, statement }));
   read(box, 'records-1', 5, ServerState.leaving);
   expect(isLeaving(box, 'records-1')).to.equal(true);
 });
--- a/packages/reedlug-gateway/src/slices/statements/__tests__/limits.test.ts
+++ b/packages/reedlug-gateway/src/slices/statements/__tests__/limits.test.ts
@@ -6,9 +6,9 @@
   only,
   server,
   type TestBox,
-  NOTHING_SAID,
+  NO_STATEMENTS,
   limitStatement,
-  statementNews,
+  statementsEvent,
 } from '../../../__tests__/__fixtures__/box.js';
 import { createFleet, type TestFleet } from '../../../__tests__/__fixtures__/fleet.js';
 import { eventOfDatagram } from '../../../daemon/datagramEvent.js';
@@ -41,7 +41,7 @@
 function answer({ exchangeId, attemptId }: Sent, limit: LimitStatement) {
   const ids = { exchangeId, attemptId };
   return [
-    { type: 'answerBegun' as const, ...ids, statements: { ...NOTHING_SAID, limit } },
+    { type: 'answerBegun' as const, ...ids, statements: { ...NO_STATEMENTS, limit } },
     { type: 'attemptAnswered' as const, ...ids, verdict: 'success' as const, status: 200 },
   ];
 }
@@ -220,7 +220,7 @@
   const read = { type: 'serversRead' as const, whole: false, source: 'store' as const };
   box.take({ ...read, changes: [change(1)], revision: 2 });
   const statement = limitStatement(2, { sentAgeMs: 10, receivedAgeMs: 5 });
-  const news = statementNews({ serverId: 'records-1', bornAtMs: 1, statement });
+  const news = statementsEvent({ serverId: 'records-1', bornAtMs: 1, statement });
   box.take(news);
   expect(box.state.servers.get('records-1')?.statements?.limit?.perSecond).to.equal(2);
   box.take({ ...read, changes: [change(9)], revision: 3 });
@@ -252,7 +252,7 @@
   fleet.pass(4000);
   const { exchangeId, attemptId } = sentOf(fleet.take('box-3', requestOf())) as Sent;
   const ids = { exchangeId, attemptId };
-  const statements = { ...NOTHING_SAID, pauseMs: 2000 };
+  const statements = { ...NO_STATEMENTS, pauseMs: 2000 };
   fleet.take('box-3', { type: 'answerBegun', ...ids, statements });
   fleet.take('box-3', { type: 'attemptAnswered', ...ids, verdict: 'notRun', status: 503 });
   fleet.pass(300);
--- a/packages/reedlug-gateway/src/slices/statements/__tests__/rests.test.ts
+++ b/packages/reedlug-gateway/src/slices/statements/__tests__/rests.test.ts
@@ -3,12 +3,12 @@
 import {
   createServingBox,
   facts,
-  NOTHING_SAID,
+  NO_STATEMENTS,
   ofType,
   only,
-  restStatement,
+  pauseStatement,
   server,
-  statementNews,
+  statementsEvent,
   type TestBox,
 } from '../../../__tests__/__fixtures__/box.js';
 import { createFleet, type TestFleet } from '../../../__tests__/__fixtures__/fleet.js';
@@ -34,13 +34,13 @@
 
 function serve(box: Taker, { exchangeId, attemptId }: Sent): void {
   const ids = { exchangeId, attemptId };
-  box.take({ type: 'answerBegun', ...ids, statements: NOTHING_SAID });
+  box.take({ type: 'answerBegun', ...ids, statements: NO_STATEMENTS });
   box.take({ type: 'attemptAnswered', ...ids, verdict: 'success', status: 200 });
 }
 
 function refuse(box: Taker, { exchangeId, attemptId }: Sent, restMs: number): void {
   const ids = { exchangeId, attemptId };
-  box.take({ type: 'answerBegun', ...ids, statements: { ...NOTHING_SAID, pauseMs: restMs } });
+  box.take({ type: 'answerBegun', ...ids, statements: { ...NO_STATEMENTS, pauseMs: restMs } });
   box.take({ type: 'attemptAnswered', ...ids, verdict: 'notRun', status: 503 });
 }
 
@@ -124,7 +124,9 @@
   const rests = (): boolean =>
     (box.state.servers.get('records-1')?.statements?.rest?.untilMs ?? 0) > box.nowMs;
   read(entry);
-  box.take(statementNews({ serverId: 'records-1', bornAtMs: 5, statement: restStatement(9000) }));
+  box.take(
+    statementsEvent({ serverId: 'records-1', bornAtMs: 5, statement: pauseStatement(9000) }),
+  );
   expect(rests()).to.equal(true);
   read(undefined);
   read({ ...entry, state: ServerState.ready });
@@ -143,8 +145,8 @@
       const ends = [drawn, [...drawn].reverse()].map((order) => {
         const box = createServingBox();
         for (const { leftMs } of order) {
-          const statement = restStatement(leftMs);
-          box.take(statementNews({ serverId: 'records-1', bornAtMs: undefined, statement }));
+          const statement = pauseStatement(leftMs);
+          box.take(statementsEvent({ serverId: 'records-1', bornAtMs: undefined, statement }));
         }
         return box.state.servers.get('records-1')?.statements?.rest?.untilMs;
       });
@@ -161,7 +163,7 @@
     ['records-1', 30_000] as const,
     ['records-2', 20_000] as const,
   ]) {
-    box.take(statementNews({ serverId, bornAtMs: undefined, statement: restStatement(leftMs) }));
+    box.take(statementsEvent({ serverId, bornAtMs: undefined, statement: pauseStatement(leftMs) }));
   }
   const request = facts({ requestId: 'late', path: '/lookup/1', deadlineMs: 8000 });
   const effects = box.take({ type: 'requestArrived', exchangeId: 9, facts: request });
@@ -174,7 +176,7 @@
   const box = createServingBox();
   const refusals = [900, 300].map((ageMs) => ({ kind: 'refusal' as const, ageMs }));
   for (const statement of refusals) {
-    box.take(statementNews({ serverId: 'records-1', bornAtMs: undefined, statement }));
+    box.take(statementsEvent({ serverId: 'records-1', bornAtMs: undefined, statement }));
   }
   for (let turn = 0; turn < 20; turn += 1) {
     const sent = send(box) as Sent;
@@ -187,7 +189,7 @@
   const box = createServingBox();
   for (const ageMs of [900, 800, 700]) {
     const statement = { kind: 'refusal' as const, ageMs };
-    box.take(statementNews({ serverId: 'records-1', bornAtMs: undefined, statement }));
+    box.take(statementsEvent({ serverId: 'records-1', bornAtMs: undefined, statement }));
   }
   expect(box.state.servers.get('records-1')?.failureScore).to.equal(1);
 });
