--- a/packages/reedlug-gateway/src/__tests__/__fixtures__/box.ts
+++ b/packages/reedlug-gateway/src/__tests__/__fixtures__/box.ts
@@ -1,4 +1,4 @@
-/** A box's state under test: one route of each kind, two servers for each service. */
+/** Test fixtures of a single box, with one route of each kind and two servers for each service. */
 import { createGatewayState, type GatewayState } from '../../state.js';
 import { reduce } from '../../reduce.js';
 import type { Configuration, RouteSpec } from '../../types/configuration.js';
@@ -18,7 +18,7 @@
 export const HOST = 'bench.example';
 export const KEY = 'key-of-tiger';
 
-/** The head of an answer that says nothing of its server. */
+/** Statements of an answer whose server states nothing. */
 export const NO_STATEMENTS: AnswerStatements = {
   limit: { kind: 'none' },
   isDraining: false,
@@ -197,13 +197,13 @@
   };
 }
 
-/** News of another box of what servers said. */
+/** Returns the event of a message by which another box announces server statements. */
 export function statementsEvent(...statements: IncarnationStatement[]) {
   const message = { kind: 'serverStatements' as const, boxId: 'box-2', statements };
   return { type: 'serverStatements' as const, message };
 }
 
-/** A limit as another box tells it: asked and said a moment ago. */
+/** Returns a limit statement as announced by another box, with recent times by default. */
 export function limitStatement(
   perSecond: number | undefined,
   ages: { sentAgeMs: number; receivedAgeMs: number } = { sentAgeMs: 2, receivedAgeMs: 1 },
@@ -211,19 +211,19 @@
   return { kind: 'limit', perSecond, ...ages };
 }
 
-/** A rest as another box tells it that was asked for just now. */
+/** Returns a pause statement as announced by another box, with the pause requested just now. */
 export function pauseStatement(leftMs: number): ServerStatement {
   return { kind: 'rest', leftMs, askedAgeMs: 0, probeAgeMs: undefined, servedAgeMs: undefined };
 }
 
-/** A box with its clock in the test's hands. */
+/** A box whose clock is controlled by the test. */
 export interface TestBox {
   state: GatewayState;
   nowMs: number;
   wallClockOffsetMs: number;
   /** Feeds an event and returns its effects. */
   take: (event: EventBody) => Effect[];
-  /** Moves the clock on, with a tick at the end. */
+  /** Advances the clock and feeds a tick at the end. */
   pass: (ms: number) => Effect[];
 }
 
@@ -246,13 +246,13 @@
   return box;
 }
 
-/** Tells a box that the store lists it and others, all of them with parts of which nothing was sent. */
+/** Lists a box and others in the store, all of them with unused limit shares. */
 export function listBoxes(box: TestBox, others: readonly PeerAddress[] = []): void {
   listBoxesAfterRestart(box, others);
   box.state.part.opening = { kind: 'unused' };
 }
 
-/** Tells a box that the store lists it and others, itself from an earlier life. */
+/** Lists a box and others in the store, with an entry of an earlier incarnation of the box. */
 export function listBoxesAfterRestart(box: TestBox, others: readonly PeerAddress[] = []): void {
   const { id: boxId, ip: host, zone, processorCores } = box.state.settings.box;
   const port = box.state.settings.listen.peersPort;
@@ -263,7 +263,7 @@
   box.take({ type: 'peersListed', changes, whole: true, revision: 1 });
 }
 
-/** A box that has its configuration, four servers and all of each limit, of which nothing was sent. */
+/** Creates a box with its configuration, four servers and unused, undivided limits. */
 export function createServingBox(boxSettings: GatewaySettings = settings()): TestBox {
   const box = createBox(boxSettings);
   listBoxes(box);
@@ -286,7 +286,7 @@
   return effects.filter((effect): effect is Extract<Effect, { type: T }> => effect.type === type);
 }
 
-/** The only effect of a type; fails the test when there is none or more. */
+/** Returns the only effect of a type; throws if there is none or more than one. */
 export function only<T extends Effect['type']>(
   effects: readonly Effect[],
   type: T,
--- a/packages/reedlug-gateway/src/__tests__/__fixtures__/fleet.ts
+++ b/packages/reedlug-gateway/src/__tests__/__fixtures__/fleet.ts
@@ -1,4 +1,4 @@
-/** Many boxes under virtual time whose datagrams reach each other at once. */
+/** Test fixtures of a fleet of boxes in virtual time, whose datagrams arrive without delay. */
 import {
   configuration,
   createBox,
@@ -15,29 +15,31 @@
 import type { Effect } from '../../types/effect.js';
 import type { EventBody } from '../../types/event.js';
 
-/** Pause between ticks, in ms, as in the daemon. */
+/** Interval between ticks, in ms, as in the daemon. */
 const TICK_MS = 50;
 const PEERS_PORT = 7000;
 
-/** A fleet with its clock in the test's hands. */
+/** A fleet whose clock is controlled by the test. */
 export interface TestFleet {
   boxes: Map<string, TestBox>;
-  /** Datagrams that each box got. */
+  /** Number of datagrams received by each box. */
   received: Map<string, number>;
   /** Effects of the last tick, by box. */
   effects: Map<string, Effect[]>;
-  /** Effects of the datagrams of the last tick, by box. */
+  /** Effects of the datagrams delivered since the last tick, by box. */
   answered: Map<string, Effect[]>;
   pass: (ms: number) => void;
-  /** Feeds an event to a box, delivers what it sends its peers, and returns all of its effects. */
+  /**
+   * Feeds an event to a box, delivers its datagrams to its peers, and returns all of its effects.
+   */
   take: (boxId: string, event: EventBody) => Effect[];
-  /** Starts a box anew with nothing but what the store gives it. */
+  /** Restarts a box with only the state that the store provides. */
   restart: (boxId: string) => void;
-  /** Ends a box; nothing reaches it any more. */
+  /** Removes a box, which receives nothing any more. */
   kill: (boxId: string) => void;
 }
 
-/** Starts boxes that all know each other from the store's list. */
+/** Creates boxes that know each other from the store's list. */
 export function createFleet(params: { boxes: number; zones: readonly string[] }): TestFleet {
   const { zones } = params;
   const addresses: PeerAddress[] = Array.from({ length: params.boxes }, (_, index) => ({
--- a/packages/reedlug-gateway/src/__tests__/__fixtures__/lease.ts
+++ b/packages/reedlug-gateway/src/__tests__/__fixtures__/lease.ts
@@ -1,12 +1,12 @@
-/** Steps by which a box under test comes to hold the duty lease. */
+/** Test fixtures that let a box acquire and hold the duty lease. */
 import type { CloudCall } from '../../types/effect.js';
 import type { Effect } from '../../types/effect.js';
 import { ofType, only, type TestBox } from './box.js';
 
-/** The daemon's tick, in ms. */
+/** Interval between ticks, in ms, as in the daemon. */
 const TICK_MS = 50;
 
-/** Lets the box take the duty lease; returns its fence. */
+/** Lets the box acquire the duty lease and returns its fencing token. */
 export function takeLease(box: TestBox): number {
   const read = ofType(box.pass(4000), 'requestTable').find(
     ({ purpose }) => purpose.kind === 'lease',
@@ -26,10 +26,13 @@
   return box.state.lease.held?.fence ?? 0;
 }
 
-/** Purposes whose writes the table takes while time passes for a holder. */
+/** Purposes of the writes that the table accepts from a lease holder. */
 const ACCEPTED_WRITES: readonly string[] = ['lease', 'checkpoint'];
 
-/** Lets time pass in ticks while the table takes lease and checkpoint; returns all other effects. */
+/**
+ * Advances time in ticks while the table accepts writes of lease and checkpoint; returns all other
+ * effects.
+ */
 export function passAsHolder(box: TestBox, ms: number): Effect[] {
   const others: Effect[] = [];
   for (let passed = 0; passed < ms; passed += TICK_MS) {
@@ -47,7 +50,7 @@
   return others;
 }
 
-/** The calls of one kind among effects. */
+/** Returns the platform calls of one kind among effects. */
 export function callsOf<K extends CloudCall['kind']>(
   effects: readonly Effect[],
   kind: K,
--- a/packages/reedlug-gateway/src/adapter.ts
+++ b/packages/reedlug-gateway/src/adapter.ts
@@ -1,8 +1,9 @@
 /**
- * What the gateway asks of a platform: decoding and encoding, and calls.
+ * Interface of a platform adapter, which encodes and decodes the platform's formats and calls its
+ * services.
  *
- * An adapter holds no state, timer, retry or decision. Calls resolve with
- * outcomes as values and never reject.
+ * An adapter has no state, timers, retries or decisions. Calls resolve with outcomes as values
+ * and never reject.
  */
 import type { TableAnswer, TableOp } from 'reedlug-coordination';
 import type { Configuration } from './types/configuration.js';
@@ -15,26 +16,29 @@
 import type { AnswerStatements } from './types/serverStatement.js';
 import type { GatewaySettings } from './types/settings.js';
 
-/** Names and values in turn, as they stood on the wire. */
+/** Alternating header names and values, as received. */
 export type RawHeaders = readonly string[];
 
-/** A request's head as received. */
+/** Head of a request, as received. */
 export interface RequestHead {
   method: string;
   path: string;
   rawHeaders: RawHeaders;
 }
 
-/** A head that was read, or why it is not one of the protocol. */
+/** A decoded request head, or the reason why it is malformed. */
 export type DecodedRequest =
   { kind: 'request'; facts: HeadFacts } | { kind: 'malformed'; message: string };
 
-/** A collection of the store that boxes follow. */
+/** A page of a collection that boxes follow in the store. */
 export interface FeedPage<T> {
   items: readonly T[];
-  /** Go on from here; a revision of the store, as all others here. */
+  /** Store revision from which to continue. */
   revision: number;
-  /** Revision of the newest item; 0 without items. It is the same at all boxes that have read the same changes. */
+  /**
+   * Revision of the latest item; 0 without items. It is the same at all boxes that have read the
+   * same changes.
+   */
   newestRevision: number;
   storeNowMs: number | undefined;
 }
@@ -42,45 +46,51 @@
 /** Answer of a call that reads or follows a collection. */
 export type FeedAnswer<T> =
   | { kind: 'page'; page: FeedPage<T> }
-  /** The changes asked for are no longer kept; read the whole again. */
+  /** The requested changes are no longer available, so the whole collection must be read again. */
   | { kind: 'historyGone' }
   | { kind: 'unavailable'; reason: string };
 
-/** Where to go on, and how long an answer may wait for a change. */
+/** Position from which to continue, and how long an answer may wait for a change. */
 export interface FeedPosition {
   afterRevision: number;
   waitMs: number;
   timeoutMs: number;
-  /** Ends the call early. */
+  /** Aborts the call. */
   signal?: AbortSignal;
 }
 
-/** One collection: its whole, and its changes. */
+/** A collection that can be read completely or followed by its changes. */
 export interface Feed<T> {
   readAll: (timeoutMs: number) => Promise<FeedAnswer<T>>;
   follow: (position: FeedPosition) => Promise<FeedAnswer<T>>;
 }
 
-/** What the operators write. */
+/** An entry written by the operators. */
 export type OperatorEntry =
   | { kind: 'configuration'; configuration: Configuration }
   | { kind: 'rollout'; order: RolloutOrder }
-  /** Nothing that this version understands; it is told in the log and moves nothing. */
+  /** An entry that this version cannot read; it is logged and has no effect. */
   | { kind: 'unreadable'; key: string; reason: string };
 
-/** Answer of the shared table, and what the store told with it: undefined where it did not answer. */
+/**
+ * Answer of the shared table, with the time and era of the store, which are undefined if it did not
+ * answer.
+ */
 export interface StoreTableReply {
   answer: TableAnswer;
   storeNowMs: number | undefined;
   era: number | undefined;
 }
 
-/** The platform's store. A record under `ROLLOUT_KEY_PREFIX` is shown to the operators in the same step. */
+/**
+ * Store of the platform. A record under `ROLLOUT_KEY_PREFIX` is shown to the operators in the same
+ * transaction.
+ */
 export interface PlatformStore {
   operators: Feed<OperatorEntry>;
   servers: Feed<ServerChange>;
   boxes: Feed<PeerChange>;
-  /** Enters a box into the collection of boxes, or takes it out. */
+  /** Adds a box to the collection of boxes, or removes it if `address` is undefined. */
   announceBox: (
     boxId: string,
     address: PeerAddress | undefined,
@@ -90,7 +100,7 @@
   close: () => Promise<void>;
 }
 
-/** The platform's interface for duties. */
+/** Interface of the platform for the duties of the lease holder. */
 export interface PlatformCloud {
   call: (params: {
     call: CloudCall;
@@ -101,40 +111,49 @@
   close: () => Promise<void>;
 }
 
-/** An answer's head, with the id of the request that was sent. */
+/** Head of an answer, with the id of the request that was sent. */
 export interface AnswerHead {
   requestId: string;
   status: number;
   rawHeaders: RawHeaders;
 }
 
-/** Headers of requests and answers. */
+/** Encodes and decodes the headers of requests and answers. */
 export interface HeaderCodec {
   decodeRequest: (head: RequestHead) => DecodedRequest;
-  /** The fields that go to a server: the caller's end-to-end ones, and those that the order sets. */
+  /**
+   * Returns the headers of a send to a server: the caller's end-to-end headers, and those set by
+   * the order.
+   */
   encodeSend: (rawHeaders: RawHeaders, order: SendOrder) => string[];
   evaluateAnswer: (head: AnswerHead) => AnswerVerdict;
-  /** What an answer says of its server; undefined where it answers another request, or comes from another server. */
+  /**
+   * Returns the statements of an answer about its server; undefined if it answers another request
+   * or is from another server.
+   */
   statementsOf: (head: AnswerHead) => AnswerStatements | undefined;
-  /** The answer's end-to-end fields. */
+  /** Returns the end-to-end headers of an answer. */
   answerHeaders: (rawHeaders: RawHeaders) => string[];
-  /** Fields of an answer of this box itself. */
+  /** Returns the headers of an error answer of this box. */
   refusalHeaders: (params: {
     requestId: string | undefined;
     retryAfterMs: number | undefined;
   }) => string[];
 }
 
-/** What the store tells beside its answers. */
+/** Receives information that accompanies the answers of the store. */
 export interface StoreListener {
-  /** The era of each answer, before whoever made the call has it; 0 of a store that tells none. */
+  /**
+   * Receives the era of each answer before the caller receives the answer; 0 if the store has no
+   * eras.
+   */
   onEra: (era: number) => void;
 }
 
-/** A platform. */
+/** Adapter of a platform. */
 export interface PlatformAdapter {
   headers: HeaderCodec;
-  /** Opens the clients; nothing is sent before the first call. */
+  /** Creates the client of the store; nothing is sent before the first call. */
   openStore: (settings: GatewaySettings, listener: StoreListener) => PlatformStore;
   openCloud: (settings: GatewaySettings) => PlatformCloud | undefined;
 }
--- a/packages/reedlug-gateway/src/index.ts
+++ b/packages/reedlug-gateway/src/index.ts
@@ -1,4 +1,6 @@
-/** The gateway: decisions, daemon, and the interface that a platform adapter fills. */
+/**
+ * Public API of the gateway: reducer, daemon, and the interface that a platform adapter implements.
+ */
 export type * from './adapter.js';
 export { createGatewayState, LEASE_KEY, type GatewayState } from './state.js';
 export type { Clock } from './daemon/clock.js';
--- a/packages/reedlug-gateway/src/reduce.ts
+++ b/packages/reedlug-gateway/src/reduce.ts
@@ -1,7 +1,7 @@
 /**
- * The reducer of the gateway: the one place where events meet the slices.
+ * Reducer of the gateway, which dispatches events to the slices.
  *
- * State is changed in place; what is asked of the outside comes back as data.
+ * It modifies the state in place and returns the requested side effects as data.
  */
 import type { EventOf, GatewayEvent } from './types/event.js';
 import type { Effect } from './types/effect.js';
@@ -40,7 +40,7 @@
 import { onUnitsLent, waitingSendsTick } from './slices/waitingSends.js';
 import { onCheckpointRow, onUsageAnswered, onUsageRow, usageTick } from './slices/usage.js';
 
-/** Takes an event; returns what is asked of the outside. */
+/** Handles an event and returns the requested effects. */
 export function reduce(state: GatewayState, event: GatewayEvent): Effect[] {
   const step: Step = { nowMs: event.nowMs, wallClockMs: event.wallClockMs, effects: [] };
   noteWallClock(state, step);
--- a/packages/reedlug-gateway/src/state.ts
+++ b/packages/reedlug-gateway/src/state.ts
@@ -1,4 +1,4 @@
-/** State of a gateway box; slices change their part of it in place. */
+/** State of a gateway box. Each slice modifies its part of the state in place. */
 import { createLease, type LeaseState, type RetryBudget, type TableOp } from 'reedlug-coordination';
 import type { EngineModel, OwnSends } from './policy/engineModel.js';
 import type { CrashRowState, CrashSuspect, LostServer, ServerCrash } from './types/crashSuspect.js';
@@ -25,160 +25,193 @@
   UsageWindow,
 } from './types/views.js';
 
-/** One step of the reducer: its time, and the effects so far. */
+/** One step of the reducer: its time, and the effects requested so far. */
 export interface Step {
   nowMs: number;
   wallClockMs: number;
   effects: Effect[];
 }
 
-/** Everything a box knows. */
+/** State of a gateway box. */
 export interface GatewayState {
   settings: GatewaySettings;
   incarnation: number;
   startedAtMs: number;
-  /** When its process began, before which an earlier life of the box had ended. */
+  /** Start of the process; an earlier incarnation of the box had ended by then. */
   processStartedAtMs: number;
   nextAttemptId: number;
   nextCallId: number;
   active: ActiveConfiguration | undefined;
   servers: Map<string, ServerView>;
-  /** Lives of servers seen so far. */
+  /** Number of server incarnations seen so far. */
   serverIncarnationCount: number;
-  /** Latest lives of servers that are gone, for news of earlier ones. */
+  /** Latest incarnations of servers that are gone, to detect updates about earlier ones. */
   goneServers: Map<string, { bornAtMs: number | undefined; goneAtMs: number }>;
-  /** Entries of such lives that came back with a copy of the store: they count once they stay. */
+  /**
+   * Entries of such incarnations that reappeared when the store was restored from a backup; they
+   * count once they persist.
+   */
   unconfirmedServers: Map<string, { entry: ServerEntry; untilMs: number }>;
-  /** Servers with lost sends by life, until it is known whether they crashed. */
+  /** Servers with lost attempts by incarnation number, until it is known whether they crashed. */
   lostServers: Map<number, LostServer>;
-  /** Requests under which servers crashed, by key. */
+  /** Crash suspects by key. */
   crashSuspects: Map<string, CrashSuspect>;
-  /** Crashes of the last time, whichever requests were there. */
+  /** Recent crashes, whichever requests were present. */
   recentCrashes: ServerCrash[];
-  /** Keys of those that the next tick tells of. */
+  /** Keys of the suspects that the next tick announces. */
   crashGossipDue: Set<string>;
   fullCrashGossipSentAtMs: number;
   suspectsPrunedAtMs: number;
   crashRow: CrashRowState;
-  /** What servers have said in answers, by id: of the latest life that said something. */
+  /** Server statements by server id, of the latest incarnation with statements. */
   statements: Map<string, IncarnationStatements>;
-  /** The fleet as this box last looked at it for the limits of servers; undefined before. */
+  /** Reachable fleet at the last check for server limits; undefined before. */
   reachableFleet: ReachableFleet | undefined;
-  /** Until when callers were told to come back to servers that take too few, by service and urgency. */
+  /** Latest retry time given to callers of overloaded servers, by service and urgency. */
   retryAfterTimes: Map<string, Map<number, number>>;
-  /** Boxes to be told of all such statements: they began a life, or were silent. */
+  /** Boxes that need all server statements, because they started or were silent. */
   peersNeedingStatements: Set<string>;
   serversRevision: number;
   serversKnown: boolean;
-  /** Changes of the registry of the last moments, for the members of this box as a hub. */
+  /** Recent registry changes, for the members of this box if it is a hub. */
   registryChanges: { atMs: number; change: NumberedChange }[];
   registryNumber: number;
   storeReachable: boolean;
-  /** The latest era of the store that this box knows; undefined before the store's first answer. */
+  /**
+   * Latest known era of the store, which increases when the store is restored from a backup;
+   * undefined before the first answer.
+   */
   storeEra: number | undefined;
-  /** When the store last came back from a copy, as far as this box knows. */
+  /** Time at which the store was last restored from a backup, as far as this box knows. */
   storeRestoredAtMs: number;
-  /** When this box first knew of that era, and since when it was by what a holder wrote in it, by the agreed clock. */
+  /**
+   * Time at which this box learned of that era, and time by which the era had begun according to a
+   * lease holder, on the agreed clock.
+   */
   eraKnown: { sinceMs: number; reportedSinceWallClockMs: number };
-  /** When the store last stopped answering this box, and when it answered again after it was away for all. */
+  /**
+   * Time at which the store last stopped answering this box, and time at which it answered again
+   * after an outage for all boxes.
+   */
   storeLostAtMs: number;
   storeReturnedAtMs: number;
-  /** When the store last answered this box; undefined before. */
+  /** Time at which the store last answered this box; undefined before. */
   storeContactAtMs: number | undefined;
-  /** When the store last answered a peer, as far as peers told. */
+  /** Time at which the store last answered a peer, as reported by peers. */
   storeContactByPeerAtMs: number;
   requests: Map<number, RequestRecord>;
-  /** Requests that came before configuration and servers were known. */
+  /** Requests that arrived before the configuration and the servers were known. */
   pendingRequests: PendingRequest[];
   quotas: Map<string, QuotaView>;
-  /** This box's part of all limits. */
+  /** This box's share of all limits. */
   part: LimitShare;
-  /** Units asked of other boxes and still awaited: when, and for which workspace. */
+  /** Pending requests for units of other boxes, by their id. */
   unitRequests: Map<number, { sentAtMs: number; workspace: string }>;
   nextAskId: number;
-  /** Units that this box lent lately, by who asked for them. */
+  /** Units that this box lent recently, by borrower and request id. */
   lentUnits: Map<string, LentUnits>;
-  /** Requests that wait for those units, the first to come first. */
+  /** Requests that wait for units of other boxes, in order of arrival. */
   waitingForUnits: WaitingSend[];
   retryBudgets: Map<string, RetryBudget>;
   peers: Map<string, PeerView>;
-  /** The peer that sums up the news of all others for this box; undefined when it needs none. */
+  /**
+   * Peer that sends the summed-up gossip of all others to this box; undefined if this box has no
+   * hub.
+   */
   hubId: string | undefined;
-  /** When that peer became the hub of this box. */
+  /** Time at which that peer became the hub of this box. */
   hubSinceMs: number;
-  /** What other boxes told for themselves, and what hubs told for others. */
+  /** Totals that other boxes reported for themselves, and that hubs reported for others. */
   totalsFromBoxes: ReceivedTotals;
   totalsFromHubs: ReceivedTotals;
-  /** Zones of which no box is heard. */
+  /** Zones from whose boxes this box receives nothing. */
   silentZones: ReadonlySet<string>;
   usageSentAtMs: number;
   peerSequence: number;
   gossipSentAtMs: number;
   lease: LeaseState;
-  /** Wall clock less store clock, agreed by all boxes in a row of the store. */
+  /** Wall clock minus store clock, in ms, as agreed by all boxes in a row of the store. */
   agreedClockOffsetMs: number | undefined;
   clockRequestedAtMs: number;
-  /** True while the row may be missing that says what was agreed. */
+  /** True while the row with the agreed value may be missing. */
   clockRowIsLost: boolean;
-  /** How far the time of day was ahead of the steady clock at the last event. */
+  /** Difference between wall clock and monotonic clock at the last event, in ms. */
   wallClockAheadMs: number | undefined;
-  /** When this box last came out of a suspension, as far as it knows. */
+  /** Time at which this box last resumed from a suspension, as far as it knows. */
   resumedAtMs: number;
-  /** Monotonic time of this box at the store's time 0. */
+  /**
+   * Monotonic time of this box at the store's time 0; undefined before the first answer with a
+   * time.
+   */
   storeEpochMs: number | undefined;
   usage: Map<number, UsageWindow>;
-  /** True when counts have changed since the last checkpoint. */
+  /** True if counts have changed since the last checkpoint. */
   usageChanged: boolean;
   checkpointAtMs: number;
-  /** Version of the checkpoint's row as last seen; 0 before. */
+  /** Last known version of the checkpoint row; 0 before. */
   checkpointVersion: number;
-  /** The fence under which this box last knew the checkpoint. */
+  /** Fencing token under which this box last read or wrote the checkpoint. */
   checkpointFence: number | undefined;
-  /** By service, the roll-out ordered last. */
+  /** Roll-outs ordered last, by service. */
   rollouts: Map<string, RolloutView>;
   rolloutsEvaluatedAtMs: number;
   orders: Map<string, EngineOrder>;
   plannedAtMs: number;
-  /** Prompt tokens that this box has sent to be read, since its start; those that a server keeps do not count. */
+  /**
+   * Prompt tokens that this box has sent for processing since its start, without those in a
+   * server's cache.
+   */
   workTokens: number;
-  /** The same of all boxes at the last plan. */
+  /** The same for all boxes, at the last plan. */
   workTokensAtLastPlan: number;
-  /** Prompt tokens a second over all boxes, averaged over seconds and over a longer time. */
+  /** Prompt tokens per second over all boxes, averaged over seconds and over a longer time. */
   tokensPerSecond: LoadAverage;
-  /** What this box's own sends have shown, by service. */
+  /** Statistics of this box's own sends, by service. */
   ownSends: Map<string, OwnSends>;
-  /** Figures fitted last from own sends and those of peers, by service. */
+  /** Models last fitted from sends of this box and its peers, by service. */
   engineModels: Map<string, { model: EngineModel; fittedAtMs: number }>;
-  /** Requests in progress over all boxes by service, averaged over the same times. */
+  /** Requests in progress over all boxes, averaged over the same times, by service. */
   openRequests: Map<string, LoadAverage>;
-  /** When this box first saw any load, its own or another's; undefined before. */
+  /** Time at which this box first saw any load, its own or that of peers; undefined before. */
   loadSinceMs: number | undefined;
-  /** On-demand engines that were there while the registry filled and nobody asked, by service. */
+  /**
+   * On-demand engines that were present before the registry was complete and any request arrived,
+   * by service.
+   */
   initialOnDemand: Map<string, Set<string>>;
   stabilizedNeeds: Map<string, StabilizedNeed>;
-  /** By service and zone, until when no further reclaimable engines are to be had. */
+  /** Time until which no further reclaimable engines are available, by service and zone. */
   outOfCapacityUntilMs: Map<string, number>;
-  /** By service, until when more of its engines are expected to be taken back. */
+  /** Time until which more engines are expected to be reclaimed, by service. */
   reclaimsExpectedUntilMs: Map<string, number>;
-  /** By service and zone, reclaimable engines that took work at the last plan. */
+  /** Reclaimable engines that accepted requests at the last plan, by service and zone. */
   readyReclaimable: Map<string, number>;
   stoppingSinceMs: number | undefined;
   stopped: boolean;
 }
 
-/** How often the holder renews the duty lease, as a share of its validity: two tries before it lapses. */
+/**
+ * Interval between renewals of the duty lease, as a share of its validity: it allows two attempts
+ * before the lease expires.
+ */
 const LEASE_RENEWAL_SHARE = 0.4;
-/** Taken off the holder's view of the lease, as a share: covers clock drift and short pauses. */
+/**
+ * Safety margin of the lease holder, as a share of the validity: it covers clock drift and short
+ * pauses.
+ */
 const LEASE_MARGIN_SHARE = 0.1;
-/** Key of the duty lease in the table. */
+/**
+ * Key of the duty lease in the table. Its holder performs the duties of the fleet towards the
+ * platform.
+ */
 export const LEASE_KEY = 'duty-lease';
 
-/** Returns the state of a box that has just started. */
+/** Returns the initial state of a box. */
 export function createGatewayState(params: {
   settings: GatewaySettings;
   incarnation: number;
   nowMs: number;
-  /** Time since the process began, in ms. */
+  /** Time since the start of the process, in ms. */
   processAgeMs?: number;
 }): GatewayState {
   const { settings, incarnation, nowMs, processAgeMs = 0 } = params;
@@ -285,12 +318,15 @@
   };
 }
 
-/** Nothing heard yet. */
+/** Returns empty totals. */
 export function createReceivedTotals(): ReceivedTotals {
   return { admitted: new Map(), workTokens: 0 };
 }
 
-/** Sets a held figure: a lower value counts only once the time of the higher one is over. */
+/**
+ * Updates a stabilized value: a lower value takes effect only once the hold time of the higher one
+ * is over.
+ */
 export function updateStabilized(
   stabilized: StabilizedValue,
   value: number,
@@ -303,12 +339,12 @@
   stabilized.value = value;
 }
 
-/** Adds a log line. */
+/** Adds a log line to the effects of a step. */
 export function log(step: Step, event: string, fields: Readonly<Record<string, LogField>>): void {
   step.effects.push({ type: 'log', event, fields });
 }
 
-/** Asks the table; the answer comes back with its purpose. */
+/** Requests an operation of the table; the answer event carries the purpose. */
 export function requestTable(step: Step, purpose: TablePurpose, op: TableOp): void {
   step.effects.push({ type: 'requestTable', purpose, op, sentAtMs: step.nowMs });
 }
--- a/packages/reedlug-gateway/src/types/checkpoint.ts
+++ b/packages/reedlug-gateway/src/types/checkpoint.ts
@@ -1,12 +1,15 @@
-/** The row in which the holder of the lease keeps what must outlive a loss of all boxes. */
+/** Row in which the lease holder keeps usage counts that must survive the loss of all boxes. */
 
-/** Key of the row. */
+/** Key of the checkpoint row. */
 export const CHECKPOINT_KEY = 'usage-open';
 
-/** Counts of the windows that are not entered yet, in the order of the workspaces' names. */
+/** Usage counts of the windows that have no row yet. Each array is in the order of `workspaces`. */
 export interface CheckpointRow {
   workspaces: readonly string[];
   windows: Readonly<Record<string, Readonly<Record<string, readonly number[]>>>>;
-  /** The store's era when it was written, and by when that was known to be, by the agreed clock in ms; missing in rows of an earlier version. */
+  /**
+   * Era of the store at the time of writing, and the time by which it had begun, on the agreed
+   * clock in ms; missing in rows of older boxes.
+   */
   era?: { number: number; sinceWallMs: number };
 }
--- a/packages/reedlug-gateway/src/types/configuration.ts
+++ b/packages/reedlug-gateway/src/types/configuration.ts
@@ -1,96 +1,102 @@
-/** The operators' configuration as the gateway uses it. */
+/** Configuration by the operators, in the form that the gateway uses. */
 
-/** What may be done again with a request of a route. */
+/** Whether requests of a route may be repeated. */
 export const RouteKind = {
   /** May run more than once. */
   repeatable: 'repeatable',
   /** Runs at most once for each request id. */
   nonRepeatable: 'nonRepeatable',
-  /** Answers with a series of events; `resumable` says whether it may be taken up again. */
+  /** Answers with a stream of events; `resumable` states whether the stream can be resumed. */
   stream: 'stream',
 } as const;
 export type RouteKind = (typeof RouteKind)[keyof typeof RouteKind];
 
-/** A service that takes part of a route's requests. */
+/** A service that gets a share of a route's requests. */
 export interface RouteTarget {
   service: string;
-  /** Relative to the other targets of the route. */
+  /** Weight relative to the other targets of the route. */
   weight: number;
 }
 
-/** A route by host and path. */
+/** A route, selected by host and path. */
 export interface RouteSpec {
   name: string;
   host: string;
-  /** Begins and ends with a slash. */
+  /** Path prefix, with a leading and a trailing slash. */
   pathPrefix: string;
   kind: RouteKind;
-  /** The longest that a request may be held, in ms. */
+  /** Maximum time for which a request is held, in ms. */
   timeoutMs: number;
-  /** Time to the answer, or to a stream's first event, that earns full credit, in ms. */
+  /**
+   * Target time to the answer, or to the first event of a stream, in ms; meeting it earns full
+   * credit.
+   */
   targetMs: number;
-  /** The longest pause between events of a stream that still counts as in time, in ms. */
+  /** Maximum gap between events of a stream that counts as in time, in ms. */
   gapTargetMs: number | undefined;
-  /** 0 is the most urgent. */
+  /** Priority; 0 is the most urgent. */
   priority: number;
   targets: readonly RouteTarget[];
-  /** The most backend servers that may run one request. */
+  /** Maximum number of backend servers that may run one request. */
   maxAttempts: number;
-  /** True when no key is asked for. */
+  /** True if the route requires no key. */
   isPublic: boolean;
   resumable: boolean;
 }
 
-/** What a model engine of a service can do. */
+/** Capacity of a model engine of a service. */
 export interface EngineSpec {
-  /** Requests that one engine works on at a time. */
+  /** Number of requests that one engine runs concurrently. */
   slots: number;
-  /** Tokens that fit one engine's KV cache. */
+  /** Capacity of one engine's KV cache, in tokens. */
   kvCapacityTokens: number;
 }
 
-/** How many engines of a service may be ordered, and at which price. */
+/** Bounds and prices for ordering engines of a service. */
 export interface ScalingSpec {
-  /** Bounds for each zone, over both kinds of engines together. */
+  /** Bounds per zone on the number of reclaimable and on-demand engines together. */
   minPerZone: number;
   maxPerZone: number;
-  /** Time from an order until the engine serves, in ms. */
+  /** Time from an order until the engine is ready, in ms. */
   bootMs: number;
-  /** Price of a reclaimable engine as a share of an on-demand one; undefined when there are none. */
+  /**
+   * Price of a reclaimable engine as a share of that of an on-demand one; undefined if there are no
+   * reclaimable ones.
+   */
   reclaimablePriceShare: number | undefined;
-  /** Price of an engine-second by zone. */
+  /** Price of an engine-second in each zone. */
   zonePrices: readonly { zone: string; price: number }[];
 }
 
 /** A service behind the gateway. */
 export interface ServiceSpec {
   name: string;
-  /** Connections that one server takes from all boxes together. */
+  /** Maximum number of connections to one server, over all boxes. */
   maxConnections: number;
   engine: EngineSpec | undefined;
   scaling: ScalingSpec | undefined;
 }
 
-/** What a workspace's limit counts. */
+/** Unit in which a workspace's limit is counted. */
 export const LimitUnit = { requests: 'requests', tokens: 'tokens' } as const;
 export type LimitUnit = (typeof LimitUnit)[keyof typeof LimitUnit];
 
-/** A workspace with its keys and its limit over all boxes together. */
+/** A workspace with its keys and its limit, which applies to all boxes together. */
 export interface WorkspaceSpec {
   name: string;
   keys: readonly string[];
-  /** Goes before the route's priority; undefined when the workspace has none. */
+  /** Takes precedence over the route's priority; undefined if the workspace has none. */
   priority: number | undefined;
   unit: LimitUnit;
-  /** Tokens that a request without token counts stands for. */
+  /** Tokens charged for a request without token counts. */
   plainTokens: number;
-  /** Units a second; 0 for no limit. */
+  /** Units per second; 0 for no limit. */
   ratePerSecond: number;
-  /** Units on top of the rate. */
+  /** Burst in units, in addition to the rate. */
   burst: number;
 }
 
-/** What a caller may send, and how long it may take. */
+/** Size and time limits for requests of callers. */
 export interface CallerLimits {
   maxHeaderBytes: number;
   maxBodyBytes: number;
@@ -98,13 +104,13 @@
   idleTimeoutMs: number;
 }
 
-/** One whole version of the configuration. */
+/** A complete version of the configuration. */
 export interface Configuration {
-  /** Rises with each change, in uneven steps. */
+  /** Increases with each change, not necessarily by 1. */
   version: number;
   routes: readonly RouteSpec[];
   services: readonly ServiceSpec[];
-  /** Empty when requests carry no keys. */
+  /** Empty if requests carry no keys. */
   workspaces: readonly WorkspaceSpec[];
   limits: CallerLimits;
 }
--- a/packages/reedlug-gateway/src/types/crashSuspect.ts
+++ b/packages/reedlug-gateway/src/types/crashSuspect.ts
@@ -1,35 +1,41 @@
-/** Requests under which servers crashed, as a box knows them and as boxes tell each other. */
+/**
+ * Crash suspects: requests that were open on servers that crashed, as a box tracks them and as
+ * boxes exchange them.
+ */
 
-/** A server's life that ended while a request was open there that had not run for long. */
+/** End of a server incarnation while a recently sent request was open there. */
 export interface ServerCrash {
   serverId: string;
-  /** Start of that life; undefined where the server does not tell. */
+  /** Start of that incarnation; undefined if the server does not state it. */
   bornAtMs: number | undefined;
-  /** When the request was sent there, and when the server was gone, on this box's clock. */
+  /** Times at which the request was sent and at which the server ended, on this box's clock. */
   sentAtMs: number;
   endedAtMs: number;
 }
 
-/** A request that may crash the servers that run it. */
+/** A request that may crash the servers that run it, identified by workspace and digest. */
 export interface CrashSuspect {
-  /** Workspace and digest: alike whenever the request comes again, at whatever box. */
+  /** Workspace and digest of the request, which are the same for all copies at all boxes. */
   key: string;
-  /** Crashes since its last good run, in the order of their time. */
+  /** Crashes since its last successful run, in order of time. */
   crashes: ServerCrash[];
-  /** When a run of it last went well; before the start of the clock where none is known. */
+  /** Time of its last successful run; negative infinity if none is known. */
   goodRunAtMs: number;
-  /** Since when it is sent to no server any more. */
+  /** Time since which it is no longer sent to any server; undefined while it is not blocked. */
   blockedSinceMs: number | undefined;
-  /** When it is judged; undefined while nothing is to be decided. */
+  /** Time at which it is evaluated; undefined while no evaluation is due. */
   evaluationDueAtMs: number | undefined;
-  /** When it last came to a box, or crashed a server. */
+  /** Time at which a box last received it, or at which it was last present at a crash. */
   seenAtMs: number;
 }
 
-/** A crash as it is told: server, start of its life, and how long ago it was sent there and ended, in ms. */
+/**
+ * A crash in a message: server, start of its incarnation, and the ages of the send and of the
+ * crash, in ms.
+ */
 export type CrashEntry = readonly [string, number | null, number, number];
 
-/** A suspect as it is told: all times are ages in ms, since boxes have no common clock. */
+/** A suspect in a message. All times are ages in ms, since boxes have no common clock. */
 export interface CrashSuspectGossip {
   key: string;
   crashes: readonly CrashEntry[];
@@ -38,47 +44,47 @@
   seenAgeMs: number;
 }
 
-/** What a box knows of requests under which servers crashed; told at once when it changes, and now and then. */
+/** Crash suspects known to a box; sent at once after a change, and periodically. */
 export interface CrashSuspectsMessage {
   kind: 'crashSuspects';
   boxId: string;
   suspects: readonly CrashSuspectGossip[];
   /**
-   * Crashes of the last moments, whoever was there. Who is cleared before the next tick is
-   * told without its crashes: a box that heard of three of five at one moment took them for
-   * all, and kept a popular request out.
+   * Recent crashes, whichever requests were present. A suspect that is cleared before the next
+   * tick is sent without its crashes. A box that learned of only three of five simultaneous
+   * crashes would take these for all, and block a popular request.
    */
   recent: readonly CrashEntry[];
 }
 
-/** Key of the row in the table. */
+/** Key of the table row that holds the crash suspects. */
 export const CRASH_SUSPECTS_KEY = 'crash-suspects';
 
-/** The row: suspects as told, with the store's time at which their ages were true. */
+/** Table row of the crash suspects, with the store's time to which their ages refer. */
 export interface CrashSuspectsRow {
   storeNowMs: number;
   suspects: readonly CrashSuspectGossip[];
 }
 
-/** A server with lost sends, until it is known whether it has crashed. */
+/** A server on which attempts were lost, until it is known whether it has crashed. */
 export interface LostServer {
   serverId: string;
   bornAtMs: number | undefined;
   firstLostAtMs: number;
   sends: { key: string; sentAtMs: number; lostAtMs: number }[];
-  /** True once it is known that this life is over. */
+  /** True once this incarnation is known to have ended. */
   isGone: boolean;
 }
 
-/** What a box knows of the row of suspects in the table. */
+/** State of a box with regard to the crash suspects row of the table. */
 export interface CrashRowState {
-  /** Undefined until it is read, and where a write may have been done. */
+  /** Version of the row; undefined until it is read, and after a write with an unknown outcome. */
   version: number | undefined;
-  /** What it says in short. */
+  /** Signature of the row's content. */
   writtenSignature: string;
   requestedAtMs: number;
-  /** True while this box wrote it last, as far as it knows. */
+  /** True while this box is the last writer, as far as it knows. */
   isLastWriter: boolean;
-  /** True once this box's own sends showed what the row may lack. */
+  /** True if this box's own sends gave results that the row may lack. */
   hasUnwrittenObservations: boolean;
 }
--- a/packages/reedlug-gateway/src/types/event.ts
+++ b/packages/reedlug-gateway/src/types/event.ts
@@ -1,4 +1,4 @@
-/** Everything that the reducer takes. */
+/** Events that the reducer handles. */
 import type { TableAnswer } from 'reedlug-coordination';
 import type { Configuration } from './configuration.js';
 import type { CrashSuspectsMessage } from './crashSuspect.js';
@@ -15,27 +15,27 @@
   UsageMessage,
 } from './peer.js';
 
-/** How a call to the cloud ended. */
+/** Outcome of a call to the cloud. */
 export type CloudOutcome = 'done' | 'fenced' | 'unavailable' | 'refused' | 'unknown';
 
-/** Whether a server's port took a connection, refused it, or said nothing. */
+/** Whether a server's port accepted a connection, refused it, or did not respond. */
 export type ProbeOutcome = 'accepted' | 'refused' | 'silent';
 
-/** An event without its time. */
+/** An event without its timestamps. */
 export type EventBody =
   | { type: 'tick' }
   | { type: 'requestArrived'; exchangeId: number; facts: RequestFacts }
   | { type: 'callerGone'; exchangeId: number }
-  /** No byte of the attempt left this box. */
+  /** The attempt failed before any byte of it left this box. */
   | { type: 'attemptNotSent'; exchangeId: number; attemptId: number; reason: string }
-  /** The head of a server's answer is here, with what it says of the server. */
+  /** The head of a server's answer arrived, with the server's statements. */
   | {
       type: 'answerBegun';
       exchangeId: number;
       attemptId: number;
       statements: AnswerStatements;
     }
-  /** A whole plain answer is here, or the head and first event of a stream. */
+  /** A complete plain answer arrived, or the head and first event of a stream. */
   | {
       type: 'attemptAnswered';
       exchangeId: number;
@@ -43,38 +43,44 @@
       verdict: AnswerVerdict;
       status: number;
     }
-  /** Whole events of a stream went to the caller. */
+  /** Complete events of a stream were relayed to the caller. */
   | {
       type: 'eventsRelayed';
       exchangeId: number;
       attemptId: number;
       lastEventId: number | undefined;
     }
-  /** A relayed answer came to its end. */
+  /** A relayed answer is complete. */
   | { type: 'attemptEnded'; exchangeId: number; attemptId: number }
-  /** The connection ended, or said what is no answer, after bytes were sent. */
+  /** The connection ended or delivered an invalid answer after bytes of the attempt were sent. */
   | { type: 'attemptLost'; exchangeId: number; attemptId: number; reason: string }
-  /** What came of a new connection to a server with lost sends, of the life that the box knew. */
+  /**
+   * Outcome of a probe of a server with lost attempts; `life` is the incarnation known at the
+   * probe.
+   */
   | { type: 'serverProbed'; life: number; outcome: ProbeOutcome }
   | { type: 'crashSuspects'; message: CrashSuspectsMessage }
-  /** An operator lets a request in again that is kept out. */
+  /** An operator unblocks a request. */
   | { type: 'verdictLifted'; key: string }
   | { type: 'serverStatements'; message: ServerStatementsMessage }
   | { type: 'configurationRead'; configuration: Configuration; source: 'store' | 'peer' }
   | { type: 'rolloutOrdered'; order: RolloutOrder }
-  /** All entries as of one moment, or changes since. */
+  /** All registry entries as of one moment, or changes since then. */
   | {
       type: 'serversRead';
       whole: boolean;
       changes: readonly ServerChange[];
       revision: number;
       source: 'store' | 'peer';
-      /** The peer that gave its registry, and how far that counts its changes. */
+      /** Peer that sent its registry, and the number of the last change in it. */
       sender?: { boxId: string; registryNumber: number };
     }
-  /** Whether the store answered the last call of a feed. */
+  /** States whether the store answered the last call of a feed. */
   | { type: 'storeContact'; reachable: boolean }
-  /** The store answers in this era; a later one than before means that it came back from a copy. */
+  /**
+   * Era in which the store answers; a later one than before means that the store was restored from
+   * a backup.
+   */
   | { type: 'storeEra'; era: number }
   | { type: 'tableAnswered'; purpose: TablePurpose; answer: TableAnswer; sentAtMs: number }
   | { type: 'cloudAnswered'; callId: number; outcome: CloudOutcome }
@@ -84,38 +90,38 @@
   | { type: 'unitsAsked'; message: UnitsAskedMessage }
   | { type: 'unitsLent'; message: UnitsLentMessage }
   | { type: 'unitsReturned'; message: UnitsReturnedMessage }
-  /** Boxes that the store lists or the settings name; one without an address has left. */
+  /** Boxes from the list in the store or from the settings; a box without an address has left. */
   | {
       type: 'peersListed';
       changes: readonly PeerChange[];
-      /** True when the store told its whole list. */
+      /** True if the changes are the whole list of the store. */
       whole?: boolean;
-      /** Newest revision among the entries; undefined for names from the settings. */
+      /** Latest revision of the entries; undefined for boxes from the settings. */
       revision?: number;
     }
   | { type: 'stopAsked' };
 
-/** A peer's entry; without an address it has left. */
+/** Entry of a peer; without an address, the peer has left. */
 export interface PeerChange {
   boxId: string;
   address: PeerAddress | undefined;
-  /** True when the box holds its part of the limits, which its next lives hold on. */
+  /** True if the box holds its share of the limits, which its next incarnations keep. */
   holdsPart?: boolean;
-  /** The store's revision of the entry; undefined for names from the settings. */
+  /** The store's revision of the entry; undefined for boxes from the settings. */
   revision?: number;
 }
 
-/** What a call to the table was for. */
+/** Purpose of a call to the table. */
 export type TablePurpose =
   | { kind: 'lease' }
   | { kind: 'clock' }
   | { kind: 'usage'; window: number }
   | { kind: 'checkpoint' }
   | { kind: 'crashSuspects'; writes: boolean }
-  /** The record of a roll-out, of the order with this revision. */
+  /** Record of the roll-out that the order with this revision started. */
   | { kind: 'rollout'; service: string; revision: number };
 
-/** An event with the time on the box's monotonic clock and on its wall clock. */
+/** An event with its time on the box's monotonic clock and on its wall clock. */
 export type GatewayEvent = EventBody & { nowMs: number; wallClockMs: number };
 
 /** An event of one type. */
--- a/packages/reedlug-gateway/src/types/limitShare.ts
+++ b/packages/reedlug-gateway/src/types/limitShare.ts
@@ -1,45 +1,54 @@
-/** A box's part of all limits, as one of the boxes among which they are divided. */
+/** A box's share of all limits, which are divided equally among the listed boxes. */
 
-/** What a box, or all that a hub speaks for, tell of their parts. */
+/** Limit shares of a box, or of all boxes that a hub represents, in a message. */
 export interface LimitShareGossip {
-  /** Listed boxes covered. */
+  /** Number of listed boxes covered. */
   boxes: number;
-  /** Revision up to which all of them have read the list of boxes. */
+  /** Revision up to which all of these boxes have read the list of boxes. */
   listRevision: number;
-  /** Time for which none of them has used a larger part than now, in ms; undefined when none ever did. */
+  /**
+   * Time for which none of these boxes has used a larger share than now, in ms; undefined if none
+   * of them holds a share.
+   */
   dividedForMs: number | undefined;
 }
 
-/** What was sent of a part before the box held it. */
+/** Possible use of a share before the box held it. */
 export type PriorUse =
-  /** Nothing: neither this box nor others had any of it. */
+  /** The share was not used: neither this box nor others held any of it. */
   | { kind: 'unused' }
-  /** An earlier life may have sent its burst up to this time. */
+  /** An earlier incarnation may have used its burst up to this time. */
   | { kind: 'earlierLife'; atMs: number }
-  /** Others that divided among fewer boxes may have sent all of it up to this time. */
+  /**
+   * Other boxes, which divided the limits among fewer boxes, may have used all of it up to this
+   * time.
+   */
   | { kind: 'joined'; atMs: number };
 
-/** A box's part. */
+/** A box's share of all limits. */
 export interface LimitShare {
-  /** Revision up to which this box has read the list of boxes; 0 before. */
+  /** Revision up to which this box has read the list of boxes; 0 before the first read. */
   listRevision: number;
-  /** Revision of its own entry there; undefined while it is not listed. */
+  /** Revision of its own entry in the list; undefined while it is not listed. */
   ownRevision: number | undefined;
-  /** Boxes listed, this one included. */
+  /** Number of listed boxes, including this one. */
   divisor: number;
-  /** When that last grew while this box held a part; undefined before. */
+  /** Time at which `divisor` last grew while this box held a share; undefined before. */
   dividedSinceMs: number | undefined;
-  /** Undefined while the box holds no part: then it sends only what others lend. */
+  /**
+   * Possible earlier use of the share; undefined while the box holds none and uses only units that
+   * others lend.
+   */
   opening: PriorUse | undefined;
-  /** True once the list says that it holds a part. */
+  /** True once the list states that the box holds its share. */
   isRegistered: boolean;
-  /** When it last asked the store to enter that. */
+  /** Time at which the box last requested that entry from the store. */
   registrationSentAtMs: number;
-  /** When it last looked for boxes that are gone. */
+  /** Time at which the box last checked for boxes that are gone. */
   goneBoxesCheckedAtMs: number;
 }
 
-/** Returns the part of a box that knows nothing yet. */
+/** Returns the share of a box that has not read the list of boxes yet. */
 export function createLimitShare(): LimitShare {
   return {
     listRevision: 0,
--- a/packages/reedlug-gateway/src/types/peer.ts
+++ b/packages/reedlug-gateway/src/types/peer.ts
@@ -1,4 +1,9 @@
-/** What boxes tell each other, in datagrams. */
+/**
+ * Datagrams that boxes send each other.
+ *
+ * In a large fleet, the boxes of a zone form groups. The hub of a group receives the gossip of its
+ * members, exchanges sums with other hubs and sends each member the sum of all other boxes.
+ */
 import type { SendSums } from '../policy/engineModel.js';
 import type { CrashSuspectsMessage } from './crashSuspect.js';
 import type { LimitShareGossip } from './limitShare.js';
@@ -6,63 +11,63 @@
 import type { HostPort, ServerChange } from './server.js';
 import type { ServerStatementsMessage } from './serverStatement.js';
 
-/** Where a box listens for its peers, and what speaks for it as a hub. */
+/** Address of a box for its peers, with the processor time by which hubs are chosen. */
 export interface PeerAddress {
   boxId: string;
   host: string;
   port: number;
-  /** Unknown of a seed until it is heard or listed. */
+  /** Unknown for a seed until it sends a message or is listed. */
   zone: string | undefined;
-  /** Processor time that the box may use, in cores. */
+  /** Processor time available to the box, in cores. */
   processorCores: number;
 }
 
-/** Open work at one server. */
+/** Open work at a server. */
 export interface ServerLoad {
   /** Requests in progress. */
   running: number;
-  /** Prompt tokens that are still to be read. */
+  /** Prompt tokens still to be processed. */
   prefillTokens: number;
-  /** Requests whose first event or answer has not come; boxes of an earlier version do not tell. */
+  /** Requests without a first event or answer so far; missing from older boxes. */
   unread?: number | undefined;
-  /** Prompt tokens still to be read by urgency, 0 first; told where several prompts wait. */
+  /** Prompt tokens still to be processed by urgency, 0 first; present if prompts are waiting. */
   unreadByUrgency?: readonly number[] | undefined;
 }
 
-/** Whose figures a message sums up. */
+/** Boxes whose figures a gossip message covers. */
 export const GossipScope = {
-  /** The sender alone. */
+  /** Only the sender. */
   box: 'box',
-  /** The sender, a hub, and the boxes that tell it their news: for the hubs of other groups. */
+  /** The sender, a hub, and the members of its group; sent to the hubs of other groups. */
   group: 'group',
-  /** Every box that the sender, a hub, knows of, but for the one that it is sent to. */
+  /** All boxes known to the sender, a hub, except the recipient. */
   others: 'others',
 } as const;
 export type GossipScope = (typeof GossipScope)[keyof typeof GossipScope];
 
-/** A change of the registry as a hub took it in. */
+/** A change of the registry, numbered by a hub. */
 export interface NumberedChange extends ServerChange {
-  /** Counts the hub's changes, without gaps. */
+  /** Sequence number among the hub's changes, without gaps. */
   number: number;
 }
 
-/** What a hub's members need to follow the registry without the store. */
+/** Registry changes from which a hub's members follow the registry without the store. */
 export interface RegistryGossip {
   /** Number of the hub's last change; 0 before the first. */
   lastNumber: number;
-  /** The changes of the last moments, in order. */
+  /** Recent changes, in order. */
   changes: readonly NumberedChange[];
 }
 
-/** Figures that only grow, so that a lost message loses nothing. */
+/** Totals that only increase, so that a lost message does not lose data. */
 export interface RunningTotals {
   /** Units admitted since the start, by workspace. */
   admitted: Readonly<Record<string, number>>;
-  /** Prompt tokens sent to be read since the start; those that a server keeps do not count. */
+  /** Prompt tokens sent for processing since the start, without those in a server's cache. */
   workTokens: number;
 }
 
-/** What is to be reported for a window of usage, as a box knows it. */
+/** Decision on what is reported for a usage window, as known to a box. */
 export interface UsageDecisionGossip {
   window: number;
   /** Requests by workspace. */
@@ -70,102 +75,108 @@
   isReported: boolean;
 }
 
-/** One box's news, for itself or summed up over a group. */
+/** Gossip of one box, for itself or summed up over several boxes. */
 export interface PeerMessage extends RunningTotals {
   kind: 'news';
   boxId: string;
-  /** Grows with each start of a box. */
+  /** Increases with each start of the box. */
   incarnation: number;
   sequence: number;
   scope: GossipScope;
-  /** True when the sender only asks for an answer: its figures reach others in another way. */
+  /** True if the message only requests an answer; its figures reach others in another way. */
   isProbe: boolean;
-  /** Boxes that the figures cover. */
+  /** Number of boxes that the figures cover. */
   boxes: number;
   zone: string;
   host: string;
   port: number;
   processorCores: number;
-  /** Version of the configuration in force at the box; 0 for none. */
+  /** Version of the active configuration of the sender; 0 for none. */
   configurationVersion: number;
-  /** Revision of the registry that the box has read. */
+  /** Revision of the registry that the sender has read. */
   serversRevision: number;
-  /** Changes of the registry, for the members of a hub. */
+  /** Changes of the registry, sent by a hub to its members. */
   registry: RegistryGossip | undefined;
-  /** The latest era of the store that the sender knows; boxes of an earlier version do not tell. */
+  /** Latest era of the store known to the sender; missing from older boxes. */
   storeEra?: number | undefined;
-  /** Time since the store last answered one of the boxes covered, in ms; undefined before its first answer. */
+  /**
+   * Time since the store last answered one of the covered boxes, in ms; undefined before its first
+   * answer.
+   */
   storeContactAgeMs: number | undefined;
-  /** The box that holds the lease for duties, when it is one of those covered. */
+  /** Address of the holder of the duty lease, if it is one of the covered boxes. */
   leaseHolder: HostPort | undefined;
   leaving: boolean;
-  /** Zones of which the sender hears no box; boxes of an earlier version do not tell. */
+  /** Zones from whose boxes the sender receives nothing; missing from older boxes. */
   silentZones?: readonly string[] | undefined;
   /** Open work by server id. */
   loads: Readonly<Record<string, ServerLoad>>;
-  /** What sends have shown of the servers, by service. */
+  /** Statistics of sends, by service. */
   sendSums: Readonly<Record<string, SendSums>>;
-  /** Requests of the sender begun, by usage window and workspace; empty where hubs sum news up. */
+  /**
+   * Requests started by the sender, by usage window and workspace; empty if the sender has a hub.
+   */
   usage: Readonly<Record<string, Readonly<Record<string, number>>>>;
-  /** Decisions that the sender knows, for a while after they change; boxes of an earlier version do not tell. */
+  /** Decisions known to the sender, for a while after they change; missing from older boxes. */
   decisions?: readonly UsageDecisionGossip[] | undefined;
-  /** Units that the boxes covered could lend now, by workspace; boxes of an earlier version lend nothing. */
+  /** Spare units that the covered boxes could lend now, by workspace; older boxes lend nothing. */
   room?: Readonly<Record<string, number>> | undefined;
-  /** The parts that the boxes covered have of all limits; boxes of an earlier version do not tell. */
+  /** Limit shares of the covered boxes; missing from older boxes. */
   part?: LimitShareGossip | undefined;
-  /** Roll-outs that the sender knows of; boxes of an earlier version do not tell. */
+  /** Roll-outs known to the sender; missing from older boxes. */
   rollouts?: readonly RolloutGossip[] | undefined;
-  /** Agreed wall clock less store clock, in ms; undefined while none is agreed. */
+  /** Agreed wall clock minus store clock, in ms; undefined while none is agreed. */
   clockOffsetMs: number | undefined;
 }
 
-/** A box's counts for the holder of the lease, where the news do not bring them. */
+/** Usage counts of a box for the lease holder, if gossip does not carry them. */
 export interface UsageMessage {
   kind: 'usage';
   boxId: string;
   incarnation: number;
-  /** Requests begun, by usage window and workspace; the newest windows only. */
+  /** Requests started, by usage window and workspace; only the latest windows. */
   usage: Readonly<Record<string, Readonly<Record<string, number>>>>;
 }
 
 /**
- * Asks for units of a limit, for one request that this box's own part does not hold. A hub
- * hands on what it can't lend itself; whoever lends answers the box that asked first.
+ * Requests units of a limit for one request that exceeds the sender's own share. A hub forwards
+ * the request for the units that it can't lend itself. Lenders answer the box that
+ * originally sent the request.
  */
 export interface UnitsAskedMessage extends HostPort {
   kind: 'unitsAsked';
-  /** The box that asks, its life, and where it listens. */
+  /** The requesting box and its incarnation; `host` and `port` are its address. */
   boxId: string;
   incarnation: number;
   askId: number;
   workspace: string;
   units: number;
-  /** How many hubs have handed it on. */
+  /** Number of hubs that have forwarded the message. */
   hops: number;
 }
 
-/** Lends units; the lender's part is charged for them whether or not they are used or arrive. */
+/** Lends units. The lender's share is charged for them, whether or not they arrive or are used. */
 export interface UnitsLentMessage extends HostPort {
   kind: 'unitsLent';
-  /** The lender, and where it listens. */
+  /** The lender; `host` and `port` are its address. */
   boxId: string;
-  /** Life of the box that asked. */
+  /** Incarnation of the box that requested the units. */
   incarnation: number;
   askId: number;
   units: number;
 }
 
-/** Gives lent units back that were not sent; they are the lender's again. */
+/** Returns unused lent units to the lender. */
 export interface UnitsReturnedMessage {
   kind: 'unitsReturned';
-  /** The box that asked, and its life. */
+  /** The box that requested the units, and its incarnation. */
   boxId: string;
   incarnation: number;
   askId: number;
   units: number;
 }
 
-/** Any datagram between boxes. */
+/** A datagram between boxes. */
 export type PeerDatagram =
   | PeerMessage
   | UsageMessage
--- a/packages/reedlug-gateway/src/types/request.ts
+++ b/packages/reedlug-gateway/src/types/request.ts
@@ -1,4 +1,4 @@
-/** A caller's request as facts, and what a box holds of it. */
+/** Facts about a caller's request, and a box's record of the request. */
 import type { Reach } from 'reedlug-coordination';
 import type { SendConditions } from '../policy/engineModel.js';
 import type { RouteSpec } from './configuration.js';
@@ -9,67 +9,72 @@
   tokens: number;
 }
 
-/** What a request's head says. */
+/** Facts from a request's head. */
 export interface HeadFacts {
   requestId: string;
   host: string;
   /** Path with query, as sent. */
   path: string;
   key: string | undefined;
-  /** How long the caller waits, in ms, from the arrival; undefined when it does not say. */
+  /**
+   * Time from the arrival until the caller's deadline, in ms; undefined if the caller states none.
+   */
   deadlineMs: number | undefined;
-  /** Tokens of the prompt and the most tokens of the answer; undefined for plain requests. */
+  /** Tokens of the prompt, and maximum tokens of the answer; undefined for plain requests. */
   promptTokens: number | undefined;
   maxOutputTokens: number | undefined;
   promptParts: readonly PromptPart[];
-  /** The last event that the caller has; it resumes a stream. */
+  /** Last event that the caller received; the stream is resumed after it. */
   lastEventId: number | undefined;
 }
 
-/** What a box knows of a request; its body passes through unread. */
+/** Facts about a request; its body is relayed without being parsed. */
 export interface RequestFacts extends HeadFacts {
-  /** Digest of method, host, path and body: alike for a request that comes again under another id. */
+  /**
+   * Digest of method, host, path and body, which is the same if the request is repeated under
+   * another id.
+   */
   digest: string;
 }
 
-/** What a backend server's answer says of the run. */
+/** Outcome of a run, as stated by a backend server's answer. */
 export type AnswerVerdict =
-  /** The server's own success, signed. */
+  /** Success, signed by the server. */
   | 'success'
-  /** The server's own failure; the request ran, or counts as run. */
+  /** Failure of the server; the request ran, or counts as run. */
   | 'failure'
-  /** The server says that it did not run the request. */
+  /** The server states that it did not run the request. */
   | 'notRun'
-  /** Another server has the address now; the request did not run. */
+  /** Another server now has the address; the request did not run. */
   | 'otherServer'
-  /** Not an answer to this request, or a success without a signature. */
+  /** An answer to another request, or a success without a signature. */
   | 'invalid';
 
-/** One send of a request to a server. */
+/** An attempt: one send of a request to a server. */
 export interface Attempt {
   attemptId: number;
   serverId: string;
-  /** Life of the server that it was sent to: when it began, and its number at this box. */
+  /** Incarnation of the server: its start time, and its number at this box. */
   bornAtMs: number | undefined;
   life: number;
-  /** Version of that server's software. */
+  /** Software version of the server. */
   version: string | undefined;
   sentAtMs: number;
   reach: Reach;
   open: boolean;
-  /** Prompt tokens that the server is taken to have to read for it, and how urgent it is there. */
+  /** Prompt tokens that the server is assumed to process for the attempt, and its urgency there. */
   prefillTokens: number;
   urgency: number;
-  /** The server's state at the send, and the time to the first event that was expected of it. */
+  /** State of the server at the send, and the expected time to the first event. */
   conditions: SendConditions;
   expectedMs: number;
-  /** When it was sent, or when anything last came of it. */
+  /** Time at which it was sent, or at which data was last received for it. */
   lastActivityAtMs: number;
-  /** When its first event or its answer came; undefined before. */
+  /** Time at which its first event or its answer was received; undefined before. */
   firstOutputAtMs: number | undefined;
 }
 
-/** A request in progress. */
+/** Record of a request in progress. */
 export interface RequestRecord {
   /** Number of the exchange with the caller, unique on this box. */
   exchangeId: number;
@@ -77,38 +82,41 @@
   route: RouteSpec;
   service: string;
   workspace: string | undefined;
-  /** What each run of it counts against its workspace's limit; 0 without a workspace. */
+  /** Units that each run counts against its workspace's limit; 0 without a workspace. */
   units: number;
-  /** When its last send was charged; before the first one, when it arrived. */
+  /** Time at which its last send was charged; before the first send, its arrival. */
   chargedAtMs: number;
-  /** Units of it that were charged to this box's part; the others were lent. */
+  /** Units that were charged to this box's limit share; the others were lent by other boxes. */
   chargedToShare: number;
-  /** 0 to 9; 0 goes first at an engine. */
+  /** 0 to 9; engines process 0 first. */
   urgency: number;
   arrivedAtMs: number;
-  /** When the final answer is due, the earlier of caller's deadline and route's timeout. */
+  /**
+   * Time by which the final answer is due: the earlier of the caller's deadline and the route's
+   * timeout.
+   */
   deadlineAtMs: number;
   attempts: Attempt[];
-  /** Servers that refused or lost it. */
+  /** Servers that refused or lost the request. */
   excludedServers: Set<string>;
-  /** True once a send of it found no connection. */
+  /** True once an attempt failed to connect. */
   failedToConnect: boolean;
-  /** True once the head of an answer went to the caller. */
+  /** True once the head of an answer was relayed to the caller. */
   relayed: boolean;
-  /** Id of the last whole event that went to the caller. */
+  /** Id of the last complete event that was relayed to the caller. */
   lastEventId: number | undefined;
   /** True once the request is counted in the usage of its workspace. */
   counted: boolean;
 }
 
-/** A request that waits for units of its workspace's limit, to be sent once it has them. */
+/** A request that is sent once it gets units of its workspace's limit from other boxes. */
 export interface WaitingSend {
   record: RequestRecord;
-  /** When it is refused, or given up where it has been sent before. */
+  /** Time at which the request is refused, or given up if it has been sent before. */
   untilMs: number;
 }
 
-/** A request that came before its box knew configuration and servers. */
+/** A request that arrived before its box knew the configuration and the servers. */
 export interface PendingRequest {
   exchangeId: number;
   facts: RequestFacts;
--- a/packages/reedlug-gateway/src/types/rollout.ts
+++ b/packages/reedlug-gateway/src/types/rollout.ts
@@ -1,108 +1,119 @@
-/** Roll-outs: a service's traffic moves to another version of its servers, or comes back. */
+/** Roll-outs, which shift a service's traffic to another version of its servers, or back. */
 
-/** What the operators ask for. */
+/** An order of the operators to roll out a version. */
 export interface RolloutOrder {
   service: string;
   targetVersion: string;
-  /** Time from the order until its end is due, in ms. */
+  /** Time from the order until its completion is due, in ms. */
   durationMs: number;
   /** Revision of the order in the store; a later order has a higher one. */
   revision: number;
 }
 
-/** How far a roll-out is. */
+/** Phase of a roll-out. */
 export const RolloutPhase = {
-  /** Nothing goes to the new version: what was decided before is not known yet. */
+  /** Nothing goes to the new version, because the phase decided so far is not known yet. */
   held: 'held',
-  /** A small sample goes to a few servers of the new version, so that each carries a usual load. */
+  /**
+   * A small sample goes to a few servers of the new version, so that each of them has a normal
+   * load.
+   */
   sampling: 'sampling',
-  /** A larger sample goes to more of them. */
+  /** A larger sample goes to more servers of the new version. */
   widened: 'widened',
-  /** Everything goes to the new version; the old one serves what it has begun. */
+  /** All requests go to the new version; the old one finishes its open requests. */
   shifted: 'shifted',
-  /** The end is written: the old servers stop. */
+  /** Completion is recorded, and the old servers stop. */
   completed: 'completed',
-  /** Nothing goes to the new version any more. */
+  /** The roll-out failed; nothing goes to the new version any more. */
   rolledBack: 'rolledBack',
 } as const;
 export type RolloutPhase = (typeof RolloutPhase)[keyof typeof RolloutPhase];
 
-/** Answers of servers, and the bad ones among them. */
+/** Counts of answers, and of bad ones among them. */
 export interface AnswerTally {
   answers: number;
-  /** The server's own failures, and answers that broke off. */
+  /** Failures of the server, and incomplete answers. */
   failed: number;
-  /** Answers that took several times as long as expected. */
+  /** Answers that took several times the expected time. */
   slow: number;
 }
 
-/** Answers of one route from the new version, by server. */
+/** Answers of one route from a server of the new version. */
 export interface TrialTally extends AnswerTally {
   route: string;
-  /** Empty for all servers beyond those of the sample. */
+  /** Empty for the sum over all servers outside the sample. */
   serverId: string;
 }
 
-/** Answers of one route from the version that served before. */
+/** Answers of one route from the old version. */
 export interface BaselineTally extends AnswerTally {
   route: string;
 }
 
-/** What was seen of both versions since the order. */
+/** Answers of both versions since the order. */
 export interface RolloutEvidence {
   trial: readonly TrialTally[];
   usual: readonly BaselineTally[];
 }
 
-/** What a box tells of a roll-out. */
+/** State of a roll-out in a message. */
 export interface RolloutGossip {
   order: RolloutOrder;
   /** Time since the order, in ms. */
   ageMs: number;
   phase: RolloutPhase;
-  /** Targets of earlier roll-outs that did not end well; nothing goes to them. */
+  /** Target versions of earlier roll-outs that failed; nothing is sent to them. */
   barred: readonly string[];
   evidence: RolloutEvidence;
 }
 
-/** Keys of the records in the shared table; a service's name follows. */
+/** Prefix of the keys of roll-out records in the shared table; the service's name follows. */
 export const ROLLOUT_KEY_PREFIX = 'rollout/';
 
-/** A roll-out as it stands in the shared table; the platform's adapter shows it to the operators as well. */
+/**
+ * Record of a roll-out in the shared table; the platform's adapter also shows it to the operators.
+ */
 export interface RolloutRecord {
   revision: number;
   targetVersion: string;
   phase: RolloutPhase;
-  /** The store's clock at the order, as far as known. */
+  /** Time of the order on the store's clock, as far as known. */
   orderedAtStoreMs: number;
   barred: readonly string[];
 }
 
-/** A roll-out as a box knows it. */
+/** State of a roll-out at a box. */
 export interface RolloutView {
   order: RolloutOrder;
   phase: RolloutPhase;
   orderedAtMs: number;
   barred: readonly string[];
-  /** Revisions of the orders before it, the newest last. */
+  /** Revisions of earlier orders, latest last. */
   earlierRevisions: readonly number[];
-  /** Time from the order until a server of the new version was first seen, in ms; undefined before. */
+  /**
+   * Time from the order until the first server of the new version was seen, in ms; undefined
+   * before.
+   */
   waitedMs: number | undefined;
-  /** True when it may be completed as this box sees it; the holder of the lease writes that. */
+  /** True if this box would complete the roll-out; the lease holder writes the completion. */
   wantsCompletion: boolean;
-  /** This box's own sends. */
+  /** Answers to this box's own sends, by version. */
   trial: Map<string, TrialTally>;
   usual: Map<string, BaselineTally>;
-  /** What all boxes had seen at earlier looks of the last seconds, the newest last. */
+  /** Evidence of all boxes at the checks of the last seconds, latest last. */
   history: { atMs: number; evidence: RolloutEvidence }[];
-  /** Servers of the new version that take the sample, and those of the larger one; set each tick. */
+  /**
+   * Servers of the new version that get the sample, and those that get the larger one; set at each
+   * tick.
+   */
   sampleServers: ReadonlySet<string>;
   widenedServers: ReadonlySet<string>;
-  /** Share of a route's requests that the sample takes. */
+  /** Share of each route's requests in the sample. */
   shareByRoute: ReadonlyMap<string, number>;
-  /** The record's version in the table; undefined while it is not known, 0 where there is none. */
+  /** Version of the record in the table; undefined while unknown, 0 if there is none. */
   recordVersion: number | undefined;
-  /** The phase that the table holds; undefined while it is not known. */
+  /** Phase in the table; undefined while unknown. */
   recordedPhase: RolloutPhase | undefined;
   requestedAtMs: number;
 }
--- a/packages/reedlug-gateway/src/types/server.ts
+++ b/packages/reedlug-gateway/src/types/server.ts
@@ -1,48 +1,51 @@
-/** Backend servers as the platform's registry lists them. */
+/** Entries of the platform's registry of backend servers. */
 
-/** An IP number and a port. */
+/** An IP address and a port. */
 export interface HostPort {
   host: string;
   port: number;
 }
 
-/** Whether a server takes new work. */
+/** States of a server: it accepts new requests, or it is draining. */
 export const ServerState = { ready: 'ready', leaving: 'leaving' } as const;
 export type ServerState = (typeof ServerState)[keyof typeof ServerState];
 
 /** An entry of the registry. */
 export interface ServerEntry {
-  /** Names a server; one that starts again may have the same, and then a later `bornAtMs`. */
+  /** Id of the server; after a restart it may have the same id, with a later `bornAtMs`. */
   id: string;
   service: string;
   address: HostPort;
   zone: string;
-  /** Requests worked on at a time. */
+  /** Number of requests that the server runs concurrently. */
   slots: number;
   state: ServerState;
-  /** Version of its software; undefined where it is not told. */
+  /** Version of its software; undefined if unknown. */
   version: string | undefined;
-  /** True for a server that may be taken back at short notice. */
+  /** True for a server that may be reclaimed at short notice. */
   reclaimable: boolean;
-  /** Time until it is gone, in ms, where it told. */
+  /** Time until the server is gone, in ms, if it is announced. */
   leavesInMs: number | undefined;
-  /** Start of its life by the wall clock, in Unix ms; undefined where it does not tell. */
+  /** Start of its incarnation by the wall clock, in Unix ms; undefined if it is not stated. */
   bornAtMs?: number | undefined;
 }
 
-/** A life of a server; one that does not tell when it was born has one life for all that is known. */
+/**
+ * An incarnation of a server. All incarnations of a server that does not state its start time count
+ * as one.
+ */
 export interface ServerIncarnation {
   serverId: string;
-  /** Start of the life by the wall clock, in Unix ms. */
+  /** Start of the incarnation by the wall clock, in Unix ms; undefined if it is not stated. */
   bornAtMs: number | undefined;
 }
 
-/** The life of a registry entry. */
+/** Returns the incarnation of a registry entry. */
 export function incarnationOf({ id, bornAtMs }: ServerEntry): ServerIncarnation {
   return { serverId: id, bornAtMs };
 }
 
-/** Whether a life began after another one of the same server. */
+/** Returns whether an incarnation started after another one of the same server. */
 export function isLaterIncarnation(
   startedAtMs: number | undefined,
   thanMs: number | undefined,
@@ -50,15 +53,15 @@
   return startedAtMs !== undefined && thanMs !== undefined && startedAtMs > thanMs;
 }
 
-/** A change of an entry of the registry; without a value the entry is gone. */
+/** A change of a registry entry; `entry` is undefined if the entry is gone. */
 export interface ServerChange {
   id: string;
   entry: ServerEntry | undefined;
-  /** Set where the registry holds an entry that can't be used. */
+  /** Set if the registry holds an invalid entry. */
   fault?: EntryFault;
 }
 
-/** Why an entry can't be used. */
+/** Reason why an entry is invalid. */
 export interface EntryFault {
   field: string;
   reason: string;
--- a/packages/reedlug-gateway/src/types/serverStatement.ts
+++ b/packages/reedlug-gateway/src/types/serverStatement.ts
@@ -1,143 +1,159 @@
 /**
- * What servers say of themselves in their answers: a limit of requests a second, a time of
- * rest, that they leave. Said to one box, it is meant for all, and belongs to one life.
+ * Server statements: what servers state about themselves in their answers. A server can state a
+ * limit on requests per second, ask for a pause, or state that it is draining. A statement is
+ * received by one box, applies to all boxes, and belongs to one incarnation of the server.
  */
 import type { ServerIncarnation } from './server.js';
 
-/** What the head of an answer says of its server, beside the answer itself. */
+/** Statements of a server in the head of an answer. */
 export interface AnswerStatements {
   limit: LimitStatement;
-  /** The server takes no new requests any more. */
+  /** True if the server accepts no new requests any more. */
   isDraining: boolean;
-  /** Time for which a server that refused the request wants no other one, in ms; undefined where it does not tell. */
+  /** Pause that a server asks for when it refuses a request, in ms; undefined if it states none. */
   pauseMs: number | undefined;
 }
 
-/** What an answer says of its server's limit. */
+/** Statement of an answer about its server's limit. */
 export type LimitStatement =
-  /** It names none: a limit that was named before has ended. */
+  /** The answer states no limit, so an earlier limit has ended. */
   | { kind: 'none' }
   | { kind: 'limit'; perSecond: number }
-  /** What it says is no limit that can be kept, and changes nothing. */
+  /** The stated limit is invalid and has no effect. */
   | { kind: 'odd'; value: string };
 
-/** A statement as boxes tell it each other; ages are in ms when it is sent. */
+/** A statement in a message between boxes; ages are in ms at the time of sending. */
 export type ServerStatement =
   | {
       kind: 'limit';
-      /** Undefined once the server names none any more. */
+      /** Undefined once the server no longer states a limit. */
       perSecond: number | undefined;
-      /** How long ago the request was sent, and the head of its answer received. */
+      /** Ages of the request and of the receipt of its answer's head. */
       sentAgeMs: number;
       receivedAgeMs: number;
     }
   | {
       kind: 'rest';
-      /** Until the last rest ends that was asked for, and since that was asked. */
+      /** Remaining time of the pause that ends last, and the age of its request. */
       leftMs: number;
       askedAgeMs: number;
-      /** Since a box sent the one request that shows whether it stands, and since that was served; undefined before. */
+      /**
+       * Age of the single request that a box sends to probe whether the pause still applies, and
+       * the age of its success; undefined before.
+       */
       probeAgeMs: number | undefined;
       servedAgeMs: number | undefined;
     }
-  /** It refused a request and asked for no rest. */
+  /** The server refused a request without asking for a pause. */
   | { kind: 'refusal'; ageMs: number }
   | { kind: 'leaving' };
 
-/** A statement of one life of a server. */
+/** A statement of one incarnation of a server. */
 export interface IncarnationStatement extends ServerIncarnation {
   statement: ServerStatement;
 }
 
-/** What servers told one box and is meant for the fleet. */
+/** Statements that one box received from servers, for all boxes. */
 export interface ServerStatementsMessage {
   kind: 'serverStatements';
   boxId: string;
   statements: readonly IncarnationStatement[];
 }
 
-/** How far a box has told others of a statement. */
+/** Progress of a box in announcing a statement to others. */
 export interface Announcement {
-  /** When this box learned what stands now. */
+  /** Time at which this box learned the current statement. */
   changedAtMs: number;
-  /** When it last told others, or was told by one that tells them; undefined before. */
+  /**
+   * Time at which it last announced the statement, or received it from a box that announces it;
+   * undefined before.
+   */
   announcedAtMs: number | undefined;
 }
 
-/** Everything that a box knows of the statements of one life of a server. */
+/** Statements of one incarnation of a server, as known to a box. */
 export interface IncarnationStatements extends ServerIncarnation {
   limit: ServerLimit | undefined;
   rest: ServerPause | undefined;
-  /** The last one without a time of rest. */
+  /** Last refusal without a pause. */
   refusal: ServerRefusal | undefined;
-  /** Set once the server has said that it leaves; that ends with the life. */
+  /** Set once the server has stated that it is draining, until the end of the incarnation. */
   leaving: ServerDraining | undefined;
-  /** When the life was last in the registry, as this box knows it. */
+  /** Time at which the incarnation was last in the registry, as known to this box. */
   listedAtMs: number;
 }
 
 /**
- * What is known of a server's limit, by one answer of it. Answers overtake each other, so
- * both ends of the time in which the server said it are kept.
+ * A server's limit as stated by one of its answers. Answers overtake each other, so both ends of
+ * the interval in which the server made the statement are kept.
  */
 export interface LimitObservation {
-  /** Undefined once the server names none any more. */
+  /** Undefined once the server no longer states a limit. */
   perSecond: number | undefined;
-  /** When the request was sent, and when the head of its answer came, on this box's clock. */
+  /**
+   * Times at which the request was sent and the head of its answer was received, on this box's
+   * clock.
+   */
   sentAtMs: number;
   receivedAtMs: number;
 }
 
-/** The limit of one life of a server as a box knows it. */
+/** Limit of one incarnation of a server, as known to a box. */
 export interface ServerLimit extends LimitObservation {
-  /** The limit that was named last, also once there is none any more. */
+  /** Last stated limit, also after its end. */
   lastPerSecond: number;
-  /** When this box first learned that the server has a limit. */
+  /** Time at which this box first learned of a limit of the server. */
   knownSinceMs: number;
   announcement: Announcement;
-  /** Undefined before the first look. */
+  /** Undefined before the first check. */
   rank: SenderRank | undefined;
-  /** What this box sends to it. */
+  /** Sends of this box to the server. */
   sends: LimitedSends;
 }
 
-/** This box's sends to a limited server. */
+/** Sends of this box to a limited server. */
 export interface LimitedSends {
-  /** The latest ones, oldest first. */
+  /** Times of the latest sends, oldest first. */
   atMs: number[];
-  /** Since when this box is one of those that share the limit; undefined while it is not. */
+  /** Time since which this box is among those that share the limit; undefined while it is not. */
   sharingSinceMs: number | undefined;
-  /** Whether it took the place of another box, which may have sent the whole of the window before. */
+  /** True if it replaced another box, which may have used up the preceding window. */
   replacedAnotherBox: boolean;
 }
 
-/** Rests that a server asked for, on this box's clock; times that are not known lie before all others. */
+/** Pauses that a server asked for, on this box's clock; unknown times are negative infinity. */
 export interface ServerPause {
-  /** When the last of them ends, and when that was asked. */
+  /** End of the pause that ends last, and the time at which it was requested. */
   untilMs: number;
   requestedAtMs: number;
-  /** When the last one ends that this box was asked for itself. */
+  /** End of the last pause that was requested from this box itself. */
   ownUntilMs: number;
-  /** When a box sent a request to learn whether the rest stands, and when that was served. */
+  /**
+   * Times at which a box sent a request to probe whether the pause still applies, and at which it
+   * succeeded.
+   */
   probeAtMs: number;
   servedAtMs: number;
   announcement: Announcement;
-  /** Undefined before the first look. */
+  /** Undefined before the first check. */
   rank: SenderRank | undefined;
 }
 
-/** A refusal without a time of rest, on this box's clock. */
+/** A refusal without a pause, on this box's clock. */
 export interface ServerRefusal {
   atMs: number;
   announcement: Announcement;
 }
 
-/** A server that takes no new requests any more. */
+/** A statement of a server that it accepts no new requests any more. */
 export interface ServerDraining {
   announcement: Announcement;
 }
 
-/** The fleet as a box reaches it: its boxes, the share of them that is heard, and whether hubs sum up their news. */
+/**
+ * Reachable part of the fleet: number of boxes, the share of them that is reachable, and whether
+ * hubs sum up their gossip.
+ */
 export interface ReachableFleet {
   boxes: number;
   share: number;
@@ -145,7 +161,7 @@
   checkedAtMs: number;
 }
 
-/** How many boxes come before this one among those that may send to a limited server. */
+/** Number of boxes that rank before this one among those that may send to a limited server. */
 export interface SenderRank {
   rank: number;
   checkedAtMs: number;
--- a/packages/reedlug-gateway/src/types/settings.ts
+++ b/packages/reedlug-gateway/src/types/settings.ts
@@ -1,40 +1,45 @@
 /** Settings of a gateway box. */
 import type { HostPort } from './server.js';
 
-/** Bounds that the users set, and the figures that follow from them. */
+/** Bounds set by the users, and values derived from them. */
 export interface BoundSettings {
-  /** A change of configuration is in force everywhere within this time. */
+  /** Time within which a configuration change is active at all boxes. */
   configurationMs: number;
-  /** A leaving server gets nothing more after this time. */
+  /** Time after which a draining server gets no more requests. */
   drainMs: number;
-  /** From SIGTERM to the forced end. */
+  /** Time from SIGTERM until the process is killed. */
   graceMs: number;
-  /** Repeated sends over first ones that a service may get, and a fixed number on top. */
+  /**
+   * Maximum ratio of repeated sends to first sends of a service, and a fixed number of repeated
+   * sends on top.
+   */
   retryRatio: number;
   retrySlack: number;
   /**
-   * A workspace's units in any window of this length: its rate times the window and
-   * its burst, this share more, and these units on top.
+   * Bound on a workspace's units in any window of this length: its rate times the window plus
+   * its burst, increased by this share, plus these units.
    */
   limitWindowMs: number;
   limitOverShare: number;
   limitSlackUnits: number;
-  /** Share of a service's requests that a version under roll-out may get before it is known to be sound. */
+  /** Share of a service's requests that a new version may get before it is known to be good. */
   exposeShare: number;
-  /** Validity of a lease. */
+  /** Validity of the lease. */
   leaseMs: number;
-  /** Length of a usage window and when its report is due after its end; 0 for no reports. */
+  /**
+   * Length of a usage window, and time after its end by which its report is due; 0 for no reports.
+   */
   usageWindowMs: number;
   usageDueMs: number;
 }
 
-/** Everything a box reads from its settings file. */
+/** Contents of the settings file of a box. */
 export interface GatewaySettings {
-  /** `processorCores`: processor time that the box may use, in cores. */
+  /** `processorCores` is the processor time available to the box, in cores. */
   box: { id: string; ip: string; zone: string; processorCores: number };
   zones: readonly string[];
   listen: { callers: HostPort; readiness: HostPort; peersPort: number; metricsPort: number };
-  /** Peers that are likely to be there; they may be gone. */
+  /** Addresses of peers to contact first; they may be gone. */
   seeds: readonly HostPort[];
   store: { address: HostPort };
   cloud?: { address: HostPort; reportsUsage: boolean; ordersEngines: boolean } | undefined;
--- a/packages/reedlug-gateway/src/types/views.ts
+++ b/packages/reedlug-gateway/src/types/views.ts
@@ -1,4 +1,4 @@
-/** What a box knows of others: servers, peers, limits, orders, usage; parts of its state. */
+/** Parts of the state of a box: its views of servers, peers, limits, orders and usage. */
 import type { UnitWindow } from '../policy/unitWindow.js';
 import type { Configuration, RouteSpec, WorkspaceSpec } from './configuration.js';
 import type { CloudCall } from './effect.js';
@@ -6,165 +6,188 @@
 import type { HostPort, ServerEntry } from './server.js';
 import type { IncarnationStatements } from './serverStatement.js';
 
-/** A configuration with the look-ups that a request needs. */
+/** A configuration with the look-up tables for requests. */
 export interface ActiveConfiguration {
   configuration: Configuration;
-  /** Routes of each host, the longest prefix first. */
+  /** Routes of each host, longest prefix first. */
   routesByHost: Map<string, RouteSpec[]>;
   workspaceByKey: Map<string, WorkspaceSpec>;
 }
 
-/** What a box knows of one backend server. */
+/** State of a box with regard to one backend server. */
 export interface ServerView {
   entry: ServerEntry;
-  /** Hash of its id, for rankings. */
+  /** Hash of the id, for rankings. */
   idHash: number;
-  /** Counts the lives of servers that this box has seen; attempts belong to one. */
+  /**
+   * Number of this incarnation among all server incarnations seen by this box; attempts refer to
+   * it.
+   */
   life: number;
-  /** True once any source has said that it leaves; never undone for one id. */
+  /** True once any source states that the server is draining; never reset for an incarnation. */
   leaving: boolean;
-  /** Set while its entry is missing after the store was away; the server goes at this time. */
+  /**
+   * Set while the entry is missing after an outage of the store: the time at which the server is
+   * removed.
+   */
   expiresAtMs: number | undefined;
-  /** This box's open work there. */
+  /** Open work of this box at the server. */
   running: number;
   prefillTokens: number;
   unread: number;
-  /** Prompt tokens of this box still to be read there, by urgency. */
+  /** Prompt tokens of this box that the server has yet to process, by urgency. */
   unreadByUrgency: number[];
-  /** Recent failures, and refusals without a time, halved every few seconds. */
+  /** Recent failures, and refusals without a pause; decays with a half-life of a few seconds. */
   failureScore: number;
   failureAtMs: number;
-  /** When anything last came from it to this box, or was sent while nothing else was open. */
+  /**
+   * Time at which this box last received data from the server, or sent a request while nothing else
+   * was open.
+   */
   lastActivityAtMs: number;
-  /** How much longer its first events take than those of its service: 1 for as long; it goes back to 1 with time. */
+  /** Ratio of the time to its first events to that of the service; decays to 1. */
   slowness: number;
   slownessAtMs: number;
-  /** What its life has said in answers; undefined while nothing of it matters. */
+  /** Statements of its incarnation; undefined while there are none of relevance. */
   statements: IncarnationStatements | undefined;
-  /** Prompt parts it is taken to keep, by last use on this box's clock, least recent first. */
+  /**
+   * Prompt parts that it is assumed to have cached, with their last use on this box's clock, least
+   * recent first.
+   */
   cachedParts: Map<string, number>;
 }
 
-/** A workspace's limit from a moment on. */
+/** A workspace's limit, in force from a given time. */
 export interface LimitInForce {
   fromMs: number;
   ratePerSecond: number;
   burst: number;
 }
 
-/** Units that another box lent, for one use. */
+/** Units that another box lent, to be used once. */
 export interface UnitLoan {
   units: number;
-  /** Until when they may be sent, on this box's clock. */
+  /** Time until which they may be used, on this box's clock. */
   untilMs: number;
   askId: number;
   lender: HostPort;
 }
 
-/** Units that this box lent, while they may come back. */
+/** Units that this box lent, kept while they may be returned. */
 export interface LentUnits {
   workspace: string;
   units: number;
-  /** From when on they count in the window of this box. */
+  /** Time from which they count in the window of this box. */
   countsFromMs: number;
 }
 
-/** A workspace's limit as this box sees it. */
+/** State of a workspace's limit at this box. */
 export interface QuotaView {
-  /** What this box's part was charged lately: own sends, and units lent, which count from the end of the loan. */
+  /**
+   * Units recently charged to this box's share: own sends, and units lent, which count from the end
+   * of the loan.
+   */
   charged: UnitWindow;
-  /** True once what was sent before this box held its part is charged. */
+  /** True once the possible use of the share before this box held it is charged. */
   isPriorUseCharged: boolean;
-  /** Units lent to this box and not sent yet, the first to end first. */
+  /** Units lent to this box and not used yet, earliest end first. */
   loans: UnitLoan[];
-  /** Limits of the last window, the newest last; never empty. */
+  /** Limits in force during the last window, latest last; never empty. */
   limits: LimitInForce[];
-  /** Units that this box has sent since its start. */
+  /** Units admitted by this box since its start. */
   admitted: number;
 }
 
-/** A peer as last heard. */
+/** State of a box with regard to a peer. */
 export interface PeerView {
   boxId: string;
   address: PeerAddress;
-  /** True while the store lists the box; then it is kept while it is silent. */
+  /** True while the store lists the peer, which is then kept even if it is silent. */
   listed: boolean;
   lastReceivedAtMs: number;
   /** Undefined until the first message, and again after a long silence. */
   message: PeerMessage | undefined;
-  /** What its messages have added to the totals of this box. */
+  /** Amount that its messages have added to the totals of this box. */
   contribution: ReceivedTotals;
-  /** Units that this box has asked of it, or has had asked, since its last message, by workspace. */
+  /** Units requested from it, by or through this box, since its last message, by workspace. */
   requestedUnits: Map<string, number>;
-  /** Number of its last change of the registry that this box took; undefined before the first. */
+  /** Number of its last registry change that this box applied; undefined before the first one. */
   registryNumber: number | undefined;
   gossipSentAtMs: number;
-  /** True once it was silent as this box's hub, until it is heard again. */
+  /** True if it became silent as this box's hub, until its next message. */
   isSuspected: boolean;
-  /** Since when it has had a newer configuration or registry; undefined while it has none. */
+  /** Time since which it has had a newer configuration or registry; undefined otherwise. */
   aheadSinceMs: number | undefined;
   stateRequestedAtMs: number;
 }
 
-/** Sums of what other boxes told; they only grow while the boxes are known. */
+/** Sums of totals received from other boxes; they only increase while the boxes are known. */
 export interface ReceivedTotals {
   /** Units admitted, by workspace. */
   admitted: Map<string, number>;
-  /** Prompt tokens sent to be read. */
+  /** Prompt tokens sent for processing. */
   workTokens: number;
 }
 
-/** Engines ordered of one kind in one zone. */
+/** Order for engines of one kind in one zone. */
 export interface EngineOrder {
   call: Extract<CloudCall, { kind: 'orderEngines' }>;
-  /** True once the platform has taken it. */
+  /** True once the platform has accepted the order. */
   taken: boolean;
-  /** Engines that the platform last granted, with this order or one before, and when that was asked. */
+  /**
+   * Number of engines last granted by the platform, for this order or an earlier one, and the time
+   * of that request.
+   */
   granted: number;
   grantedAtMs: number;
-  /** Engines that orders have given up and that still took work at the last plan. */
+  /**
+   * Number of engines that orders have released and that still accepted requests at the last plan.
+   */
   releasedEngines: number;
-  /** The fence it was sent under; a new holder orders anew. */
+  /** Fencing token that the order was sent under; a new lease holder sends its own orders. */
   fence: number;
   callId: number;
   sentAtMs: number;
   notBeforeMs: number;
 }
 
-/** A load averaged over seconds, and over a longer time. */
+/** Moving averages of a load over seconds, and over a longer time. */
 export interface LoadAverage {
   recent: number;
   long: number;
 }
 
-/** A figure that falls only after a time. */
+/** A value that decreases only after a hold time. */
 export interface StabilizedValue {
   value: number;
   untilMs: number;
 }
 
-/** Engines needed by a service, held against short dips of its load. */
+/** Numbers of engines that a service needs, stabilized against short dips of its load. */
 export interface StabilizedNeed {
   usual: StabilizedValue;
   least: StabilizedValue;
 }
 
-/** Requests by workspace. */
+/** Numbers of requests by workspace. */
 export type UsageCounts = Readonly<Record<string, number>>;
 
-/** A usage window on its way to the platform. */
+/** A usage window to be reported to the platform. */
 export interface UsageWindow {
   window: number;
-  /** Counts by box and incarnation, then workspace. */
+  /** Counts by box and incarnation, then by workspace. */
   byBox: Map<string, UsageCounts>;
-  /** What is to be reported, by the store's row or by a peer; nothing else may be. */
+  /**
+   * Counts to report, as decided by the store's row or received from a peer; no other counts may be
+   * reported.
+   */
   decided: UsageCounts | undefined;
-  /** When this box came to know that. */
+  /** Time at which this box learned of that decision. */
   decidedAtMs: number;
   reported: boolean;
-  /** Until when peers are told what is decided. */
+  /** Time until which the decision is announced to peers. */
   announcedUntilMs: number;
-  /** True once the log says that it stays without a report. */
+  /** True once it is logged that the window is not reported. */
   isOmissionLogged: boolean;
   requestedAtMs: number;
   callId: number;
