--- a/packages/reedlug-gateway/src/__tests__/__fixtures__/fleet.ts
+++ b/packages/reedlug-gateway/src/__tests__/__fixtures__/fleet.ts
@@ -1,9 +1,9 @@
-/** Many boxes under virtual time whose datagrams reach each other at once. */
+/** Test fixtures of a fleet of boxes in virtual time, whose datagrams arrive without delay. */
 import {
   configuration,
   createBox,
   listBoxes,
-  listBoxesAgain,
+  listBoxesAfterRestart,
   ofType,
   server,
   settings,
@@ -15,29 +15,31 @@
 import type { Effect } from '../../types/effect.js';
 import type { EventBody } from '../../types/event.js';
 
-/** Pause between ticks, in ms, as in the daemon. */
+/** Interval between ticks, in ms, as in the daemon. */
 const TICK_MS = 50;
 const PEERS_PORT = 7000;
 
-/** A fleet with its clock in the test's hands. */
+/** A fleet whose clock is controlled by the test. */
 export interface TestFleet {
   boxes: Map<string, TestBox>;
-  /** Datagrams that each box got. */
+  /** Number of datagrams received by each box. */
   received: Map<string, number>;
   /** Effects of the last tick, by box. */
   effects: Map<string, Effect[]>;
-  /** Effects of the datagrams of the last tick, by box. */
+  /** Effects of the datagrams delivered since the last tick, by box. */
   answered: Map<string, Effect[]>;
   pass: (ms: number) => void;
-  /** Feeds an event to a box, delivers what it sends its peers, and returns all of its effects. */
+  /**
+   * Feeds an event to a box, delivers its datagrams to its peers, and returns all of its effects.
+   */
   take: (boxId: string, event: EventBody) => Effect[];
-  /** Starts a box anew with nothing but what the store gives it. */
+  /** Restarts a box with only the state that the store provides. */
   restart: (boxId: string) => void;
-  /** Ends a box; nothing reaches it any more. */
+  /** Removes a box, which receives nothing any more. */
   kill: (boxId: string) => void;
 }
 
-/** Starts boxes that all know each other from the store's list. */
+/** Creates boxes that know each other from the store's list. */
 export function createFleet(params: { boxes: number; zones: readonly string[] }): TestFleet {
   const { zones } = params;
   const addresses: PeerAddress[] = Array.from({ length: params.boxes }, (_, index) => ({
@@ -67,9 +69,9 @@
       }
     }
   };
-  const answerQuestions = (boxId: string, asked: readonly Effect[]): void => {
+  const answerStateRequests = (boxId: string, requests: readonly Effect[]): void => {
     const box = boxes.get(boxId);
-    for (const { peer, withServers } of ofType(asked, 'askPeer')) {
+    for (const { peer, withServers } of ofType(requests, 'askPeer')) {
       const sender = boxes.get(idByHost.get(peer.host) ?? '');
       if (box === undefined || sender === undefined) continue;
       for (const event of eventsOfShared(sharedStateOf(sender.state, withServers))) box.take(event);
@@ -91,7 +93,7 @@
       const address = addresses.find((known) => known.boxId === boxId);
       if (before === undefined || address === undefined) throw new Error(`no ${boxId}`);
       const box = createFleetBox(address, before.state.incarnation + 1, before.nowMs);
-      listBoxesAgain(box, othersOf(box, addresses));
+      listBoxesAfterRestart(box, othersOf(box, addresses));
       boxes.set(boxId, box);
     },
     kill: (boxId) => void boxes.delete(boxId),
@@ -104,7 +106,7 @@
         });
         answered.clear();
         for (const batch of sent) deliver(batch);
-        for (const [boxId, done] of answered) answerQuestions(boxId, done);
+        for (const [boxId, done] of answered) answerStateRequests(boxId, done);
       }
     },
   };
--- a/packages/reedlug-gateway/src/policy/__tests__/serverLimit.test.ts
+++ b/packages/reedlug-gateway/src/policy/__tests__/serverLimit.test.ts
@@ -3,29 +3,33 @@
 import type { LimitedSends, LimitObservation } from '../../types/serverStatement.js';
 import {
   isNewerLimit,
-  limitNow,
+  currentLimit,
   nextSendAtMs,
-  noteLimitedSend,
-  sendersOf,
+  recordLimitedSend,
+  senderCount,
 } from '../serverLimit.js';
 
-/** Counts what a box sends that tries each 20 ms, and gives the times. */
+/** Returns the times at which a box sends if it tries every 20 ms. */
 function sendAll(
-  part: (nowMs: number) => number,
+  shareAt: (nowMs: number) => number,
   forMs: number,
-  followsOther: boolean,
+  replacedAnotherBox: boolean,
 ): readonly number[] {
-  const sends: LimitedSends = { atMs: [], sharingSinceMs: 0, replacedAnotherBox: followsOther };
+  const sends: LimitedSends = {
+    atMs: [],
+    sharingSinceMs: 0,
+    replacedAnotherBox,
+  };
   const sentAtMs: number[] = [];
   for (let nowMs = 0; nowMs < forMs; nowMs += 20) {
-    if (nextSendAtMs(sends, part(nowMs), nowMs) > nowMs) continue;
-    noteLimitedSend(sends, nowMs);
+    if (nextSendAtMs(sends, shareAt(nowMs), nowMs) > nowMs) continue;
+    recordLimitedSend(sends, nowMs);
     sentAtMs.push(nowMs);
   }
   return sentAtMs;
 }
 
-function mostInWindow(atMs: readonly number[], lengthMs: number): number {
+function maxInWindow(atMs: readonly number[], lengthMs: number): number {
   return Math.max(
     0,
     ...atMs.map(
@@ -34,49 +38,52 @@
   );
 }
 
-test('a box keeps to its part over each four seconds, and uses it', () => {
-  for (const part of [0.1, 0.4, 1, 1.2, 3, 8, 50]) {
-    for (const followsOther of [true, false]) {
-      const sent = sendAll(() => part, 40_000, followsOther);
-      const label = `${part} a second`;
-      expect(mostInWindow(sent, 4000), label).to.be.at.most(Math.ceil(part * 4) + 1);
-      expect(sent.length, label).to.be.within(part * 40 - part * 4 - 1, part * 40 + 4 * part + 1);
+test('a box keeps to its share over each four seconds, and uses it', () => {
+  for (const share of [0.1, 0.4, 1, 1.2, 3, 8, 50]) {
+    for (const replacedAnotherBox of [true, false]) {
+      const sent = sendAll(() => share, 40_000, replacedAnotherBox);
+      const label = `${share} per second`;
+      expect(maxInWindow(sent, 4000), label).to.be.at.most(Math.ceil(share * 4) + 1);
+      expect(sent.length, label).to.be.within(
+        share * 40 - share * 4 - 1,
+        share * 40 + 4 * share + 1,
+      );
     }
   }
 });
 
-test('a box that takes the place of another one begins with nothing', () => {
+test('a box that replaces another one delays its first send', () => {
   const sent = sendAll(() => 2, 4000, true);
   expect(sent[0]).to.equal(500);
   expect(sent.length).to.be.at.most(8);
 });
 
-test('a box without a part never sends', () => {
+test('a box without a share never sends', () => {
   expect(sendAll(() => 0, 10_000, false)).to.deep.equal([]);
   const sends: LimitedSends = { atMs: [], sharingSinceMs: undefined, replacedAnotherBox: false };
   expect(nextSendAtMs(sends, 5, 1000)).to.equal(Number.POSITIVE_INFINITY);
 });
 
-test('half a request a second is left to each box that sends', () => {
-  expect([0, 0.4, 1, 1.9, 8, 50].map((limit) => sendersOf(limit, 0))).to.deep.equal([
+test('each box that sends gets at least half a request per second', () => {
+  expect([0, 0.4, 1, 1.9, 8, 50].map((limit) => senderCount(limit, 0))).to.deep.equal([
     1, 1, 2, 3, 16, 100,
   ]);
-  expect(sendersOf(1, 40_000)).to.equal(4);
+  expect(senderCount(1, 40_000)).to.equal(4);
 });
 
-test('a limit of nothing leaves one send in ten seconds, to hear of its end', () => {
-  const word = { perSecond: 0, lastPerSecond: 0, sentAtMs: 0, receivedAtMs: 0 };
-  expect(limitNow(word, 1000)).to.equal(0.1);
+test('a limit of zero leaves one send in ten seconds, which shows its end', () => {
+  const observation = { perSecond: 0, lastPerSecond: 0, sentAtMs: 0, receivedAtMs: 0 };
+  expect(currentLimit(observation, 1000)).to.equal(0.1);
 });
 
-test('after its end a limit rises until it is gone', () => {
-  const word = { perSecond: undefined, lastPerSecond: 2, sentAtMs: 0, receivedAtMs: 0 };
-  expect(limitNow(word, 0)).to.equal(2);
-  expect(limitNow(word, 1000)).to.equal(8);
-  expect(limitNow(word, 3000)).to.equal(undefined);
+test('after its end a limit rises until it no longer applies', () => {
+  const observation = { perSecond: undefined, lastPerSecond: 2, sentAtMs: 0, receivedAtMs: 0 };
+  expect(currentLimit(observation, 0)).to.equal(2);
+  expect(currentLimit(observation, 1000)).to.equal(8);
+  expect(currentLimit(observation, 3000)).to.equal(undefined);
 });
 
-const word = fc
+const observation = fc
   .record({
     perSecond: fc.option(fc.constantFrom(0, 1, 8), { nil: undefined }),
     sentAtMs: fc.integer({ min: 0, max: 1000 }),
@@ -88,16 +95,16 @@
     receivedAtMs: sentAtMs + tookMs,
   }));
 
-test('of two words the same one stands, whichever is heard first', () => {
+test('of two observations the same one counts, whichever is received first', () => {
   fc.assert(
-    fc.property(word, word, (one, other) => {
+    fc.property(observation, observation, (one, other) => {
       fc.pre(one.perSecond !== other.perSecond);
       expect(isNewerLimit(one, other)).to.equal(!isNewerLimit(other, one));
     }),
   );
 });
 
-test('an answer that was on its way when the need began does not end the limit', () => {
+test('an answer that was in flight when the limit was set does not end it', () => {
   const named = { perSecond: 1, sentAtMs: 900, receivedAtMs: 1000 };
   const before = { perSecond: undefined, sentAtMs: 800, receivedAtMs: 1100 };
   expect(isNewerLimit(before, named)).to.equal(false);
--- a/packages/reedlug-gateway/src/policy/rolloutVerdict.ts
+++ b/packages/reedlug-gateway/src/policy/rolloutVerdict.ts
@@ -1,81 +1,104 @@
 /**
- * Whether a new version answers worse than the one before.
+ * Decides whether a new version answers worse than the old one.
  *
- * Both serve side by side, so a burst or a lost zone shows in both. Each answer is
- * good or bad in two ways (failed, slow), and a sequential test compares two
- * suppositions: the new version is as bad as the old one, or much worse. It is made
- * for all routes together and for each alone, since a version may be bad on one, and
- * for the last seconds alone, since it may turn bad after a good start.
- * A server that gave more than half of the bad answers is left out while others are
- * there: one failing server is no failing version.
+ * Both versions serve concurrently, so a burst or a lost zone affects both. Answers can be bad in
+ * two ways (failed, slow), and a sequential probability ratio test compares two hypotheses for
+ * each: the new version is as bad as the old one, or much worse. The test is applied to all routes
+ * together, to each route alone, since a version may fail on one of them, and to the last seconds
+ * alone, since a version may become bad after a good start.
+ * A server that gave more than half of the bad answers is excluded if there are others, because a
+ * single failing server does not make the version bad.
  */
 import type { AnswerTally, RolloutEvidence, TrialTally, BaselineTally } from '../types/rollout.js';
 
-/** What the answers say. */
+/** Outcome of the comparison. */
 export const Verdict = { unknown: 'unknown', good: 'good', bad: 'bad' } as const;
 export type Verdict = (typeof Verdict)[keyof typeof Verdict];
 
 /**
- * Log likelihood ratio from which a version is bad: Wald's bound for a wrong verdict
- * in one of 400 at each look, for some thirty looks that are not independent.
+ * Log likelihood ratio from which a version is bad: Wald's bound for an error rate of 1/400 per
+ * check, for some thirty checks that are not independent.
  */
-const BAD_FROM = Math.log(400);
-/** The same up to which it is good: one of ten, with the larger sample that follows still to come. */
-const GOOD_UP_TO = -Math.log(10);
-/** Log likelihood ratio of the last moments from which a version is not called good: one of ten. */
-const DOUBTFUL_FROM = Math.log(10);
-/** Share of bad answers that a version has at least by which it is called bad: the least that callers would complain of. */
-const LEAST_BAD_SHARE = 0.15;
-/** How many times worse than the old version it is then. */
-const TIMES_WORSE = 3;
-/** Highest share that is supposed of a bad version: no answer proves it impossible. */
-const MOST_BAD_SHARE = 0.9;
-/** Share of bad answers that a sound version is allowed at least: a crash or two among few answers. */
-const LEAST_SOUND_SHARE = 0.02;
-/** Answers of that share that the old version's weigh against: few of them say little. */
-const SUPPOSED_ANSWERS = 20;
-/** Servers of the sample from which the worst one is left out. */
-const LEAVES_OUT_FROM = 3;
+const BAD_THRESHOLD = Math.log(400);
+/**
+ * Log likelihood ratio up to which a version is good: an error rate of 1/10, since a larger sample
+ * follows.
+ */
+const GOOD_THRESHOLD = -Math.log(10);
+/**
+ * Log likelihood ratio of recent answers from which a version is not considered good: an error rate
+ * of 1/10.
+ */
+const DOUBTFUL_THRESHOLD = Math.log(10);
+/**
+ * Minimum excess of a bad version over the accepted share of bad answers: the smallest one that
+ * callers would complain about.
+ */
+const MIN_BAD_MARGIN = 0.15;
+/** Minimum ratio of the share of bad answers of a bad version to the accepted share. */
+const BAD_SHARE_FACTOR = 3;
+/**
+ * Maximum assumed share of bad answers: below 1, so that a single good answer does not rule out the
+ * hypothesis.
+ */
+const MAX_BAD_SHARE = 0.9;
+/**
+ * Minimum accepted share of bad answers of a good version: it allows for one or two crashes among
+ * few answers.
+ */
+const MIN_ACCEPTED_SHARE = 0.02;
+/**
+ * Weight of that minimum share as a prior, in answers: a few answers of the old version say little.
+ */
+const PRIOR_ANSWERS = 20;
+/** Minimum number of servers in the sample for the worst one to be excluded. */
+const MIN_SERVERS_TO_EXCLUDE = 3;
 
 type BadKind = 'failed' | 'slow';
 const BAD_KINDS: readonly BadKind[] = ['failed', 'slow'];
 
-/** A verdict with the figures that decided it. */
+/** A verdict with the figures behind it. */
 export interface RolloutVerdict {
   verdict: Verdict;
-  /** The highest log likelihood ratio that the new version is the worse one. */
+  /** Highest log likelihood ratio of the hypothesis that the new version is worse. */
   evidence: number;
-  /** What was compared there: all routes, or one. */
+  /** Route with that ratio; empty for all routes together. */
   route: string;
   kind: BadKind;
   answers: number;
   bad: number;
-  usualShare: number;
+  baselineShare: number;
 }
 
-/** Judges a new version by all answers, and by those of the last moments alone. */
-export function judgeRollout(
+/** Evaluates a new version by all its answers, and by its recent answers alone. */
+export function evaluateRollout(
   evidence: RolloutEvidence,
   recent: readonly RolloutEvidence[] = [],
 ): RolloutVerdict {
-  const trial = withoutWorst(evidence.trial);
+  const trial = withoutWorstServer(evidence.trial);
   const whole = worstOf(compareAll(trial, evidence.usual));
   const worst = worstOf([whole, ...compareRoutes(trial, evidence.usual)]);
-  const lately = recent.map((part) => worstLately(part, evidence.usual));
-  const worstEver = worstOf([worst, ...lately]);
-  if (worstEver.evidence >= BAD_FROM) return { ...worstEver, verdict: Verdict.bad };
-  const isGood = whole.evidence <= GOOD_UP_TO && worst.evidence <= 0;
-  const turnsBad = worstEver.evidence >= DOUBTFUL_FROM;
-  return { ...worstEver, verdict: isGood && !turnsBad ? Verdict.good : Verdict.unknown };
+  const recently = recent.map((part) => worstRecent(part, evidence.usual));
+  const worstOverall = worstOf([worst, ...recently]);
+  if (worstOverall.evidence >= BAD_THRESHOLD) return { ...worstOverall, verdict: Verdict.bad };
+  const isGood = whole.evidence <= GOOD_THRESHOLD && worst.evidence <= 0;
+  const turnsBad = worstOverall.evidence >= DOUBTFUL_THRESHOLD;
+  return { ...worstOverall, verdict: isGood && !turnsBad ? Verdict.good : Verdict.unknown };
 }
 
-/** The worst comparison of the last moments, against the old version's answers of all the time and of the same moments. */
-function worstLately(recent: RolloutEvidence, usualEver: readonly BaselineTally[]): RolloutVerdict {
-  const trial = withoutWorst(recent.trial);
-  const against = (usual: readonly BaselineTally[]): RolloutVerdict =>
+/**
+ * Returns the worst comparison of recent answers with the old version's answers, both recent ones
+ * and all since the order; the lower ratio of the two counts.
+ */
+function worstRecent(
+  recent: RolloutEvidence,
+  usualSinceOrder: readonly BaselineTally[],
+): RolloutVerdict {
+  const trial = withoutWorstServer(recent.trial);
+  const compareWith = (usual: readonly BaselineTally[]): RolloutVerdict =>
     worstOf([...compareAll(trial, usual), ...compareRoutes(trial, usual)]);
-  const [ever, now] = [against(usualEver), against(recent.usual)];
-  return now.evidence < ever.evidence ? now : ever;
+  const [sinceOrder, recently] = [compareWith(usualSinceOrder), compareWith(recent.usual)];
+  return recently.evidence < sinceOrder.evidence ? recently : sinceOrder;
 }
 
 function compareAll(
@@ -105,7 +128,7 @@
   return compared.reduce((worst, next) => (next.evidence > worst.evidence ? next : worst));
 }
 
-/** One comparison: bad answers of one kind, of one route or of all. */
+/** Compares the bad answers of one kind, for one route or for all routes. */
 function compare(
   route: string,
   kind: BadKind,
@@ -115,31 +138,42 @@
   const answers = sumOf(trial, 'answers');
   const bad = sumOf(trial, kind);
   const usualShare =
-    (sumOf(usual, kind) + LEAST_SOUND_SHARE * SUPPOSED_ANSWERS) /
-    (sumOf(usual, 'answers') + SUPPOSED_ANSWERS);
-  const soundShare = Math.min(MOST_BAD_SHARE / 2, Math.max(LEAST_SOUND_SHARE, usualShare));
+    (sumOf(usual, kind) + MIN_ACCEPTED_SHARE * PRIOR_ANSWERS) /
+    (sumOf(usual, 'answers') + PRIOR_ANSWERS);
+  const acceptedShare = Math.min(MAX_BAD_SHARE / 2, Math.max(MIN_ACCEPTED_SHARE, usualShare));
   const badShare = Math.min(
-    MOST_BAD_SHARE,
-    Math.max(soundShare * TIMES_WORSE, soundShare + LEAST_BAD_SHARE),
+    MAX_BAD_SHARE,
+    Math.max(acceptedShare * BAD_SHARE_FACTOR, acceptedShare + MIN_BAD_MARGIN),
   );
   const evidence =
-    bad * Math.log(badShare / soundShare) +
-    (answers - bad) * Math.log((1 - badShare) / (1 - soundShare));
-  return { verdict: Verdict.unknown, evidence, route, kind, answers, bad, usualShare };
+    bad * Math.log(badShare / acceptedShare) +
+    (answers - bad) * Math.log((1 - badShare) / (1 - acceptedShare));
+  return {
+    verdict: Verdict.unknown,
+    evidence,
+    route,
+    kind,
+    answers,
+    bad,
+    baselineShare: usualShare,
+  };
 }
 
 function sumOf(tallies: readonly AnswerTally[], field: keyof AnswerTally): number {
   return tallies.reduce((sum, tally) => sum + tally[field], 0);
 }
 
-/** The tallies without a server that has more bad answers than all others, where enough of them are there. */
-function withoutWorst(trial: readonly TrialTally[]): readonly TrialTally[] {
+/**
+ * Returns the tallies without the server that gave more than half of the bad answers, if there are
+ * enough servers.
+ */
+function withoutWorstServer(trial: readonly TrialTally[]): readonly TrialTally[] {
   const badByServer = new Map<string, number>();
   for (const { serverId, failed, slow } of trial) {
     if (serverId === '') continue;
     badByServer.set(serverId, (badByServer.get(serverId) ?? 0) + failed + slow);
   }
-  if (badByServer.size < LEAVES_OUT_FROM) return trial;
+  if (badByServer.size < MIN_SERVERS_TO_EXCLUDE) return trial;
   const [worstId, worstBad] = [...badByServer].reduce((worst, next) =>
     next[1] > worst[1] ? next : worst,
   );
@@ -148,7 +182,7 @@
   return trial.filter(({ serverId }) => serverId !== worstId);
 }
 
-/** Sums answers over routes and servers. */
+/** Sums up answers over routes and servers. */
 export function sumTallies(tallies: readonly AnswerTally[]): AnswerTally {
   return {
     answers: sumOf(tallies, 'answers'),
@@ -157,7 +191,7 @@
   };
 }
 
-/** Adds up what several boxes saw. */
+/** Adds up the evidence of several boxes. */
 export function addEvidence(parts: readonly RolloutEvidence[]): RolloutEvidence {
   const trial = new Map<string, TrialTally>();
   const usual = new Map<string, BaselineTally>();
@@ -168,7 +202,9 @@
   return { trial: [...trial.values()], usual: [...usual.values()] };
 }
 
-/** What came since an earlier sum; what a box that died had told counts for neither. */
+/**
+ * Returns the evidence since an earlier sum. Counts that shrank, because a box is gone, become 0.
+ */
 export function evidenceSince(now: RolloutEvidence, before: RolloutEvidence): RolloutEvidence {
   const trialBefore = new Map(
     before.trial.map((tally) => [`${tally.route} ${tally.serverId}`, tally]),
--- a/packages/reedlug-gateway/src/slices/__tests__/quotas.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/quotas.test.ts
@@ -3,7 +3,7 @@
   configuration,
   createServingBox,
   facts,
-  listBoxesAgain,
+  listBoxesAfterRestart,
   ofType,
   only,
   settings,
@@ -84,7 +84,7 @@
 test('a box that starts again has sent its burst as far as it knows, and goes on with the flow', () => {
   const box = createServingBox(settings({ limitOverShare: 0 }));
   box.state.part.opening = undefined;
-  listBoxesAgain(box);
+  listBoxesAfterRestart(box);
   expect(ask(box, 1, 1000)).to.equal(false);
   box.pass(1700);
   expect(ask(box, 2, 5000)).to.equal(true);
@@ -129,7 +129,7 @@
   const { charged } = box.state.quotas.get('tiger') ?? {};
   expect(charged?.total).to.equal(20_000);
   expect(
-    charged?.slices.filter(({ units }) => units > 0).map(({ startMs }) => startMs),
+    charged?.buckets.filter(({ units }) => units > 0).map(({ startMs }) => startMs),
   ).to.deep.equal([400]);
 });
 
