--- a/packages/reedlug-gateway/src/reduce.ts
+++ b/packages/reedlug-gateway/src/reduce.ts
@@ -25,13 +25,18 @@
 import { fleetPartTick } from './slices/fleetPart.js';
 import { lostServersTick, onServerProbed } from './slices/lostServers.js';
 import { onPeerMessage, onPeersListed, onPeerUsage } from './slices/peers.js';
-import { awaitingTick, onCallerGone, onRequestArrived, requestsTick } from './slices/requests.js';
+import {
+  pendingRequestsTick,
+  onCallerGone,
+  onRequestArrived,
+  requestsTick,
+} from './slices/requests.js';
 import { onRolloutRow, rolloutRecordsTick } from './slices/rolloutRecords.js';
 import { rolloutsTick } from './slices/rolloutJudgement.js';
 import { onRolloutOrdered } from './slices/rollouts.js';
 import { onServerStatements, statementsTick } from './slices/statements/statementNews.js';
 import { onServersRead, onStoreContact, serversTick } from './slices/servers.js';
-import { silenceTick } from './slices/silence.js';
+import { silentServersTick } from './slices/silentServers.js';
 import { onStoreEra } from './slices/storeEra.js';
 import { onStopAsked, stopTick } from './slices/stopping.js';
 import { peersTick } from './slices/tellPeers.js';
@@ -78,12 +83,12 @@
       return onServerStatements(state, step, event);
     case 'configurationRead':
       onConfigurationRead(state, step, event);
-      return awaitingTick(state, step);
+      return pendingRequestsTick(state, step);
     case 'rolloutOrdered':
       return onRolloutOrdered(state, step, event);
     case 'serversRead':
       onServersRead(state, step, event);
-      return awaitingTick(state, step);
+      return pendingRequestsTick(state, step);
     case 'storeContact':
       return onStoreContact(state, step, event);
     case 'storeEra':
@@ -113,9 +118,9 @@
 
 function onTick(state: GatewayState, step: Step): void {
   serversTick(state, step);
-  awaitingTick(state, step);
+  pendingRequestsTick(state, step);
   requestsTick(state, step);
-  silenceTick(state, step);
+  silentServersTick(state, step);
   lostServersTick(state, step);
   clockTick(state, step);
   waitingSendsTick(state, step);
--- a/packages/reedlug-gateway/src/slices/__tests__/attempts.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/attempts.test.ts
@@ -11,7 +11,7 @@
 } from '../../__tests__/__fixtures__/box.js';
 import type { AnswerVerdict, RequestFacts } from '../../types/request.js';
 
-function ask(box: TestBox, changes: Partial<RequestFacts> = {}) {
+function sendRequest(box: TestBox, changes: Partial<RequestFacts> = {}) {
   return only(box.take({ type: 'requestArrived', exchangeId: 1, facts: facts(changes) }), 'send');
 }
 
@@ -25,14 +25,14 @@
 
 test('an answer goes to the caller', () => {
   const box = createServingBox();
-  const { attemptId } = ask(box);
+  const { attemptId } = sendRequest(box);
   expect(only(answer(box, attemptId, 'success'), 'relay').part).to.equal('whole');
   expect(box.state.requests.size).to.equal(0);
 });
 
 test('a notice whose connection is lost is never sent again', () => {
   const box = createServingBox();
-  const { attemptId } = ask(box, { path: '/notice/1' });
+  const { attemptId } = sendRequest(box, { path: '/notice/1' });
   const effects = lose(box, attemptId);
   expect(ofType(effects, 'send')).to.have.length(0);
   expect(only(effects, 'refuse').status).to.equal(502);
@@ -40,14 +40,14 @@
 
 test('a notice that its server refused may go to another server', () => {
   const box = createServingBox();
-  const { attemptId, order } = ask(box, { path: '/notice/1' });
+  const { attemptId, order } = sendRequest(box, { path: '/notice/1' });
   const again = only(answer(box, attemptId, 'notRun', 503), 'send');
   expect(again.order.serverId).not.to.equal(order.serverId);
 });
 
 test('a notice that every server refused is refused as not run', () => {
   const box = createServingBox();
-  const { attemptId } = ask(box, { path: '/notice/1' });
+  const { attemptId } = sendRequest(box, { path: '/notice/1' });
   const again = only(answer(box, attemptId, 'notRun', 503), 'send');
   const refusal = only(answer(box, again.attemptId, 'notRun', 503), 'refuse');
   expect(refusal.status).to.equal(503);
@@ -56,7 +56,7 @@
 
 test('a look-up whose connection is lost goes to the other server, with less time', () => {
   const box = createServingBox();
-  const first = ask(box);
+  const first = sendRequest(box);
   box.pass(100);
   const again = only(lose(box, first.attemptId), 'send');
   expect(again.order.serverId).not.to.equal(first.order.serverId);
@@ -67,7 +67,7 @@
   const box = createServingBox();
   const changes = [{ id: 'records-3', entry: server('records-3') }];
   box.take({ type: 'serversRead', whole: false, changes, revision: 2, source: 'store' });
-  const again = only(lose(box, ask(box).attemptId), 'send');
+  const again = only(lose(box, sendRequest(box).attemptId), 'send');
   const effects = lose(box, again.attemptId);
   expect(ofType(effects, 'send')).to.have.length(0);
   expect(only(effects, 'refuse').status).to.equal(502);
@@ -75,7 +75,7 @@
 
 test('a stream that may be resumed goes on after its last event', () => {
   const box = createServingBox();
-  const { attemptId } = ask(box, { path: '/draft/1', deadlineMs: 8000 });
+  const { attemptId } = sendRequest(box, { path: '/draft/1', deadlineMs: 8000 });
   answer(box, attemptId, 'success');
   box.take({ type: 'eventsRelayed', exchangeId: 1, attemptId, lastEventId: 4 });
   const again = only(lose(box, attemptId), 'send');
@@ -84,7 +84,7 @@
 
 test('a stream that may not be resumed is cut when its server is lost', () => {
   const box = createServingBox();
-  const { attemptId } = ask(box, { path: '/review/1', deadlineMs: 8000 });
+  const { attemptId } = sendRequest(box, { path: '/review/1', deadlineMs: 8000 });
   answer(box, attemptId, 'success');
   const effects = lose(box, attemptId);
   expect(ofType(effects, 'send')).to.have.length(0);
@@ -93,14 +93,14 @@
 
 test('a caller that leaves stops its server at once', () => {
   const box = createServingBox();
-  const { attemptId } = ask(box);
+  const { attemptId } = sendRequest(box);
   const effects = box.take({ type: 'callerGone', exchangeId: 1 });
   expect(only(effects, 'cancelAttempt').attemptId).to.equal(attemptId);
 });
 
 test('at the end of its time a request gets a final answer', () => {
   const box = createServingBox();
-  ask(box);
+  sendRequest(box);
   const effects = box.pass(600);
   expect(only(effects, 'refuse').status).to.equal(504);
   expect(ofType(effects, 'cancelAttempt')).to.have.length(1);
@@ -108,7 +108,7 @@
 
 test('an address that another server has is not used again', () => {
   const box = createServingBox();
-  const { attemptId, order } = ask(box);
+  const { attemptId, order } = sendRequest(box);
   answer(box, attemptId, 'otherServer', 421);
   expect(box.state.servers.has(order.serverId)).to.equal(false);
 });
@@ -144,7 +144,7 @@
 });
 
 /** A serving box with so many engines, of which each has a stream open that is heard. */
-function askDraft(box: TestBox, exchangeId: number, path = '/draft/1') {
+function sendDraft(box: TestBox, exchangeId: number, path = '/draft/1') {
   const request = facts({
     requestId: `draft-${exchangeId}`,
     path,
@@ -161,7 +161,7 @@
 
 test('a stream whose server says nothing is sent to another one', () => {
   const box = createServingBox();
-  const first = askDraft(box, 1);
+  const first = sendDraft(box, 1);
   expect(ofType(passTicks(box, 400), 'send')).to.have.length(0);
   const effects = passTicks(box, 1000);
   const again = only(effects, 'send');
@@ -171,7 +171,7 @@
 
 test('a stream that goes silent in the middle is resumed after its last event', () => {
   const box = createServingBox();
-  const { attemptId } = askDraft(box, 1);
+  const { attemptId } = sendDraft(box, 1);
   answer(box, attemptId, 'success');
   box.take({ type: 'eventsRelayed', exchangeId: 1, attemptId, lastEventId: 4 });
   const again = only(passTicks(box, 2000), 'send');
@@ -180,35 +180,35 @@
 
 test('a slow request stays while its server is heard by others', () => {
   const box = createServingBox();
-  const first = askDraft(box, 1);
-  let other = askDraft(box, 2);
+  const first = sendDraft(box, 1);
+  let other = sendDraft(box, 2);
   for (let exchangeId = 3; other.order.serverId !== first.order.serverId; exchangeId += 1) {
-    other = askDraft(box, exchangeId);
+    other = sendDraft(box, exchangeId);
   }
   const exchangeId = [...box.state.requests.values()].find(({ attempts }) =>
     attempts.some(({ attemptId }) => attemptId === other.attemptId),
   )?.exchangeId;
-  const heard = { exchangeId: exchangeId ?? 0, attemptId: other.attemptId };
-  box.take({ type: 'attemptAnswered', ...heard, verdict: 'success', status: 200 });
+  const otherAttempt = { exchangeId: exchangeId ?? 0, attemptId: other.attemptId };
+  box.take({ type: 'attemptAnswered', ...otherAttempt, verdict: 'success', status: 200 });
   for (let lastEventId = 1; lastEventId < 40; lastEventId += 1) {
     const moved = ofType(box.pass(50), 'cancelAttempt');
     expect(moved.some(({ attemptId }) => attemptId === first.attemptId)).to.equal(false);
-    box.take({ type: 'eventsRelayed', ...heard, lastEventId });
+    box.take({ type: 'eventsRelayed', ...otherAttempt, lastEventId });
   }
 });
 
 test('what may not be repeated stays with its silent server', () => {
   const box = createServingBox();
-  askDraft(box, 1, '/review/1');
+  sendDraft(box, 1, '/review/1');
   expect(ofType(passTicks(box, 3000), 'send')).to.have.length(0);
 });
 
 test('a silent server gets nothing more while another one is heard', () => {
   const box = createServingBox();
-  const first = askDraft(box, 1, '/review/1');
+  const first = sendDraft(box, 1, '/review/1');
   box.pass(600);
   for (let exchangeId = 2; exchangeId < 6; exchangeId += 1) {
-    const { order, attemptId } = askDraft(box, exchangeId);
+    const { order, attemptId } = sendDraft(box, exchangeId);
     expect(order.serverId).not.to.equal(first.order.serverId);
     box.take({ type: 'attemptAnswered', exchangeId, attemptId, verdict: 'success', status: 200 });
     box.take({ type: 'attemptEnded', exchangeId, attemptId });
@@ -216,15 +216,15 @@
 });
 
 test('only answers that came well teach what a server can do', () => {
-  const taught = (verdict: AnswerVerdict, status: number): number => {
+  const recordedSends = (verdict: AnswerVerdict, status: number): number => {
     const box = createServingBox();
-    const { attemptId } = ask(box, { path: '/notice/1' });
+    const { attemptId } = sendRequest(box, { path: '/notice/1' });
     box.pass(80);
     answer(box, attemptId, verdict, status);
     return box.state.ownSends.get('records')?.sums.sends ?? 0;
   };
-  expect(taught('failure', 500)).to.equal(0);
-  expect(taught('notRun', 503)).to.equal(0);
-  expect(taught('invalid', 200)).to.equal(0);
-  expect(taught('success', 200)).to.equal(1);
+  expect(recordedSends('failure', 500)).to.equal(0);
+  expect(recordedSends('notRun', 503)).to.equal(0);
+  expect(recordedSends('invalid', 200)).to.equal(0);
+  expect(recordedSends('success', 200)).to.equal(1);
 });
--- a/packages/reedlug-gateway/src/slices/__tests__/capacity.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/capacity.test.ts
@@ -137,7 +137,7 @@
   return box;
 }
 
-function ask(box: TestBox, exchangeId: number): void {
+function sendRequest(box: TestBox, exchangeId: number): void {
   const request = facts({
     requestId: `request-${exchangeId}`,
     path: '/draft/1',
@@ -157,7 +157,7 @@
 test('at a first start the limits tell how many engines to expect', () => {
   const orderedFor = (ratePerSecond: number): number => {
     const box = createBox();
-    takeFirstConfiguration(box, ratePerSecond);
+    applyRoomyConfiguration(box, ratePerSecond);
     box.take({ type: 'serversRead', whole: true, changes: [], revision: 1, source: 'store' });
     takeLease(box);
     box.state.startedAtMs = box.nowMs - 500;
@@ -172,7 +172,7 @@
 
 test('engines that were ordered at a first start stay while they come', () => {
   const box = createBox();
-  takeFirstConfiguration(box, 600_000);
+  applyRoomyConfiguration(box, 600_000);
   box.take({ type: 'serversRead', whole: true, changes: [], revision: 1, source: 'store' });
   takeLease(box);
   box.state.startedAtMs = box.nowMs - 500;
@@ -187,7 +187,7 @@
 
 test('at a first start engines that enter themselves late are counted', () => {
   const box = createBox();
-  takeFirstConfiguration(box);
+  applyRoomyConfiguration(box);
   box.take({ type: 'serversRead', whole: true, changes: [], revision: 0, source: 'store' });
   takeLease(box);
   box.state.startedAtMs = box.nowMs;
@@ -206,7 +206,7 @@
 });
 
 /** Gives a box a configuration whose zones have room for many engines. */
-function takeFirstConfiguration(box: TestBox, ratePerSecond = 10_000): void {
+function applyRoomyConfiguration(box: TestBox, ratePerSecond = 10_000): void {
   const [records, engines] = configuration().services;
   if (records === undefined || engines?.scaling === undefined) throw new Error('no services');
   const roomy = { ...engines, scaling: { ...engines.scaling, maxPerZone: 30 } };
@@ -217,7 +217,7 @@
 
 test('at a first start as many reclaimable engines come as there were on-demand ones', () => {
   const box = createBox();
-  takeFirstConfiguration(box);
+  applyRoomyConfiguration(box);
   const changes = Array.from({ length: 20 }, (_, index) => {
     const id = `engine-${index}`;
     return { id, entry: server(id, { service: 'engines', zone: 'zone-a' }) };
@@ -237,7 +237,7 @@
 
 test('at a first start with callers the registry is awaited', () => {
   const box = startHolder(500);
-  ask(box, 1);
+  sendRequest(box, 1);
   expect(ordersOf(box, 300)).to.have.length(0);
   const later = callsOf(passAsHolder(box, 3500), 'orderEngines');
   expect(later.length).to.be.greaterThan(0);
@@ -251,7 +251,7 @@
 
 test('a box that takes the lease over knows the need that it has seen', () => {
   const box = createServingBox();
-  for (let exchangeId = 1; exchangeId <= 200; exchangeId += 1) ask(box, exchangeId);
+  for (let exchangeId = 1; exchangeId <= 200; exchangeId += 1) sendRequest(box, exchangeId);
   for (let step = 0; step < 20; step += 1) box.pass(300);
   expect(box.state.stabilizedNeeds.get('engines')?.usual.value).to.be.greaterThan(3);
 });
@@ -259,7 +259,7 @@
 test('the engines of the start stay until the load has been seen for five seconds', () => {
   const wantedAfter = (ms: number): number => {
     const box = startHolder(5000);
-    ask(box, 1);
+    sendRequest(box, 1);
     passAsHolder(box, ms);
     const orders = [...box.state.orders.values()].map(({ call }) => call);
     return sum(orders, true);
@@ -285,9 +285,9 @@
     const withRoom = { ...others, services: roomy };
     box.take({ type: 'configurationRead', configuration: withRoom, source: 'store' });
     takeLease(box);
-    const life = entries.map(({ id }) => ({ serverId: id, bornAtMs: undefined }));
+    const incarnations = entries.map(({ id }) => ({ serverId: id, bornAtMs: undefined }));
     if (statement !== undefined) {
-      box.take(statementNews(...life.map((known) => ({ ...known, statement }))));
+      box.take(statementNews(...incarnations.map((known) => ({ ...known, statement }))));
     }
     for (let turn = 0; turn < 40; turn += 1) {
       const request = facts({ requestId: `r${turn}`, path: '/draft/1', deadlineMs: 60_000 });
--- a/packages/reedlug-gateway/src/slices/__tests__/capacityUnderTrouble.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/capacityUnderFaults.test.ts
@@ -30,11 +30,11 @@
   wanted: Map<string, number>;
   starting: { dueMs: number; entry: ServerEntry }[];
   /** Engines that were given up: they say that they leave after a heartbeat. */
-  givenUp: { saysAtMs: number; entry: ServerEntry }[];
+  released: { announcedAtMs: number; entry: ServerEntry }[];
   /** From an engine's start until its entry is read. */
   entryDelayMs: number;
   /** Until when no reclaimable engine is to be had anywhere. */
-  dryUntilMs: number;
+  outOfCapacityUntilMs: number;
   orders: number;
   nextId: number;
 }
@@ -61,27 +61,27 @@
     open: 0,
     wanted: new Map(),
     starting: [],
-    givenUp: [],
+    released: [],
     entryDelayMs: 0,
-    dryUntilMs: 0,
+    outOfCapacityUntilMs: 0,
     orders: 0,
     nextId: 0,
   };
   const entries = ZONES.flatMap((zone) =>
-    Array.from({ length: 4 }, () => engine(scene, zone, false)),
+    Array.from({ length: 4 }, () => createEngine(scene, zone, false)),
   );
-  tellRegistry(scene, entries);
+  sendRegistryChanges(scene, entries);
   takeLease(box);
   scene.open = open;
   return scene;
 }
 
-function engine(scene: Scene, zone: string, reclaimable: boolean): ServerEntry {
+function createEngine(scene: Scene, zone: string, reclaimable: boolean): ServerEntry {
   scene.nextId += 1;
   return server(`engine-${scene.nextId}`, { service: 'engines', zone, reclaimable, slots: SLOTS });
 }
 
-function tellRegistry(
+function sendRegistryChanges(
   scene: Scene,
   entries: readonly ServerEntry[],
   gone: readonly string[] = [],
@@ -94,7 +94,7 @@
   scene.box.take({ type: 'serversRead', whole: false, changes, revision: 1, source: 'store' });
 }
 
-function ready(scene: Scene): ServerEntry[] {
+function readyEngines(scene: Scene): ServerEntry[] {
   return [...scene.box.state.servers.values()]
     .filter(({ leaving }) => !leaving)
     .map(({ entry }) => entry);
@@ -103,7 +103,7 @@
 /** One tick: load, plans, and what the platform makes of the orders. */
 function tick(scene: Scene): void {
   const { box } = scene;
-  const serving = ready(scene);
+  const serving = readyEngines(scene);
   for (const view of box.state.servers.values()) {
     view.running = view.leaving ? 0 : scene.open / serving.length;
   }
@@ -113,57 +113,58 @@
     scene.orders += 1;
     const key = keyOf(call.zone, call.reclaimable);
     const isMore = call.wanted > countOf(scene, call.zone, call.reclaimable);
-    const isRefused = call.reclaimable && isMore && box.nowMs < scene.dryUntilMs;
+    const isRefused = call.reclaimable && isMore && box.nowMs < scene.outOfCapacityUntilMs;
     if (!isRefused) scene.wanted.set(key, call.wanted);
     box.take({ type: 'cloudAnswered', callId, outcome: isRefused ? 'refused' : 'done' });
   }
-  followOrders(scene);
+  applyOrders(scene);
 }
 
 function countOf(scene: Scene, zone: string, reclaimable: boolean): number {
   const isOne = (entry: ServerEntry): boolean =>
     entry.zone === zone && entry.reclaimable === reclaimable;
   return (
-    ready(scene).filter(isOne).length + scene.starting.filter(({ entry }) => isOne(entry)).length
+    readyEngines(scene).filter(isOne).length +
+    scene.starting.filter(({ entry }) => isOne(entry)).length
   );
 }
 
-function followOrders(scene: Scene): void {
+function applyOrders(scene: Scene): void {
   const { box } = scene;
   for (const zone of ZONES) {
     for (const reclaimable of [true, false]) {
       const wanted = scene.wanted.get(keyOf(zone, reclaimable));
       if (wanted === undefined) continue;
-      const there = ready(scene).filter(
+      const ready = readyEngines(scene).filter(
         (entry) => entry.zone === zone && entry.reclaimable === reclaimable,
       );
-      for (const entry of there.slice(wanted)) giveUp(scene, entry);
-      const isDry = reclaimable && box.nowMs < scene.dryUntilMs;
-      while (!isDry && countOf(scene, zone, reclaimable) < wanted) {
-        const entry = engine(scene, zone, reclaimable);
+      for (const entry of ready.slice(wanted)) releaseEngine(scene, entry);
+      const isOutOfCapacity = reclaimable && box.nowMs < scene.outOfCapacityUntilMs;
+      while (!isOutOfCapacity && countOf(scene, zone, reclaimable) < wanted) {
+        const entry = createEngine(scene, zone, reclaimable);
         scene.starting.push({ dueMs: box.nowMs + BOOT_MS + scene.entryDelayMs, entry });
       }
     }
   }
-  tellGivenUp(scene);
+  announceReleased(scene);
   const due = scene.starting.filter(({ dueMs }) => dueMs <= box.nowMs);
   scene.starting = scene.starting.filter(({ dueMs }) => dueMs > box.nowMs);
-  tellRegistry(
+  sendRegistryChanges(
     scene,
     due.map(({ entry }) => entry),
   );
 }
 
-function giveUp(scene: Scene, entry: ServerEntry): void {
-  if (scene.givenUp.some((known) => known.entry.id === entry.id)) return;
-  scene.givenUp.push({ saysAtMs: scene.box.nowMs + HEARTBEAT_MS, entry });
+function releaseEngine(scene: Scene, entry: ServerEntry): void {
+  if (scene.released.some((known) => known.entry.id === entry.id)) return;
+  scene.released.push({ announcedAtMs: scene.box.nowMs + HEARTBEAT_MS, entry });
 }
 
-function tellGivenUp(scene: Scene): void {
+function announceReleased(scene: Scene): void {
   const { nowMs } = scene.box;
-  const leaving = scene.givenUp.filter(({ saysAtMs }) => saysAtMs <= nowMs);
-  scene.givenUp = scene.givenUp.filter(({ saysAtMs }) => saysAtMs > nowMs);
-  tellRegistry(
+  const leaving = scene.released.filter(({ announcedAtMs }) => announcedAtMs <= nowMs);
+  scene.released = scene.released.filter(({ announcedAtMs }) => announcedAtMs > nowMs);
+  sendRegistryChanges(
     scene,
     leaving.map(({ entry }) => ({ ...entry, state: ServerState.leaving })),
   );
@@ -178,28 +179,28 @@
 }
 
 /** Takes all reclaimable engines of a zone back after their notice; there are none for a while. Those that are starting elsewhere come or not. */
-function takeBack(scene: Scene, zone: string, othersCome = false): void {
-  const taken = ready(scene).filter((entry) => entry.zone === zone && entry.reclaimable);
-  tellRegistry(
+function reclaimZone(scene: Scene, zone: string, othersArrive = false): void {
+  const reclaimed = readyEngines(scene).filter((entry) => entry.zone === zone && entry.reclaimable);
+  sendRegistryChanges(
     scene,
-    taken.map((entry) => ({ ...entry, state: ServerState.leaving })),
+    reclaimed.map((entry) => ({ ...entry, state: ServerState.leaving })),
   );
-  scene.dryUntilMs = scene.box.nowMs + 13_000;
+  scene.outOfCapacityUntilMs = scene.box.nowMs + 13_000;
   scene.starting = scene.starting.filter(
-    ({ entry }) => !entry.reclaimable || (othersCome && entry.zone !== zone),
+    ({ entry }) => !entry.reclaimable || (othersArrive && entry.zone !== zone),
   );
   scene.wanted.set(keyOf(zone, true), 0);
   pass(scene, NOTICE_MS);
-  tellRegistry(
+  sendRegistryChanges(
     scene,
     [],
-    taken.map(({ id }) => id),
+    reclaimed.map(({ id }) => id),
   );
 }
 
 /** Share of the places that is taken. */
-function use(scene: Scene): number {
-  return scene.open / (ready(scene).length * SLOTS);
+function utilization(scene: Scene): number {
+  return scene.open / (readyEngines(scene).length * SLOTS);
 }
 
 test('a wave of the load moves few engines', () => {
@@ -210,7 +211,7 @@
   for (let second = 0; second < 80; second += 1) {
     scene.open = 60 * (1 + 0.3 * Math.sin((second * 2 * Math.PI) / 40));
     pass(scene, 1000);
-    highest = Math.max(highest, use(scene));
+    highest = Math.max(highest, utilization(scene));
   }
   expect(highest).to.be.lessThan(0.5);
   // Two waves: some zones get one engine more and give it back.
@@ -222,16 +223,16 @@
   pass(scene, 30_000);
   scene.open = 60 * 1.7;
   let highest = 0;
-  pass(scene, 8000, () => (highest = Math.max(highest, use(scene))));
+  pass(scene, 8000, () => (highest = Math.max(highest, utilization(scene))));
   expect(highest).to.be.lessThan(0.65);
 });
 
 test('one zone taken back leaves what is needed', () => {
   const scene = startScene(60);
   pass(scene, 30_000);
-  takeBack(scene, 'zone-b');
+  reclaimZone(scene, 'zone-b');
   let highest = 0;
-  pass(scene, 20_000, () => (highest = Math.max(highest, use(scene))));
+  pass(scene, 20_000, () => (highest = Math.max(highest, utilization(scene))));
   expect(highest).to.be.lessThan(0.55);
 });
 
@@ -239,11 +240,11 @@
   const scene = startScene(60);
   pass(scene, 30_000);
   let highest = 0;
-  const see = (): void => void (highest = Math.max(highest, use(scene)));
-  takeBack(scene, 'zone-b');
-  pass(scene, 4000, see);
-  takeBack(scene, 'zone-d');
-  pass(scene, 15_000, see);
+  const observe = (): void => void (highest = Math.max(highest, utilization(scene)));
+  reclaimZone(scene, 'zone-b');
+  pass(scene, 4000, observe);
+  reclaimZone(scene, 'zone-d');
+  pass(scene, 15_000, observe);
   expect(highest).to.be.lessThan(0.7);
 });
 
@@ -254,18 +255,20 @@
   pass(scene, 2000);
   const coming = scene.starting.filter(({ entry }) => entry.zone !== 'zone-b').length;
   expect(coming).to.be.greaterThan(5);
-  const there = ready(scene).filter(({ zone }) => zone !== 'zone-b').length;
-  takeBack(scene, 'zone-b', true);
+  const there = readyEngines(scene).filter(({ zone }) => zone !== 'zone-b').length;
+  reclaimZone(scene, 'zone-b', true);
   pass(scene, BOOT_MS);
   // Cancelled with the refusal of more, 5 of 17 were left.
-  expect(ready(scene).filter(({ reclaimable }) => reclaimable)).to.have.length(there + coming);
+  expect(readyEngines(scene).filter(({ reclaimable }) => reclaimable)).to.have.length(
+    there + coming,
+  );
 });
 
 test('engines that were given up are no reclaim', () => {
   const scene = startScene(120);
   pass(scene, 30_000);
   scene.open = 30;
-  for (let passed = 0; scene.givenUp.length === 0; passed += TICK_MS) {
+  for (let passed = 0; scene.released.length === 0; passed += TICK_MS) {
     expect(passed).to.be.lessThan(120_000);
     tick(scene);
   }
@@ -292,14 +295,14 @@
   let times = 0;
   pass(scene, 12_000, () => (times += lowered() ? 1 : 0));
   expect(times).to.equal(0);
-  expect(ready(scene).filter(({ reclaimable }) => reclaimable).length).to.be.greaterThan(12);
+  expect(readyEngines(scene).filter(({ reclaimable }) => reclaimable).length).to.be.greaterThan(12);
 });
 
 test('a reclaim does not make orders swing', () => {
   const scene = startScene(60);
   pass(scene, 30_000);
   scene.orders = 0;
-  takeBack(scene, 'zone-b');
+  reclaimZone(scene, 'zone-b');
   pass(scene, 30_000);
   expect(scene.orders).to.be.lessThan(32);
 });
@@ -307,16 +310,16 @@
 test('a holder that comes in the middle of a reclaim orders no engine away', () => {
   const scene = startScene(60);
   pass(scene, 30_000);
-  takeBack(scene, 'zone-b');
+  reclaimZone(scene, 'zone-b');
   const { lease } = scene.box.state;
   const held = lease.held;
   if (held === undefined) throw new Error('no lease');
   lease.held = undefined;
   // Nobody holds the lease for a while; this box goes on to follow the need.
   for (let passed = 0; passed < 3000; passed += TICK_MS) scene.box.pass(TICK_MS);
-  const before = ready(scene).length;
+  const before = readyEngines(scene).length;
   lease.held = { ...held, fence: held.fence + 1, grantedAtMs: scene.box.nowMs };
-  pass(scene, 3000, () => expect(ready(scene).length).to.be.at.least(before));
+  pass(scene, 3000, () => expect(readyEngines(scene).length).to.be.at.least(before));
 });
 
 test('without load a few engines are left after a while', () => {
@@ -324,5 +327,5 @@
   pass(scene, 30_000);
   scene.open = 0;
   pass(scene, 120_000);
-  expect(ready(scene).length).to.be.within(3, 6);
+  expect(readyEngines(scene).length).to.be.within(3, 6);
 });
--- a/packages/reedlug-gateway/src/slices/__tests__/lateRefusals.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/lateRefusals.test.ts
@@ -25,14 +25,14 @@
   return box;
 }
 
-function draft(changes: Partial<RequestFacts> = {}): RequestFacts {
+function draftRequest(changes: Partial<RequestFacts> = {}): RequestFacts {
   const prompt = { promptTokens: 2000, maxOutputTokens: 10, deadlineMs: 8000 };
   return facts({ path: '/draft/1', ...prompt, ...changes });
 }
 
 test('a request that no engine begins in time is refused at once, and has not run', () => {
   const box = createBusyBox(200_000, 0);
-  const effects = box.take({ type: 'requestArrived', exchangeId: 1, facts: draft() });
+  const effects = box.take({ type: 'requestArrived', exchangeId: 1, facts: draftRequest() });
   const { status, retryAfterMs } = only(effects, 'refuse');
   expect(status).to.equal(503);
   expect(retryAfterMs).to.be.within(500, 6250);
@@ -42,21 +42,21 @@
 
 test('what was refused so counts against no limit', () => {
   const box = createBusyBox(200_000, 0);
-  box.take({ type: 'requestArrived', exchangeId: 1, facts: draft() });
+  box.take({ type: 'requestArrived', exchangeId: 1, facts: draftRequest() });
   expect(box.state.quotas.get('tiger')?.admitted ?? 0).to.equal(0);
 });
 
 test('prompts of less urgent requests hold nobody up', () => {
   const box = createBusyBox(200_000, 9);
-  const effects = box.take({ type: 'requestArrived', exchangeId: 1, facts: draft() });
+  const effects = box.take({ type: 'requestArrived', exchangeId: 1, facts: draftRequest() });
   expect(ofType(effects, 'send')).to.have.length(1);
 });
 
 test('who has waited before goes ahead', () => {
   const box = createBusyBox(90_000, 0);
-  const first = box.take({ type: 'requestArrived', exchangeId: 1, facts: draft() });
+  const first = box.take({ type: 'requestArrived', exchangeId: 1, facts: draftRequest() });
   expect(ofType(first, 'send')).to.have.length(0);
-  const again = draft({ requestId: 'request-2', deadlineMs: 6000 });
+  const again = draftRequest({ requestId: 'request-2', deadlineMs: 6000 });
   const second = box.take({ type: 'requestArrived', exchangeId: 2, facts: again });
   expect(ofType(second, 'send')).to.have.length(1);
 });
--- a/packages/reedlug-gateway/src/slices/__tests__/peers.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/peers.test.ts
@@ -14,7 +14,7 @@
 import type { Effect } from '../../types/effect.js';
 import type { PeerMessage } from '../../types/peer.js';
 import type { PeerView } from '../../types/views.js';
-import { nextRegistryStep } from '../registryNews.js';
+import { nextRegistryUpdate } from '../registryGossip.js';
 import { eventsOfShared, sharedStateOf } from '../sharedState.js';
 
 test('a box that stays behind a peer asks it for the configuration', () => {
@@ -216,9 +216,9 @@
 test('a box that has read as new a registry as its hub does not ask for it', () => {
   const hub = { registryNumber: undefined } as PeerView;
   const registry = { lastNumber: 7, changes: [] };
-  expect(nextRegistryStep({ ...hub }, registry, false).kind).to.equal('askWhole');
+  expect(nextRegistryUpdate({ ...hub }, registry, false).kind).to.equal('askWhole');
   const known = { ...hub };
-  expect(nextRegistryStep(known, registry, true)).to.deep.equal({ kind: 'apply', changes: [] });
+  expect(nextRegistryUpdate(known, registry, true)).to.deep.equal({ kind: 'apply', changes: [] });
   expect(known.registryNumber).to.equal(7);
 });
 
--- a/packages/reedlug-gateway/src/slices/__tests__/serverLifeOrders.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/serverIncarnationOrders.test.ts
@@ -17,7 +17,7 @@
 const IDS = ['records-1', 'records-2'] as const;
 
 /** Something that a box hears of a server or a request, in whatever order. */
-type Drawn =
+type GeneratedStep =
   | { kind: 'entry'; id: string; bornAtMs: number; leaving: boolean }
   | { kind: 'gone'; id: string }
   | { kind: 'news'; id: string; bornAtMs: number; perSecond: number | null; ageMs: number }
@@ -27,7 +27,7 @@
 
 const id = fc.constantFrom(...IDS);
 const bornAtMs = fc.integer({ min: 1, max: 4 });
-const drawn: fc.Arbitrary<Drawn> = fc.oneof(
+const generatedStep: fc.Arbitrary<GeneratedStep> = fc.oneof(
   fc.record({ kind: fc.constant('entry' as const), id, bornAtMs, leaving: fc.boolean() }),
   fc.record({ kind: fc.constant('gone' as const), id }),
   fc.record({
@@ -54,7 +54,7 @@
 }
 
 /** Plays what was drawn, and checks after each step what must hold of lives. */
-function play(steps: readonly Drawn[]): void {
+function playSteps(steps: readonly GeneratedStep[]): void {
   const box = createServingBox();
   const latest = new Map<string, number>();
   let open: OpenSend[] = [];
@@ -90,7 +90,7 @@
         const statement = limitStatement(step.perSecond ?? undefined, ages);
         const before = limitOf(box, step.id);
         take(statementNews({ serverId: step.id, bornAtMs: step.bornAtMs, statement }));
-        if (isOfOtherLife(box, step)) expect(limitOf(box, step.id)).to.equal(before);
+        if (isOfOtherIncarnation(box, step)) expect(limitOf(box, step.id)).to.equal(before);
         break;
       }
       case 'request': {
@@ -104,7 +104,7 @@
         const sent = open[step.turn % Math.max(1, open.length)];
         if (sent === undefined) break;
         open = open.filter((other) => other !== sent);
-        end(take, sent, step);
+        endSend(take, sent, step);
         break;
       }
       case 'pass':
@@ -112,19 +112,20 @@
         take({ type: 'tick' });
         break;
     }
-    checkLives(box, latest);
+    checkIncarnations(box, latest);
   }
 }
 
-function end(
+function endSend(
   take: (event: EventBody) => void,
   ids: OpenSend,
-  { how, limit }: Extract<Drawn, { kind: 'end' }>,
+  { how, limit }: Extract<GeneratedStep, { kind: 'end' }>,
 ): void {
   if (how === 'leave') return take({ type: 'callerGone', exchangeId: ids.exchangeId });
   if (how === 'lose') return take({ type: 'attemptLost', ...ids, reason: 'reset' });
-  const word = limit > 0 ? { kind: 'limit' as const, perSecond: limit } : { kind: 'none' as const };
-  take({ type: 'answerBegun', ...ids, statements: { ...NOTHING_SAID, limit: word } });
+  const statedLimit =
+    limit > 0 ? { kind: 'limit' as const, perSecond: limit } : { kind: 'none' as const };
+  take({ type: 'answerBegun', ...ids, statements: { ...NOTHING_SAID, limit: statedLimit } });
   const verdict = how === 'answer' ? ('success' as const) : ('notRun' as const);
   take({ type: 'attemptAnswered', ...ids, verdict, status: how === 'answer' ? 200 : 503 });
 }
@@ -133,12 +134,12 @@
   return box.state.servers.get(serverId)?.statements?.limit?.perSecond;
 }
 
-function isOfOtherLife(box: TestBox, news: { id: string; bornAtMs: number }): boolean {
+function isOfOtherIncarnation(box: TestBox, news: { id: string; bornAtMs: number }): boolean {
   const known = box.state.servers.get(news.id)?.entry.bornAtMs;
   return known !== undefined && known !== news.bornAtMs;
 }
 
-function checkLives(box: TestBox, latest: ReadonlyMap<string, number>): void {
+function checkIncarnations(box: TestBox, latest: ReadonlyMap<string, number>): void {
   const attempts = [...box.state.requests.values()].flatMap((record) => record.attempts);
   for (const view of box.state.servers.values()) {
     const own = attempts.filter(({ open, life }) => open && life === view.life);
@@ -151,7 +152,9 @@
 
 test('500 drawn orders of entries, answers and news leave each life its own', () => {
   fc.assert(
-    fc.property(fc.array(drawn, { minLength: 5, maxLength: 60 }), (steps) => play(steps)),
+    fc.property(fc.array(generatedStep, { minLength: 5, maxLength: 60 }), (steps) =>
+      playSteps(steps),
+    ),
     { numRuns: 500, seed: 33 },
   );
 });
--- a/packages/reedlug-gateway/src/slices/__tests__/serverLives.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/serverIncarnations.test.ts
@@ -12,7 +12,7 @@
 import { decodeDatagram, encodeDatagram } from '../../daemon/peerWire.js';
 import { ServerState, type ServerEntry } from '../../types/server.js';
 
-const BORN_MS = 1_780_000_000_000;
+const STARTED_MS = 1_780_000_000_000;
 
 /** A box whose only engine is in its first life. */
 function createBoxWithEngine(): TestBox {
@@ -27,10 +27,10 @@
 }
 
 function change(id: string, changes: Partial<ServerEntry>) {
-  return { id, entry: server(id, { service: 'engines', bornAtMs: BORN_MS, ...changes }) };
+  return { id, entry: server(id, { service: 'engines', bornAtMs: STARTED_MS, ...changes }) };
 }
 
-function read(box: TestBox, changes: Partial<ServerEntry>, revision = 3) {
+function readEntry(box: TestBox, changes: Partial<ServerEntry>, revision = 3) {
   const changed = [change('engine-1', changes)];
   return box.take({
     type: 'serversRead',
@@ -55,7 +55,7 @@
   view.cachedParts.set('part', 1);
   view.slowness = 5;
   expect(view.failureScore).to.be.greaterThan(0);
-  read(box, { bornAtMs: BORN_MS + 1 });
+  readEntry(box, { bornAtMs: STARTED_MS + 1 });
   const next = box.state.servers.get('engine-1');
   expect(next?.failureScore).to.equal(0);
   expect(next?.cachedParts.size).to.equal(0);
@@ -65,22 +65,22 @@
 
 test('a draining life that is followed by a ready one takes work', () => {
   const box = createBoxWithEngine();
-  read(box, { state: ServerState.leaving });
+  readEntry(box, { state: ServerState.leaving });
   expect(box.state.servers.get('engine-1')?.leaving).to.equal(true);
-  read(box, { bornAtMs: BORN_MS + 1 }, 4);
+  readEntry(box, { bornAtMs: STARTED_MS + 1 }, 4);
   expect(openStream(box, 1).order.serverId).to.equal('engine-1');
 });
 
 test('an entry of an earlier life changes nothing, also once the server is gone', () => {
   const box = createBoxWithEngine();
-  read(box, { bornAtMs: BORN_MS + 1 });
-  read(box, { state: ServerState.leaving }, 4);
+  readEntry(box, { bornAtMs: STARTED_MS + 1 });
+  readEntry(box, { state: ServerState.leaving }, 4);
   expect(box.state.servers.get('engine-1')?.leaving).to.equal(false);
   const gone = [{ id: 'engine-1', entry: undefined }];
   box.take({ type: 'serversRead', whole: false, changes: gone, revision: 5, source: 'store' });
-  read(box, {}, 6);
+  readEntry(box, {}, 6);
   expect(box.state.servers.has('engine-1')).to.equal(false);
-  read(box, { bornAtMs: BORN_MS + 2 }, 7);
+  readEntry(box, { bornAtMs: STARTED_MS + 2 }, 7);
   expect(box.state.servers.has('engine-1')).to.equal(true);
 });
 
@@ -88,7 +88,7 @@
   const box = createBoxWithEngine();
   openStream(box, 1);
   openStream(box, 2, '/review/1');
-  const effects = read(box, { bornAtMs: BORN_MS + 1 });
+  const effects = readEntry(box, { bornAtMs: STARTED_MS + 1 });
   expect(ofType(effects, 'cancelAttempt')).to.have.length(2);
   const refusal = only(effects, 'refuse');
   expect(refusal.exchangeId).to.equal(2);
@@ -99,7 +99,7 @@
 test('an end of the earlier life takes nothing from the new one', () => {
   const box = createBoxWithEngine();
   const { attemptId } = openStream(box, 1);
-  read(box, { bornAtMs: BORN_MS + 1 });
+  readEntry(box, { bornAtMs: STARTED_MS + 1 });
   openStream(box, 2);
   box.take({ type: 'attemptLost', exchangeId: 1, attemptId, reason: 'reset' });
   // The stream that went on there, and the second one.
@@ -109,7 +109,7 @@
 test('an entry without its time of birth is the life that is known', () => {
   const box = createBoxWithEngine();
   const { attemptId } = openStream(box, 1);
-  read(box, { bornAtMs: undefined });
+  readEntry(box, { bornAtMs: undefined });
   box.take({ type: 'attemptLost', exchangeId: 1, attemptId, reason: 'reset' });
   expect(box.state.servers.get('engine-1')?.running).to.equal(0);
 });
@@ -128,14 +128,14 @@
   expect(box.state.servers.has('engine-1')).to.equal(false);
   const line = ofType(effects, 'log').find(({ event }) => event === 'serverEntryUnreadable');
   expect(line?.fields).to.deep.equal({ server: 'engine-1', ...fault, revision: '3' });
-  read(box, {}, 4);
+  readEntry(box, {}, 4);
   expect(box.state.servers.has('engine-1')).to.equal(true);
 });
 
 test('members of a hub are told of a new life', () => {
-  const entry = server('engine-1', { bornAtMs: BORN_MS });
+  const entry = server('engine-1', { bornAtMs: STARTED_MS });
   const registry = { lastNumber: 1, changes: [{ number: 1, id: 'engine-1', entry }] };
   const sent = decodeDatagram(encodeDatagram(peerMessage({ registry })));
   const changes = sent?.kind === 'news' ? sent.registry?.changes : [];
-  expect(changes?.[0]?.entry?.bornAtMs).to.equal(BORN_MS);
+  expect(changes?.[0]?.entry?.bornAtMs).to.equal(STARTED_MS);
 });
--- a/packages/reedlug-gateway/src/slices/__tests__/servers.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/servers.test.ts
@@ -109,7 +109,7 @@
 });
 
 /** The whole registry as the store gives it after it came back from a copy. */
-function readCopy(box: TestBox, ids: readonly string[]): void {
+function readBackup(box: TestBox, ids: readonly string[]): void {
   const changes = ids.map((id) => ({ id, entry: server(id) }));
   box.take({ type: 'storeEra', era: 2 });
   box.take({ type: 'serversRead', whole: true, changes, revision: 2 ** 42, source: 'store' });
@@ -118,7 +118,7 @@
 test('a server that a copy of the store lacks stays until its entry is due again', () => {
   const box = createServingBox();
   box.take({ type: 'storeEra', era: 1 });
-  readCopy(box, ['records-1']);
+  readBackup(box, ['records-1']);
   box.pass(1900);
   expect(box.state.servers.has('records-2')).to.equal(true);
   box.pass(200);
@@ -128,7 +128,7 @@
 test('an entry that goes after the store came back is out at once', () => {
   const box = createServingBox();
   box.take({ type: 'storeEra', era: 1 });
-  readCopy(box, ['records-1', 'records-2']);
+  readBackup(box, ['records-1', 'records-2']);
   remove(box, 'records-1', 2 ** 42 + 1);
   expect(box.state.servers.has('records-1')).to.equal(false);
 });
@@ -138,7 +138,7 @@
   box.take({ type: 'storeEra', era: 1 });
   remove(box, 'records-1');
   const isThere = (): boolean => box.state.servers.has('records-1');
-  readCopy(box, ['records-1', 'records-2']);
+  readBackup(box, ['records-1', 'records-2']);
   expect(isThere()).to.equal(false);
   box.pass(5900);
   expect(isThere()).to.equal(false);
@@ -151,7 +151,7 @@
   const box = createServingBox();
   box.take({ type: 'storeEra', era: 1 });
   remove(box, 'records-1');
-  readCopy(box, ['records-1', 'records-2']);
+  readBackup(box, ['records-1', 'records-2']);
   const changes = [{ id: 'records-1', entry: server('records-1') }];
   box.take({ type: 'serversRead', whole: false, changes, revision: 2 ** 43, source: 'store' });
   expect(box.state.servers.has('records-1')).to.equal(true);
@@ -162,6 +162,6 @@
   box.take({ type: 'storeEra', era: 1 });
   const changes = [{ id: 'records-1', entry: server('records-1', { state: ServerState.leaving }) }];
   box.take({ type: 'serversRead', whole: false, changes, revision: 3, source: 'store' });
-  readCopy(box, ['records-1', 'records-2']);
+  readBackup(box, ['records-1', 'records-2']);
   expect(box.state.servers.get('records-1')?.leaving).to.equal(true);
 });
--- a/packages/reedlug-gateway/src/slices/attempts.ts
+++ b/packages/reedlug-gateway/src/slices/attempts.ts
@@ -7,20 +7,20 @@
 import { noteFailure, noteSuccess } from '../policy/serverHealth.js';
 import { noteRead } from '../policy/serverLoad.js';
 import { noteHeard } from '../policy/serverSilence.js';
-import { closeAttempt, giveUp, reachWhenLost, serverOf } from './ending.js';
+import { closeAttempt, giveUp, reachWhenLost, serverOf } from './requestCompletion.js';
 import { isPastPoint, noteGoodRun } from './crashSuspects.js';
-import { noteEnd, noteFirstEvent } from './engineModels.js';
-import { noteLoss } from './lostServers.js';
+import { recordSuccessfulEnd, recordFirstEvent } from './engineModels.js';
+import { recordLoss } from './lostServers.js';
 import { noteServed } from './statements/rests.js';
 import { takeAnswerStatements, takeRefusal } from './statements/answerStatements.js';
-import { afterLoss, mayRepeat, tryAgain, type RequestAttempt } from './repeats.js';
+import { retryAfterLoss, reserveRerun, retryNotRun, type RequestAttempt } from './retries.js';
 import { AnswerEnd, noteAnswer, noteLost } from './rolloutEvidence.js';
 import { removeServer } from './servers.js';
 import { countBegun } from './usage.js';
 import { chargeFurtherSend } from './quotas.js';
-import { offer } from './sending.js';
+import { sendOrGiveUp } from './sending.js';
 
-function find(
+function findOpenAttempt(
   state: GatewayState,
   event: { exchangeId: number; attemptId: number },
 ): RequestAttempt | undefined {
@@ -36,12 +36,12 @@
   step: Step,
   event: EventOf<'attemptNotSent'>,
 ): void {
-  const found = find(state, event);
+  const found = findOpenAttempt(state, event);
   if (found === undefined) return;
   const view = closeAttempt(state, found.attempt, Reach.none);
   if (view !== undefined) noteFailure(view, step.nowMs);
   found.record.failedToConnect = true;
-  tryAgain(state, step, found, event.reason);
+  retryNotRun(state, step, found, event.reason);
 }
 
 /** The head of an answer came: it may say something of its server. */
@@ -50,7 +50,7 @@
   step: Step,
   event: EventOf<'answerBegun'>,
 ): void {
-  const found = find(state, event);
+  const found = findOpenAttempt(state, event);
   if (found === undefined) return;
   takeAnswerStatements(state, step, { ...found, said: event.statements });
 }
@@ -61,10 +61,10 @@
   step: Step,
   event: EventOf<'attemptAnswered'>,
 ): void {
-  const found = find(state, event);
+  const found = findOpenAttempt(state, event);
   if (found === undefined) return;
   const { record, attempt } = found;
-  hear(state, step, attempt);
+  recordAttemptActivity(state, step, attempt);
   switch (event.verdict) {
     case 'success':
       return onSuccess(state, step, found);
@@ -73,18 +73,18 @@
     case 'notRun':
       closeAttempt(state, attempt, Reach.refused);
       takeRefusal(state, step, attempt);
-      return tryAgain(state, step, found, `refused${event.status}`);
+      return retryNotRun(state, step, found, `refused${event.status}`);
     case 'otherServer': {
       const view = closeAttempt(state, attempt, Reach.refused);
       if (view !== undefined) removeServer(state, step, view, 'addressReused');
-      return tryAgain(state, step, found, 'otherServer');
+      return retryNotRun(state, step, found, 'otherServer');
     }
     case 'invalid': {
       const view = closeAttempt(state, attempt, Reach.maybe);
       if (view !== undefined) noteFailure(view, step.nowMs);
       noteAnswer(state, step, { record, attempt, end: AnswerEnd.failed });
       step.effects.push({ type: 'cancelAttempt', attemptId: attempt.attemptId });
-      return afterLoss(state, step, { record, attempt }, 'invalidAnswer');
+      return retryAfterLoss(state, step, { record, attempt }, 'invalidAnswer');
     }
   }
 }
@@ -92,10 +92,10 @@
 function onSuccess(state: GatewayState, step: Step, found: RequestAttempt): void {
   const { record, attempt } = found;
   if (attempt.firstOutputAtMs === undefined) {
-    noteFirstEvent(state, step, record, attempt);
+    recordFirstEvent(state, step, record, attempt);
     noteAnswer(state, step, { record, attempt, end: AnswerEnd.good });
   }
-  begin(state, step, found);
+  recordRunStart(state, step, found);
   const { exchangeId } = record;
   const { attemptId } = attempt;
   const isStream = record.route.kind === RouteKind.stream;
@@ -107,24 +107,24 @@
   });
   record.relayed = true;
   if (isStream) return;
-  finish(state, step, found, 'success');
+  finishRequest(state, step, found, 'success');
 }
 
 /** A server's own failure goes to the caller as it is, unless the request may be repeated. */
 function onFailure(state: GatewayState, step: Step, found: RequestAttempt, status: number): void {
   const { record, attempt } = found;
-  begin(state, step, found);
+  recordRunStart(state, step, found);
   const view = serverOf(state, attempt);
   if (view !== undefined && status >= 500) noteFailure(view, step.nowMs);
   if (status >= 500) noteAnswer(state, step, { record, attempt, end: AnswerEnd.failed });
   // An answer that is there goes to the caller where the limit holds no other run.
-  const mayGoOn = status >= 500 && !record.relayed && mayRepeat(state, step, record);
-  if (mayGoOn && chargeFurtherSend(state, record, step.nowMs)) {
+  const mayRetry = status >= 500 && !record.relayed && reserveRerun(state, step, record);
+  if (mayRetry && chargeFurtherSend(state, record, step.nowMs)) {
     closeAttempt(state, attempt, Reach.answered);
     step.effects.push({ type: 'cancelAttempt', attemptId: attempt.attemptId });
     log(step, 'requestRepeated', { request: record.facts.requestId, reason: `status${status}` });
     record.excludedServers.add(attempt.serverId);
-    return offer(state, step, record);
+    return sendOrGiveUp(state, step, record);
   }
   if (record.relayed) {
     closeAttempt(state, attempt, Reach.answered);
@@ -136,11 +136,11 @@
     attemptId: attempt.attemptId,
     part: 'whole',
   });
-  finish(state, step, found, `status${status}`);
+  finishRequest(state, step, found, `status${status}`);
 }
 
 /** The run has begun: its prompt is read, and it counts for its workspace. */
-function begin(state: GatewayState, step: Step, found: RequestAttempt): void {
+function recordRunStart(state: GatewayState, step: Step, found: RequestAttempt): void {
   const { record, attempt } = found;
   if (attempt.firstOutputAtMs === undefined) {
     attempt.firstOutputAtMs = step.nowMs;
@@ -151,11 +151,16 @@
   countBegun(state, step, record);
 }
 
-function finish(state: GatewayState, step: Step, found: RequestAttempt, outcome: string): void {
+function finishRequest(
+  state: GatewayState,
+  step: Step,
+  found: RequestAttempt,
+  outcome: string,
+): void {
   const { record, attempt } = found;
   const view = closeAttempt(state, attempt, Reach.answered);
   if (outcome === 'success') {
-    noteEnd(state, step, record, attempt);
+    recordSuccessfulEnd(state, step, record, attempt);
     if (view !== undefined) noteSuccess(view, step.nowMs);
     noteServed(state, step, attempt);
     noteGoodRun(state, step, record);
@@ -178,9 +183,9 @@
   step: Step,
   event: EventOf<'eventsRelayed'>,
 ): void {
-  const found = find(state, event);
+  const found = findOpenAttempt(state, event);
   if (found === undefined) return;
-  hear(state, step, found.attempt);
+  recordAttemptActivity(state, step, found.attempt);
   if (isPastPoint(found.attempt, step.nowMs)) noteGoodRun(state, step, found.record);
   if (event.lastEventId !== undefined) found.record.lastEventId = event.lastEventId;
 }
@@ -191,8 +196,8 @@
   step: Step,
   event: EventOf<'attemptEnded'>,
 ): void {
-  const found = find(state, event);
-  if (found !== undefined) finish(state, step, found, 'success');
+  const found = findOpenAttempt(state, event);
+  if (found !== undefined) finishRequest(state, step, found, 'success');
 }
 
 /** The connection ended after bytes were sent: the request may have run. */
@@ -201,14 +206,14 @@
   step: Step,
   event: EventOf<'attemptLost'>,
 ): void {
-  const found = find(state, event);
+  const found = findOpenAttempt(state, event);
   if (found === undefined) return;
   const { record, attempt } = found;
   const view = closeAttempt(state, attempt, reachWhenLost(attempt));
-  noteLoss(state, step, { record, attempt, view });
+  recordLoss(state, step, { record, attempt, view });
   noteLost(state, step, found);
   logLost(step, found, event.reason);
-  afterLoss(state, step, found, event.reason);
+  retryAfterLoss(state, step, found, event.reason);
 }
 
 function logLost(step: Step, { record, attempt }: RequestAttempt, reason: string): void {
@@ -225,7 +230,7 @@
 }
 
 /** Notes that something came of an attempt. */
-function hear(state: GatewayState, step: Step, attempt: Attempt): void {
+function recordAttemptActivity(state: GatewayState, step: Step, attempt: Attempt): void {
   attempt.lastActivityAtMs = step.nowMs;
   const view = serverOf(state, attempt);
   if (view !== undefined) noteHeard(view, step.nowMs);
--- a/packages/reedlug-gateway/src/slices/capacity.ts
+++ b/packages/reedlug-gateway/src/slices/capacity.ts
@@ -13,14 +13,14 @@
 } from '../policy/engineTarget.js';
 import { log, type GatewayState, type Step } from '../state.js';
 import { dutyFence } from './duties.js';
-import { isBeforeLoad, noteFirstOnDemand, steadyNeed } from './engineNeed.js';
+import { isBeforeFirstLoad, recordInitialOnDemand, stabilizedNeed } from './engineNeed.js';
 import {
   BOOT_MARGIN_MS,
   countLost,
   countReady,
-  grantedEngines,
-  lastOrdered,
-  noteDry,
+  countGranted,
+  lastOrderedCount,
+  recordOutOfCapacity,
   orderEngines,
   orderKey,
   zoneKey,
@@ -29,17 +29,17 @@
 import { isRollingOut } from './versionRule.js';
 
 /** Pause between plans, in ms: an engine takes seconds to start, a reclaim gives two. */
-const PLAN_EVERY_MS = 250;
+const PLAN_INTERVAL_MS = 250;
 /** How long after a reclaim more of them are expected, in ms: in logs of zones taken back in turn, the next one went 6 to 10 s later. */
 const RECLAIMS_EXPECTED_MS = 12_000;
 /** The fence of the first holder of all: nobody has ordered anything before. */
 const FIRST_FENCE = 1;
 /** Time from this box's start until it plans, in ms: two heartbeats, in which the registry fills. */
-const REGISTRY_FILLS_MS = 3500;
+const REGISTRY_FILL_MS = 3500;
 
 /** Plans and orders, while this box holds the lease. */
 export function capacityTick(state: GatewayState, step: Step): void {
-  if (step.nowMs - state.plannedAtMs < PLAN_EVERY_MS) return;
+  if (step.nowMs - state.plannedAtMs < PLAN_INTERVAL_MS) return;
   const elapsedMs = step.nowMs - state.plannedAtMs;
   state.plannedAtMs = step.nowMs;
   measureLoad(state, elapsedMs, step.nowMs);
@@ -48,19 +48,20 @@
   const fence = dutyFence(state, step.nowMs);
   for (const service of state.active.configuration.services) {
     if (service.scaling === undefined) continue;
-    if (isBeforeLoad(state, step)) noteFirstOnDemand(state, service.name);
+    if (isBeforeFirstLoad(state, step)) recordInitialOnDemand(state, service.name);
     // At a first start the engines that stand cost their full price: nothing is awaited.
-    const isFirst = fence === FIRST_FENCE && isBeforeLoad(state, step);
+    const isFirstStart = fence === FIRST_FENCE && isBeforeFirstLoad(state, step);
     // Every box follows the need, so that a new holder knows it.
-    const need = steadyNeed(state, step, service, isFirst);
+    const need = stabilizedNeed(state, step, service, isFirstStart);
     if (fence === undefined) continue;
-    if (isFirst || !registryFills(state, step)) planService(state, step, { service, need, fence });
+    if (isFirstStart || !isRegistryFilling(state, step))
+      planService(state, step, { service, need, fence });
   }
 }
 
 /** True while entries may still be missing from the registry after this box's start. */
-function registryFills(state: GatewayState, step: Step): boolean {
-  return step.nowMs - state.startedAtMs < REGISTRY_FILLS_MS;
+function isRegistryFilling(state: GatewayState, step: Step): boolean {
+  return step.nowMs - state.startedAtMs < REGISTRY_FILL_MS;
 }
 
 /** What is there and what was ordered, by zone. */
@@ -73,18 +74,18 @@
   return scaling.zonePrices.map(({ zone, price }) => {
     const ready = countReady(state, { service: service.name, zone, reclaimable: true });
     const { bootMs } = scaling;
-    noteLosses(state, step, { service: service.name, name: zone, ready, bootMs });
+    recordLosses(state, step, { service: service.name, name: zone, ready, bootMs });
     const { nowMs } = step;
-    const granted = grantedEngines(state, { service: service.name, zone, ready, bootMs, nowMs });
-    const dryUntilMs = state.outOfCapacityUntilMs.get(zoneKey(service.name, zone)) ?? 0;
+    const granted = countGranted(state, { service: service.name, zone, ready, bootMs, nowMs });
+    const outOfCapacityUntilMs = state.outOfCapacityUntilMs.get(zoneKey(service.name, zone)) ?? 0;
     return {
       zone,
       price,
       readyReclaimable: ready,
       granted,
-      reclaimable: lastOrdered(state, service.name, zone, true),
-      onDemand: lastOrdered(state, service.name, zone, false),
-      isDry: step.nowMs < dryUntilMs,
+      reclaimable: lastOrderedCount(state, service.name, zone, true),
+      onDemand: lastOrderedCount(state, service.name, zone, false),
+      isDry: step.nowMs < outOfCapacityUntilMs,
     };
   });
 }
@@ -112,8 +113,8 @@
 function keepOrdered(state: GatewayState, { name }: ServiceSpec) {
   return ({ zone, reclaimable, onDemand }: ZoneWanted): ZoneWanted => ({
     zone,
-    reclaimable: Math.max(reclaimable, lastOrdered(state, name, zone, true)),
-    onDemand: Math.max(onDemand, lastOrdered(state, name, zone, false)),
+    reclaimable: Math.max(reclaimable, lastOrderedCount(state, name, zone, true)),
+    onDemand: Math.max(onDemand, lastOrderedCount(state, name, zone, false)),
   });
 }
 
@@ -121,38 +122,38 @@
  * Finds zones that have run dry: reclaimable engines there went that this box did
  * not give up, or did not come in time after the order was taken.
  */
-function noteLosses(
+function recordLosses(
   state: GatewayState,
   step: Step,
   zone: { service: string; name: string; ready: number; bootMs: number },
 ): void {
   const key = zoneKey(zone.service, zone.name);
-  const before = state.readyReclaimable.get(key) ?? 0;
+  const previouslyReady = state.readyReclaimable.get(key) ?? 0;
   state.readyReclaimable.set(key, zone.ready);
   const order = state.orders.get(orderKey(zone.service, zone.name, true));
   if (order === undefined) return;
   const dueMs = order.sentAtMs + zone.bootMs + BOOT_MARGIN_MS;
   const isLate = order.taken && step.nowMs > dueMs;
-  const lost = countLost(order, Math.max(0, before - zone.ready), step.nowMs);
+  const lost = countLost(order, Math.max(0, previouslyReady - zone.ready), step.nowMs);
   if (zone.ready >= order.call.wanted) return;
   const isLoss = lost > 0;
-  if (isLoss || isLate) noteDry(state, step, zone.service, zone.name);
+  if (isLoss || isLate) recordOutOfCapacity(state, step, zone.service, zone.name);
   if (!isLoss) return;
-  const isTakenBack = isBeingTakenBack(state, zone);
+  const isReclaimed = isBeingReclaimed(state, zone);
   // In a reclaim those that were still to come there go with the others.
-  order.granted = isTakenBack ? zone.ready : Math.max(zone.ready, order.granted - lost);
-  if (isTakenBack) noteReclaim(state, step, zone);
+  order.granted = isReclaimed ? zone.ready : Math.max(zone.ready, order.granted - lost);
+  if (isReclaimed) recordReclaim(state, step, zone);
 }
 
 /** Engines that are taken back say so and leave; crashed ones are just gone. */
-function isBeingTakenBack(state: GatewayState, zone: { service: string; name: string }): boolean {
+function isBeingReclaimed(state: GatewayState, zone: { service: string; name: string }): boolean {
   return [...state.servers.values()].some(
     ({ entry, leaving }) =>
       leaving && entry.reclaimable && entry.service === zone.service && entry.zone === zone.name,
   );
 }
 
-function noteReclaim(
+function recordReclaim(
   state: GatewayState,
   step: Step,
   zone: { service: string; name: string; ready: number },
--- a/packages/reedlug-gateway/src/slices/configuration.ts
+++ b/packages/reedlug-gateway/src/slices/configuration.ts
@@ -11,12 +11,12 @@
   event: EventOf<'configurationRead'>,
 ): void {
   const { configuration, source } = event;
-  const inForce = state.active?.configuration.version ?? 0;
-  if (configuration.version <= inForce) return;
+  const currentVersion = state.active?.configuration.version ?? 0;
+  if (configuration.version <= currentVersion) return;
   state.active = activate(configuration);
   log(step, 'configurationInForce', {
     version: configuration.version,
-    before: inForce,
+    before: currentVersion,
     source,
     routes: configuration.routes.length,
     workspaces: configuration.workspaces.length,
--- a/packages/reedlug-gateway/src/slices/crashSuspects.ts
+++ b/packages/reedlug-gateway/src/slices/crashSuspects.ts
@@ -16,7 +16,7 @@
 import { log, type GatewayState, type Step } from '../state.js';
 import type { CrashSuspect, ServerCrash } from '../types/crashSuspect.js';
 import type { Attempt, RequestRecord } from '../types/request.js';
-import { giveUp } from './ending.js';
+import { giveUp } from './requestCompletion.js';
 
 /** Suspects known at most; the ones with the fewest crashes, then those unseen for the longest, go first. */
 const MOST_SUSPECTS = 512;
--- a/packages/reedlug-gateway/src/slices/engineModels.ts
+++ b/packages/reedlug-gateway/src/slices/engineModels.ts
@@ -1,5 +1,5 @@
 /** The figures of services, from this box's own sends and those that peers tell of. */
-import { serverOf } from './ending.js';
+import { serverOf } from './requestCompletion.js';
 import {
   addSendSums,
   createSendSums,
@@ -17,31 +17,31 @@
 import { countedPeers } from './fleet.js';
 
 /** Pause between fits, in ms: figures that halve in 15 s change by 2 % in it. */
-const FIT_EVERY_MS = 500;
+const FIT_INTERVAL_MS = 500;
 /** Shortest expected time that a server's slowness is judged by, in ms: below it, network and timers decide. */
-const JUDGED_FROM_MS = 30;
+const MIN_COMPARED_MS = 30;
 
 /** The figures of a service now. */
 export function modelOf(state: GatewayState, service: string, nowMs: number): EngineModel {
   const known = state.engineModels.get(service);
-  if (known !== undefined && nowMs - known.fittedAtMs < FIT_EVERY_MS) return known.model;
-  const parts: SendSums[] = [];
+  if (known !== undefined && nowMs - known.fittedAtMs < FIT_INTERVAL_MS) return known.model;
+  const sendSums: SendSums[] = [];
   const own = state.ownSends.get(service);
   if (own !== undefined) {
     fadeSends(own, nowMs);
-    parts.push(own.sums);
+    sendSums.push(own.sums);
   }
   for (const { message } of countedPeers(state, nowMs)) {
     const sums = message.sendSums[service];
-    if (sums !== undefined) parts.push(sums);
+    if (sums !== undefined) sendSums.push(sums);
   }
-  const model = fitEngineModel(addSendSums(parts));
+  const model = fitEngineModel(addSendSums(sendSums));
   state.engineModels.set(service, { model, fittedAtMs: nowMs });
   return model;
 }
 
 /** Takes the time to the first event of a send. */
-export function noteFirstEvent(
+export function recordFirstEvent(
   state: GatewayState,
   step: Step,
   record: RequestRecord,
@@ -56,14 +56,14 @@
     nowMs: step.nowMs,
   });
   const view = serverOf(state, attempt);
-  const isJudged = Math.max(waitMs, expectedMs) >= JUDGED_FROM_MS;
-  if (view !== undefined && isJudged) {
-    noteSlowness(view, waitMs / Math.max(JUDGED_FROM_MS, expectedMs), step.nowMs);
+  const isCompared = Math.max(waitMs, expectedMs) >= MIN_COMPARED_MS;
+  if (view !== undefined && isCompared) {
+    noteSlowness(view, waitMs / Math.max(MIN_COMPARED_MS, expectedMs), step.nowMs);
   }
 }
 
 /** Takes how long a send that ended well kept its place. */
-export function noteEnd(
+export function recordSuccessfulEnd(
   state: GatewayState,
   step: Step,
   record: RequestRecord,
@@ -82,10 +82,10 @@
 
 /** This box's sums as it tells them. */
 export function ownSendSums(state: GatewayState, nowMs: number): Record<string, SendSums> {
-  const told: Record<string, SendSums> = {};
+  const sumsByService: Record<string, SendSums> = {};
   for (const [service, own] of state.ownSends) {
     fadeSends(own, nowMs);
-    told[service] = { ...own.sums };
+    sumsByService[service] = { ...own.sums };
   }
-  return told;
+  return sumsByService;
 }
--- a/packages/reedlug-gateway/src/slices/engineOrders.ts
+++ b/packages/reedlug-gateway/src/slices/engineOrders.ts
@@ -11,10 +11,10 @@
 /** Pause before an order that was refused or lost is sent again, in ms. */
 const ORDER_RETRY_MS = 1000;
 /** How long a zone is taken to have no reclaimable engines, in ms: the users' zones run dry for 5 to 14 s. */
-const DRY_MS = 5000;
+const OUT_OF_CAPACITY_MS = 5000;
 
 /** Time from an order until an engine that it gives up says that it leaves, in ms: three heartbeats and the store's delay. */
-const LEAVES_AFTER_MS = 4500;
+const MAX_DRAIN_DELAY_MS = 4500;
 /**
  * How much later than its usual start an engine may be seen, in ms: a heartbeat of 1.2 s
  * until it enters itself, 0.8 s of the store, 0.4 s through a hub, and a slow box. With 2 s,
@@ -33,7 +33,7 @@
 }
 
 /** Engines last ordered; before the first order of this box, those that are there. */
-export function lastOrdered(
+export function lastOrderedCount(
   state: GatewayState,
   service: string,
   zone: string,
@@ -49,7 +49,7 @@
  * only those that are there cancelled 36 of 64 engines half a second before they
  * came, when one zone was taken back (195 boxes).
  */
-export function grantedEngines(
+export function countGranted(
   state: GatewayState,
   params: { service: string; zone: string; ready: number; bootMs: number; nowMs: number },
 ): number {
@@ -60,8 +60,13 @@
 }
 
 /** No further reclaimable engines are to be had in a zone for a while. */
-export function noteDry(state: GatewayState, step: Step, service: string, zone: string): void {
-  state.outOfCapacityUntilMs.set(zoneKey(service, zone), step.nowMs + DRY_MS);
+export function recordOutOfCapacity(
+  state: GatewayState,
+  step: Step,
+  service: string,
+  zone: string,
+): void {
+  state.outOfCapacityUntilMs.set(zoneKey(service, zone), step.nowMs + OUT_OF_CAPACITY_MS);
 }
 
 /** Engines of one kind that take work, in one zone or in all; while two versions stand, those of the one that carries the load. */
@@ -88,14 +93,14 @@
   const { service, plan, fence } = params;
   for (const { zone, reclaimable, onDemand } of plan) {
     if (service.scaling?.reclaimablePriceShare !== undefined) {
-      order(
+      sendOrder(
         state,
         step,
         { service: service.name, zone, wanted: reclaimable, reclaimable: true },
         fence,
       );
     }
-    order(
+    sendOrder(
       state,
       step,
       { service: service.name, zone, wanted: onDemand, reclaimable: false },
@@ -104,7 +109,7 @@
   }
 }
 
-function order(
+function sendOrder(
   state: GatewayState,
   step: Step,
   wanted: Omit<EngineOrder['call'], 'kind'>,
@@ -121,16 +126,16 @@
   const sentAtMs = step.nowMs;
   const { granted, grantedAtMs } = last ?? { granted: 0, grantedAtMs: Number.NEGATIVE_INFINITY };
   // The platform counts those that have not entered themselves yet, and may take others for them.
-  const counted = Math.max(countReady(state, wanted), granted);
-  const surplus = Math.max(0, counted - wanted.wanted);
-  const givenUp = Math.max(surplus, stillLeaving(last, step.nowMs));
+  const knownEngines = Math.max(countReady(state, wanted), granted);
+  const surplus = Math.max(0, knownEngines - wanted.wanted);
+  const releasedEngines = Math.max(surplus, stillDraining(last, step.nowMs));
   state.orders.set(key, {
     call,
     fence,
     taken: false,
     granted,
     grantedAtMs,
-    releasedEngines: givenUp,
+    releasedEngines,
     callId,
     sentAtMs,
     notBeforeMs,
@@ -144,8 +149,8 @@
 }
 
 /** Engines that were given up a moment ago and may still be on their way out. */
-function stillLeaving(order: EngineOrder | undefined, nowMs: number): number {
-  if (order === undefined || nowMs - order.sentAtMs > LEAVES_AFTER_MS) return 0;
+function stillDraining(order: EngineOrder | undefined, nowMs: number): number {
+  if (order === undefined || nowMs - order.sentAtMs > MAX_DRAIN_DELAY_MS) return 0;
   return order.releasedEngines;
 }
 
@@ -155,9 +160,9 @@
  * keep a reserve of on-demand ones for 12 s, and call the zone dry.
  */
 export function countLost(order: EngineOrder, gone: number, nowMs: number): number {
-  const own = Math.min(gone, stillLeaving(order, nowMs));
-  order.releasedEngines -= own;
-  return gone - own;
+  const released = Math.min(gone, stillDraining(order, nowMs));
+  order.releasedEngines -= released;
+  return gone - released;
 }
 
 /** The figures that decided an order. */
@@ -179,16 +184,17 @@
   step: Step,
   event: EventOf<'cloudAnswered'>,
 ): boolean {
-  for (const entry of state.orders.values()) {
-    if (entry.callId !== event.callId) continue;
-    entry.taken = event.outcome === 'done';
-    if (entry.taken) {
-      entry.granted = entry.call.wanted;
-      entry.grantedAtMs = entry.sentAtMs;
+  for (const order of state.orders.values()) {
+    if (order.callId !== event.callId) continue;
+    order.taken = event.outcome === 'done';
+    if (order.taken) {
+      order.granted = order.call.wanted;
+      order.grantedAtMs = order.sentAtMs;
     }
-    if (!entry.taken) {
-      const { service, zone, wanted, reclaimable } = entry.call;
-      if (reclaimable && event.outcome === 'refused') noteDry(state, step, service, zone);
+    if (!order.taken) {
+      const { service, zone, wanted, reclaimable } = order.call;
+      if (reclaimable && event.outcome === 'refused')
+        recordOutOfCapacity(state, step, service, zone);
       log(step, 'orderNotTaken', { zone, wanted, reclaimable, outcome: event.outcome });
     }
     return true;
--- a/packages/reedlug-gateway/src/slices/lateRefusals.ts
+++ b/packages/reedlug-gateway/src/slices/lateRefusals.ts
@@ -5,10 +5,10 @@
 import { log, type Step } from '../state.js';
 import { RouteKind } from '../types/configuration.js';
 import type { RequestRecord } from '../types/request.js';
-import { refuse } from './ending.js';
+import { refuse } from './requestCompletion.js';
 
 /** Share of a route's time below which a request's own says that its caller has waited before. */
-const RETURNED_DEADLINE_SHARE = 0.95;
+const RETRY_DEADLINE_SHARE = 0.95;
 
 /** Refuses a stream that would begin too late at the best engine; true when it did. Nothing of it was sent or counted yet. */
 export function refuseIfLate(step: Step, record: RequestRecord, choice: Choice): boolean {
@@ -18,7 +18,7 @@
   const { running, slots } = conditions;
   const leftMs = deadlineAtMs - step.nowMs;
   const { targetMs, timeoutMs } = route;
-  const hasReturned = (facts.deadlineMs ?? timeoutMs) < timeoutMs * RETURNED_DEADLINE_SHARE;
+  const hasReturned = (facts.deadlineMs ?? timeoutMs) < timeoutMs * RETRY_DEADLINE_SHARE;
   const decision = decideSend({ expectedMs, running, slots, targetMs, leftMs, hasReturned });
   if (decision.kind === 'send') return false;
   log(step, 'requestTooLate', {
--- a/packages/reedlug-gateway/src/slices/lostServers.ts
+++ b/packages/reedlug-gateway/src/slices/lostServers.ts
@@ -21,10 +21,10 @@
 } from './crashSuspects.js';
 
 /** Time for which it may still come out that a server has crashed, in ms: its entry goes after three heartbeats, or it is born again after some seconds. */
-const OPEN_MS = 15_000;
+const CRASH_DETECTION_MS = 15_000;
 
 /** A send of this box was lost: it counts against its server, if that is still known. */
-export function noteLoss(
+export function recordLoss(
   state: GatewayState,
   step: Step,
   params: { record: RequestRecord; attempt: Attempt; view: ServerView | undefined },
@@ -32,11 +32,11 @@
   const { record, attempt, view } = params;
   if (view === undefined) return;
   noteFailure(view, step.nowMs);
-  noteLostSend(state, step, { record, attempt, view });
+  recordLostSend(state, step, { record, attempt, view });
 }
 
 /** Notes a send that its server will not answer, and asks whether the server is still there. */
-export function noteLostSend(
+export function recordLostSend(
   state: GatewayState,
   step: Step,
   params: { record: RequestRecord; attempt: Attempt; view: ServerView },
@@ -51,7 +51,7 @@
   const known = state.lostServers.get(view.life);
   if (known !== undefined) {
     known.sends.push(send);
-    if (known.isGone) noteSendCrash(state, step, known, send);
+    if (known.isGone) recordSendCrash(state, step, known, send);
     return;
   }
   const { id: serverId, bornAtMs, address } = view.entry;
@@ -67,20 +67,20 @@
   event: EventOf<'serverProbed'>,
 ): void {
   // A server that accepts may be the next life, and one that is silent may be cut off: both come out later.
-  if (event.outcome === 'refused') noteLifeOver(state, step, event.life);
+  if (event.outcome === 'refused') recordIncarnationEnd(state, step, event.life);
 }
 
 /** A server's life is over: what was lost there counts as under a crash. */
-export function noteLifeOver(state: GatewayState, step: Step, life: number): void {
+export function recordIncarnationEnd(state: GatewayState, step: Step, life: number): void {
   const lost = state.lostServers.get(life);
   if (lost === undefined || lost.isGone) return;
   lost.isGone = true;
   const view = state.servers.get(lost.serverId);
   if (view?.life === life) noteGone(view, step.nowMs);
-  for (const send of lost.sends) noteSendCrash(state, step, lost, send);
+  for (const send of lost.sends) recordSendCrash(state, step, lost, send);
 }
 
-function noteSendCrash(
+function recordSendCrash(
   state: GatewayState,
   step: Step,
   { serverId, bornAtMs }: LostServer,
@@ -94,6 +94,6 @@
 /** Forgets servers of which nothing came out. */
 export function lostServersTick(state: GatewayState, step: Step): void {
   for (const [life, { firstLostAtMs }] of state.lostServers) {
-    if (step.nowMs - firstLostAtMs >= OPEN_MS) state.lostServers.delete(life);
+    if (step.nowMs - firstLostAtMs >= CRASH_DETECTION_MS) state.lostServers.delete(life);
   }
 }
--- a/packages/reedlug-gateway/src/slices/peerNews.ts
+++ b/packages/reedlug-gateway/src/slices/peerNews.ts
@@ -9,7 +9,7 @@
 import { ownSendSums } from './engineModels.js';
 import { ownPartNews, sumParts } from './fleetPart.js';
 import { rolloutNews } from './rollouts.js';
-import { registryNews } from './registryNews.js';
+import { registryGossip } from './registryGossip.js';
 import { ownRoom } from './unitLoans.js';
 import { ownUsage } from './usage.js';
 import { decisionNews } from './usageDecisions.js';
@@ -111,7 +111,7 @@
   return {
     ...own,
     scope,
-    registry: scope === GossipScope.others ? registryNews(state, step.nowMs) : undefined,
+    registry: scope === GossipScope.others ? registryGossip(state, step.nowMs) : undefined,
     boxes: boxesCovered(of),
     storeContactAgeMs: ageOf(lastStoreContact(state, of), step.nowMs),
     leaseHolder: own.leaseHolder ?? holder?.message.leaseHolder,
--- a/packages/reedlug-gateway/src/slices/peers.ts
+++ b/packages/reedlug-gateway/src/slices/peers.ts
@@ -7,9 +7,9 @@
 import { countsFreshly, isCounted, PEER_GONE_AFTER_MS, type HeardPeer } from './fleet.js';
 import { noteBoxesListed } from './fleetPart.js';
 import { takeRolloutNews } from './rollouts.js';
-import { nextRegistryStep } from './registryNews.js';
+import { nextRegistryUpdate } from './registryGossip.js';
 import { noteNewcomer } from './statements/statementNews.js';
-import { takeHubChanges } from './servers.js';
+import { applyHubChanges } from './servers.js';
 import { mayShowCopy, onStoreEra } from './storeEra.js';
 import { mergeDecisions, mergeUsage } from './usage.js';
 
@@ -52,10 +52,10 @@
 function followHub(state: GatewayState, step: Step, hub: HeardPeer): void {
   const { message } = hub;
   const isAsNew = state.serversKnown && state.serversRevision >= message.serversRevision;
-  const next = nextRegistryStep(hub, message.registry, isAsNew);
+  const next = nextRegistryUpdate(hub, message.registry, isAsNew);
   switch (next.kind) {
     case 'apply':
-      return takeHubChanges(state, step, {
+      return applyHubChanges(state, step, {
         changes: next.changes,
         revision: message.serversRevision,
       });
--- a/packages/reedlug-gateway/src/slices/awaiting.ts
+++ b/packages/reedlug-gateway/src/slices/pendingRequests.ts
@@ -7,15 +7,15 @@
 import type { EventOf } from '../types/event.js';
 import type { PendingRequest } from '../types/request.js';
 import type { GatewayState, Step } from '../state.js';
-import { refuse } from './ending.js';
+import { refuse } from './requestCompletion.js';
 
 /** Longest wait for configuration and servers, in ms: the store answers in some ms, a slow one in 250. */
-const AWAIT_START_MS = 300;
+const MAX_START_WAIT_MS = 300;
 /** When to come back to a box that knows neither yet, in ms: it asks the store again within half a second. */
 const NOT_STARTED_RETRY_MS = 500;
 
 /** Whether the box knows what it needs to take requests: configuration and servers, and its part of the limits. */
-export function knowsEnough(state: GatewayState): boolean {
+export function isReadyForRequests(state: GatewayState): boolean {
   return canServe(state) && state.part.listRevision > 0;
 }
 
@@ -25,7 +25,7 @@
 }
 
 /** Keeps a request until the box knows enough. */
-export function awaitStart(
+export function addPendingRequest(
   state: GatewayState,
   step: Step,
   event: EventOf<'requestArrived'>,
@@ -35,11 +35,11 @@
 }
 
 /** Takes out the requests that may go on now; refuses those that waited long enough. */
-export function takeAwaiting(state: GatewayState, step: Step): PendingRequest[] {
+export function takeReadyRequests(state: GatewayState, step: Step): PendingRequest[] {
   if (state.pendingRequests.length === 0) return [];
-  if (knowsEnough(state)) return state.pendingRequests.splice(0);
+  if (isReadyForRequests(state)) return state.pendingRequests.splice(0);
   const isLate = ({ arrivedAtMs }: PendingRequest): boolean =>
-    step.nowMs - arrivedAtMs >= AWAIT_START_MS;
+    step.nowMs - arrivedAtMs >= MAX_START_WAIT_MS;
   const late = state.pendingRequests.filter(isLate);
   state.pendingRequests = state.pendingRequests.filter((request) => !isLate(request));
   if (canServe(state)) return late;
@@ -51,7 +51,7 @@
 }
 
 /** The caller of a request that waited is gone. */
-export function forgetAwaiting(state: GatewayState, exchangeId: number): void {
+export function removePendingRequest(state: GatewayState, exchangeId: number): void {
   state.pendingRequests = state.pendingRequests.filter(
     (request) => request.exchangeId !== exchangeId,
   );
--- a/packages/reedlug-gateway/src/slices/registryNews.ts
+++ b/packages/reedlug-gateway/src/slices/registryGossip.ts
@@ -8,27 +8,27 @@
 import type { PeerView } from '../types/views.js';
 
 /** Time for which a change is told, in ms: seven messages, of which some may be lost. */
-const TOLD_FOR_MS = 1500;
+const ANNOUNCE_MS = 1500;
 /** Changes told at most; after more of them members ask for the whole. A datagram holds three times as many. */
-const MAX_TOLD = 100;
+const MAX_ANNOUNCED_CHANGES = 100;
 
 /** Notes a change of the registry as this box sees it. */
-export function noteRegistryChange(state: GatewayState, step: Step, change: ServerChange): void {
+export function recordRegistryChange(state: GatewayState, step: Step, change: ServerChange): void {
   state.registryNumber += 1;
   const numbered: NumberedChange = { number: state.registryNumber, ...change };
   state.registryChanges.push({ atMs: step.nowMs, change: numbered });
-  if (state.registryChanges.length > MAX_TOLD) state.registryChanges.shift();
+  if (state.registryChanges.length > MAX_ANNOUNCED_CHANGES) state.registryChanges.shift();
 }
 
 /** The changes that members are told now. */
-export function registryNews(state: GatewayState, nowMs: number): RegistryGossip {
-  state.registryChanges = state.registryChanges.filter(({ atMs }) => nowMs - atMs <= TOLD_FOR_MS);
+export function registryGossip(state: GatewayState, nowMs: number): RegistryGossip {
+  state.registryChanges = state.registryChanges.filter(({ atMs }) => nowMs - atMs <= ANNOUNCE_MS);
   const changes = state.registryChanges.map(({ change }) => change);
   return { lastNumber: state.registryNumber, changes };
 }
 
 /** What a hub's message means for this box's registry. */
-export type RegistryStep =
+export type RegistryUpdate =
   | { kind: 'apply'; changes: readonly NumberedChange[] }
   /** Changes were missed, or it is not known which: the hub's whole registry is needed. */
   | { kind: 'askWhole' };
@@ -38,17 +38,17 @@
  * read as new a registry from the store goes on from there: after a start of all boxes
  * each would else ask its hub for what it has just read.
  */
-export function nextRegistryStep(
+export function nextRegistryUpdate(
   hub: PeerView,
   registry: RegistryGossip | undefined,
-  isAsNew: boolean,
-): RegistryStep {
+  isUpToDate: boolean,
+): RegistryUpdate {
   if (registry === undefined) return { kind: 'apply', changes: [] };
-  if (hub.registryNumber === undefined && isAsNew) hub.registryNumber = registry.lastNumber;
-  const taken = hub.registryNumber;
-  if (taken === undefined || taken > registry.lastNumber) return { kind: 'askWhole' };
-  const changes = registry.changes.filter(({ number }) => number > taken);
-  if (changes.length < registry.lastNumber - taken) return { kind: 'askWhole' };
+  if (hub.registryNumber === undefined && isUpToDate) hub.registryNumber = registry.lastNumber;
+  const applied = hub.registryNumber;
+  if (applied === undefined || applied > registry.lastNumber) return { kind: 'askWhole' };
+  const changes = registry.changes.filter(({ number }) => number > applied);
+  if (changes.length < registry.lastNumber - applied) return { kind: 'askWhole' };
   hub.registryNumber = registry.lastNumber;
   return { kind: 'apply', changes };
 }
--- a/packages/reedlug-gateway/src/slices/ending.ts
+++ b/packages/reedlug-gateway/src/slices/requestCompletion.ts
@@ -94,7 +94,7 @@
     return;
   }
   const ran = record.attempts.some((attempt) => mayHaveRun(attempt.reach));
-  const status = statusWhenGivenUp({ ran, timeIsUp: step.nowMs >= record.deadlineAtMs });
+  const status = failureStatus({ ran, timeIsUp: step.nowMs >= record.deadlineAtMs });
   refuse(step, {
     exchangeId: record.exchangeId,
     facts: record.facts,
@@ -105,7 +105,7 @@
 }
 
 /** 503 promises that the request has not run; 504 and 502 promise nothing. */
-function statusWhenGivenUp(params: { ran: boolean; timeIsUp: boolean }): number {
+function failureStatus(params: { ran: boolean; timeIsUp: boolean }): number {
   if (params.timeIsUp) return 504;
   return params.ran ? 502 : 503;
 }
--- a/packages/reedlug-gateway/src/slices/requests.ts
+++ b/packages/reedlug-gateway/src/slices/requests.ts
@@ -4,16 +4,21 @@
 import type { RouteSpec, WorkspaceSpec } from '../types/configuration.js';
 import type { PendingRequest, RequestFacts, RequestRecord } from '../types/request.js';
 import { log, type GatewayState, type Step } from '../state.js';
-import { awaitStart, forgetAwaiting, knowsEnough, takeAwaiting } from './awaiting.js';
+import {
+  addPendingRequest,
+  removePendingRequest,
+  isReadyForRequests,
+  takeReadyRequests,
+} from './pendingRequests.js';
 import { crashRefusal } from './crashRefusal.js';
 import { findRoute } from './configuration.js';
-import { cancelAll, giveUp, refuse } from './ending.js';
+import { cancelAll, giveUp, refuse } from './requestCompletion.js';
 import { refuseIfLate } from './lateRefusals.js';
 import { bookReturnMs, SERVERS_LIMITED } from './statements/returnTimes.js';
 import { chargeSend, unitsOf } from './quotas.js';
 import { countFirstSend } from './retryBudgets.js';
 import { noteLeft } from './rolloutEvidence.js';
-import { chooseFor, offer } from './sending.js';
+import { chooseServerFor, sendOrGiveUp } from './sending.js';
 import { isTooLateToTake } from './stopping.js';
 import { refuseOverLimit, sendOrAwaitUnits } from './waitingSends.js';
 
@@ -30,16 +35,16 @@
   step: Step,
   event: EventOf<'requestArrived'>,
 ): void {
-  if (!knowsEnough(state)) return awaitStart(state, step, event);
-  takeRequest(state, step, { ...event, arrivedAtMs: step.nowMs });
+  if (!isReadyForRequests(state)) return addPendingRequest(state, step, event);
+  acceptRequest(state, step, { ...event, arrivedAtMs: step.nowMs });
 }
 
 /** Takes the requests that waited for configuration and servers. */
-export function awaitingTick(state: GatewayState, step: Step): void {
-  for (const request of takeAwaiting(state, step)) takeRequest(state, step, request);
+export function pendingRequestsTick(state: GatewayState, step: Step): void {
+  for (const request of takeReadyRequests(state, step)) acceptRequest(state, step, request);
 }
 
-function takeRequest(state: GatewayState, step: Step, request: PendingRequest): void {
+function acceptRequest(state: GatewayState, step: Step, request: PendingRequest): void {
   const { exchangeId, facts, arrivedAtMs } = request;
   const { active } = state;
   const refuseNow = (status: number, reason: string, retryAfterMs?: number): void => {
@@ -55,19 +60,19 @@
   const workspace = facts.key === undefined ? undefined : active.workspaceByKey.get(facts.key);
   if (needsKey && workspace === undefined) return refuseNow(401, 'unknownKey');
   const record = createRecord({ exchangeId, facts, route, workspace, nowMs: arrivedAtMs });
-  const crash = crashRefusal(state, step, record);
-  if (crash !== undefined) return refuseNow(crash.status, crash.reason, crash.retryAfterMs);
-  const choice = chooseFor(state, step, record);
+  const refusal = crashRefusal(state, step, record);
+  if (refusal !== undefined) return refuseNow(refusal.status, refusal.reason, refusal.retryAfterMs);
+  const choice = chooseServerFor(state, step, record);
   if (choice !== undefined && refuseIfLate(step, record, choice)) return;
-  const limitedMs = choice === undefined ? bookReturnMs(state, record, step.nowMs) : undefined;
-  if (limitedMs !== undefined) return refuseNow(503, SERVERS_LIMITED, limitedMs);
+  const retryAfterMs = choice === undefined ? bookReturnMs(state, record, step.nowMs) : undefined;
+  if (retryAfterMs !== undefined) return refuseNow(503, SERVERS_LIMITED, retryAfterMs);
   state.requests.set(exchangeId, record);
   if (workspace !== undefined && !chargeSend(state, record, workspace, step.nowMs)) {
     if (!sendOrAwaitUnits(state, step, record, workspace)) refuseOverLimit(state, step, record);
     return;
   }
   countFirstSend(state, record.service);
-  offer(state, step, record, choice);
+  sendOrGiveUp(state, step, record, choice);
 }
 
 function createRecord(params: {
@@ -83,7 +88,7 @@
     exchangeId,
     facts,
     route,
-    service: pickTarget(route, facts.requestId),
+    service: pickService(route, facts.requestId),
     workspace: workspace?.name,
     units: workspace === undefined ? 0 : unitsOf(workspace, facts),
     chargedAtMs: nowMs,
@@ -101,7 +106,7 @@
 }
 
 /** The service by the targets' weights; one request id always gets the same. */
-function pickTarget(route: RouteSpec, requestId: string): string {
+function pickService(route: RouteSpec, requestId: string): string {
   const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
   let point = hashShare(requestId) * total;
   for (const target of route.targets) {
@@ -119,7 +124,7 @@
 /** The caller closed its connection: whatever works for it stops. */
 export function onCallerGone(state: GatewayState, step: Step, event: EventOf<'callerGone'>): void {
   const record = state.requests.get(event.exchangeId);
-  if (record === undefined) return forgetAwaiting(state, event.exchangeId);
+  if (record === undefined) return removePendingRequest(state, event.exchangeId);
   noteLeft(state, step, record);
   cancelAll(state, step, record);
   state.requests.delete(event.exchangeId);
--- a/packages/reedlug-gateway/src/slices/repeats.ts
+++ b/packages/reedlug-gateway/src/slices/retries.ts
@@ -10,12 +10,12 @@
 import { log, type GatewayState, type Step } from '../state.js';
 import type { Attempt, RequestRecord } from '../types/request.js';
 import { CRASHES_SERVERS, suspectOf } from './crashSuspects.js';
-import { giveUp, isRepeatable } from './ending.js';
+import { giveUp, isRepeatable } from './requestCompletion.js';
 import { takeRepeat } from './retryBudgets.js';
 import { sendAgain } from './waitingSends.js';
 
 /** Least time left for which a further send is worth its place, in ms: a short plain request's work. */
-const MIN_SEND_MS = 30;
+const MIN_TIME_LEFT_MS = 30;
 /** Sends of one request at most, refused ones too: beyond it the service is full. */
 const MAX_SENDS = 3;
 
@@ -26,27 +26,32 @@
 }
 
 /** After a loss the request goes on elsewhere where it may, or ends. */
-export function afterLoss(
+export function retryAfterLoss(
   state: GatewayState,
   step: Step,
   found: RequestAttempt,
   reason: string,
 ): void {
   found.record.excludedServers.add(found.attempt.serverId);
-  goOn(state, step, found, reason);
+  retryOrGiveUp(state, step, found, reason);
 }
 
 /** After the end of a server's life the request may go on at its next one, too. */
-export function afterLife(state: GatewayState, step: Step, found: RequestAttempt): void {
+export function retryAfterRestart(state: GatewayState, step: Step, found: RequestAttempt): void {
   found.record.excludedServers.delete(found.attempt.serverId);
-  goOn(state, step, found, 'serverBorn');
+  retryOrGiveUp(state, step, found, 'serverBorn');
 }
 
-function goOn(state: GatewayState, step: Step, found: RequestAttempt, reason: string): void {
+function retryOrGiveUp(
+  state: GatewayState,
+  step: Step,
+  found: RequestAttempt,
+  reason: string,
+): void {
   const { record } = found;
-  if (!mayBeTriedAgain(state, record)) return giveUp(state, step, record, CRASHES_SERVERS);
-  if (!mayRepeat(state, step, record)) return giveUp(state, step, record, reason);
-  repeat(state, step, found, reason);
+  if (!isBelowCrashLimit(state, record)) return giveUp(state, step, record, CRASHES_SERVERS);
+  if (!reserveRerun(state, step, record)) return giveUp(state, step, record, reason);
+  retry(state, step, found, reason);
 }
 
 /**
@@ -54,13 +59,13 @@
  * server crashed before, the loss may be the next crash: its caller may come again, and
  * is then sent by a box that knows.
  */
-function mayBeTriedAgain(state: GatewayState, record: RequestRecord): boolean {
+function isBelowCrashLimit(state: GatewayState, record: RequestRecord): boolean {
   const crashes = suspectOf(state, record)?.crashes.length ?? 0;
   return crashes + 1 < CRASHES_TO_KEEP_OUT;
 }
 
 /** Sends a request to another server after its own was lost, to the one chosen where that is done. */
-export function repeat(
+export function retry(
   state: GatewayState,
   step: Step,
   found: RequestAttempt,
@@ -78,8 +83,8 @@
 }
 
 /** Whether a request that may have run may go to another server now; takes it from the budget. */
-export function mayRepeat(state: GatewayState, step: Step, record: RequestRecord): boolean {
-  return mayRunAgain(record) && haveRoomForSend(state, step, record);
+export function reserveRerun(state: GatewayState, step: Step, record: RequestRecord): boolean {
+  return mayRunAgain(record) && reserveRetry(state, step, record);
 }
 
 /** Whether its kind and its route allow one run more than it may have had. */
@@ -90,7 +95,7 @@
 }
 
 /** A send that did not run may be made again at another server. */
-export function tryAgain(
+export function retryNotRun(
   state: GatewayState,
   step: Step,
   found: RequestAttempt,
@@ -99,7 +104,7 @@
   const { record, attempt } = found;
   record.excludedServers.add(attempt.serverId);
   const ranBefore = record.attempts.some((other) => mayHaveRun(other.reach));
-  const allowed = ranBefore ? mayRepeat(state, step, record) : haveRoomForSend(state, step, record);
+  const allowed = ranBefore ? reserveRerun(state, step, record) : reserveRetry(state, step, record);
   if (!allowed) return giveUp(state, step, record, reason);
   log(step, 'requestSentElsewhere', {
     request: record.facts.requestId,
@@ -110,8 +115,8 @@
 }
 
 /** Whether a further send is worth it and in the budget; takes it from there. */
-export function haveRoomForSend(state: GatewayState, step: Step, record: RequestRecord): boolean {
+export function reserveRetry(state: GatewayState, step: Step, record: RequestRecord): boolean {
   if (record.attempts.length >= MAX_SENDS) return false;
-  if (record.deadlineAtMs - step.nowMs < MIN_SEND_MS) return false;
+  if (record.deadlineAtMs - step.nowMs < MIN_TIME_LEFT_MS) return false;
   return takeRepeat(state, record.service);
 }
--- a/packages/reedlug-gateway/src/slices/rolloutEvidence.ts
+++ b/packages/reedlug-gateway/src/slices/rolloutEvidence.ts
@@ -1,5 +1,5 @@
 /** What sends show of both versions of a service during a roll-out. */
-import { serverOf } from './ending.js';
+import { serverOf } from './requestCompletion.js';
 import { modelOf } from './engineModels.js';
 import type { HeardPeer } from './fleet.js';
 import { addEvidence } from '../policy/rolloutVerdict.js';
--- a/packages/reedlug-gateway/src/slices/rolloutJudgement.ts
+++ b/packages/reedlug-gateway/src/slices/rolloutJudgement.ts
@@ -9,7 +9,7 @@
 import { countedPeers } from './fleet.js';
 import { evidenceOf } from './rolloutEvidence.js';
 import { enterPhase, isOver } from './rollouts.js';
-import { isBarred, isTarget, sampleShare } from './versionRule.js';
+import { isBlockedVersion, isTargetVersion, sampleShare } from './versionRule.js';
 
 /** Pause between looks at the evidence, in ms: as often as peers tell theirs. */
 const JUDGE_EVERY_MS = 200;
@@ -31,8 +31,10 @@
   const { service } = view.order;
   const evidence = evidenceOf(view, countedPeers(state, step.nowMs));
   const servers = serversOf(state, service);
-  const newOnes = servers.filter(({ entry }) => isTarget(view, entry));
-  const oldOnes = servers.filter(({ entry }) => !isTarget(view, entry) && !isBarred(view, entry));
+  const newOnes = servers.filter(({ entry }) => isTargetVersion(view, entry));
+  const oldOnes = servers.filter(
+    ({ entry }) => !isTargetVersion(view, entry) && !isBlockedVersion(view, entry),
+  );
   if (newOnes.length > 0) view.waitedMs ??= step.nowMs - view.orderedAtMs;
   layOutSample(state, view, { evidence, newOnes, oldServers: oldOnes.length });
   const found = judgeRollout(evidence, recentEvidence(view, evidence, step.nowMs));
--- a/packages/reedlug-gateway/src/slices/sending.ts
+++ b/packages/reedlug-gateway/src/slices/sending.ts
@@ -9,28 +9,28 @@
 import { bookReturnMs, SERVERS_LIMITED } from './statements/returnTimes.js';
 import { noteSendToStating } from './statements/eligibility.js';
 import { suspectKey, suspectOf } from './crashSuspects.js';
-import { giveUp, isRepeatable } from './ending.js';
+import { giveUp, isRepeatable } from './requestCompletion.js';
 import { carriesLoad, versionRule } from './versionRule.js';
 
 /** The best server for a request now; undefined when none may take it. */
-export function chooseFor(
+export function chooseServerFor(
   state: GatewayState,
   step: Step,
   record: RequestRecord,
-  avoid: ReadonlySet<string> = record.excludedServers,
+  excludedServers: ReadonlySet<string> = record.excludedServers,
 ): Choice | undefined {
   const params = {
     service: record.service,
     facts: record.facts,
     urgency: record.urgency,
-    avoid,
+    avoid: excludedServers,
     staysInZone: record.failedToConnect,
-    trialHash: trialHash(state, record),
+    trialHash: suspectHash(state, record),
     nowMs: step.nowMs,
   };
   const rule = versionRule(state, record);
   if (rule === undefined) return chooseServer(state, params);
-  const choice = chooseServer(state, { ...params, admits: rule.admits });
+  const choice = chooseServer(state, { ...params, admits: rule.isAllowed });
   if (choice !== undefined || !rule.isSample) return choice;
   // No server of the sample takes work: the request goes the usual way.
   return chooseServer(state, { ...params, admits: ({ entry }) => carriesLoad(state, entry) });
@@ -41,7 +41,7 @@
  * one server, and different ones mostly to different servers: so a culprit takes one server
  * at a time, and who merely ran beside it is not with it at the next crash.
  */
-function trialHash(state: GatewayState, record: RequestRecord): number | undefined {
+function suspectHash(state: GatewayState, record: RequestRecord): number | undefined {
   const suspect = suspectOf(state, record);
   const hasCrashes = suspect !== undefined && suspect.crashes.length > 0;
   const wasLost = record.attempts.some(
@@ -53,11 +53,11 @@
 }
 
 /** Sends a request to the best server, or gives it up. */
-export function offer(
+export function sendOrGiveUp(
   state: GatewayState,
   step: Step,
   record: RequestRecord,
-  choice = chooseFor(state, step, record),
+  choice = chooseServerFor(state, step, record),
 ): void {
   if (choice === undefined) {
     const retryAfterMs = bookReturnMs(state, record, step.nowMs);
--- a/packages/reedlug-gateway/src/slices/serverLives.ts
+++ b/packages/reedlug-gateway/src/slices/serverIncarnations.ts
@@ -2,12 +2,12 @@
 import type { GatewayState, Step } from '../state.js';
 import type { Attempt, RequestRecord } from '../types/request.js';
 import type { ServerView } from '../types/views.js';
-import { closeAttempt, reachWhenLost } from './ending.js';
-import { noteLifeOver, noteLostSend } from './lostServers.js';
-import { afterLife } from './repeats.js';
+import { closeAttempt, reachWhenLost } from './requestCompletion.js';
+import { recordIncarnationEnd, recordLostSend } from './lostServers.js';
+import { retryAfterRestart } from './retries.js';
 
 /** Takes the attempts that are open at a server's earlier life for lost: it is gone with all that it worked on. */
-export function loseAttempts(state: GatewayState, step: Step, earlier: ServerView): void {
+export function failOpenAttempts(state: GatewayState, step: Step, earlier: ServerView): void {
   const lost: { record: RequestRecord; attempt: Attempt }[] = [];
   for (const record of state.requests.values()) {
     for (const attempt of record.attempts) {
@@ -16,11 +16,11 @@
   }
   for (const { record, attempt } of lost) {
     closeAttempt(state, attempt, reachWhenLost(attempt));
-    noteLostSend(state, step, { record, attempt, view: earlier });
+    recordLostSend(state, step, { record, attempt, view: earlier });
     step.effects.push({ type: 'cancelAttempt', attemptId: attempt.attemptId });
   }
-  noteLifeOver(state, step, earlier.life);
+  recordIncarnationEnd(state, step, earlier.life);
   for (const found of lost) {
-    if (state.requests.has(found.record.exchangeId)) afterLife(state, step, found);
+    if (state.requests.has(found.record.exchangeId)) retryAfterRestart(state, step, found);
   }
 }
--- a/packages/reedlug-gateway/src/slices/servers.ts
+++ b/packages/reedlug-gateway/src/slices/servers.ts
@@ -17,32 +17,32 @@
 } from '../types/server.js';
 import { log, type GatewayState, type Step } from '../state.js';
 import type { ServerView } from '../types/views.js';
-import { noteLifeOver } from './lostServers.js';
-import { noteRegistryChange } from './registryNews.js';
-import { loseAttempts } from './serverLives.js';
+import { recordIncarnationEnd } from './lostServers.js';
+import { recordRegistryChange } from './registryGossip.js';
+import { failOpenAttempts } from './serverIncarnations.js';
 import { mayShowCopy } from './storeEra.js';
 import { mergeLeaving } from './statements/leaving.js';
 import { findStatements } from './statements/lifeStatements.js';
 
 /** How long after the store's return entries of living servers may be missing, in ms: the users' figure, about 2 s. */
-const LAPSE_WINDOW_MS = 2000;
+const EXPIRY_GRACE_MS = 2000;
 /** Shortest absence of the store in which entries lapse, in ms: under three heartbeats nothing does. */
-const LAPSING_ABSENCE_MS = 2000;
+const MIN_EXPIRING_OUTAGE_MS = 2000;
 
 /** Time after which an entry that came back with a copy is gone unless its server lives, in ms: three of the longest heartbeats, from the store's return, and a little. */
-const DOUBTED_MS = 6000;
+const UNCONFIRMED_MS = 6000;
 /** Time for which the last life of a server that is gone is known, in ms: no news of it is on its way any more. */
-const GONE_KNOWN_MS = 60_000;
+const GONE_RETENTION_MS = 60_000;
 
 /** Takes changes that a hub handed on; its revision covers them. */
-export function takeHubChanges(
+export function applyHubChanges(
   state: GatewayState,
   step: Step,
   params: { changes: readonly ServerChange[]; revision: number },
 ): void {
   for (const { id, entry } of params.changes) {
     const sinceMs = state.storeReturnedAtMs;
-    if (entry === undefined) onMissing(state, step, { id, source: 'hub', sinceMs });
+    if (entry === undefined) onEntryMissing(state, step, { id, source: 'hub', sinceMs });
     else onEntry(state, step, entry, 'hub');
   }
   if (!state.serversKnown) return;
@@ -55,7 +55,7 @@
   step: Step,
   event: EventOf<'serversRead'>,
 ): void {
-  if (event.source === 'peer' && !isPeersNewer(state, event)) return;
+  if (event.source === 'peer' && !isPeerRegistryNewer(state, event)) return;
   state.serversRevision = Math.max(state.serversRevision, event.revision);
   state.serversKnown = true;
   const present = new Set<string>();
@@ -65,22 +65,22 @@
       log(step, 'serverEntryUnreadable', { server: id, ...fault, revision });
     }
     if (entry === undefined) {
-      onMissing(state, step, { id, source: event.source, sinceMs: state.storeReturnedAtMs });
+      onEntryMissing(state, step, { id, source: event.source, sinceMs: state.storeReturnedAtMs });
       continue;
     }
     present.add(id);
-    if (event.whole && isDoubtful(state, step, entry)) doubt(state, step, entry);
+    if (event.whole && needsConfirmation(state, step, entry)) holdUnconfirmed(state, step, entry);
     else onEntry(state, step, entry, event.source);
   }
   if (!event.whole) return;
   const sinceMs = Math.max(state.storeReturnedAtMs, state.storeRestoredAtMs);
   for (const id of state.servers.keys()) {
-    if (!present.has(id)) onMissing(state, step, { id, source: event.source, sinceMs });
+    if (!present.has(id)) onEntryMissing(state, step, { id, source: event.source, sinceMs });
   }
 }
 
 /** A peer's registry counts when it is newer; a hub's also when it is as new, since its own removals raise no revision. */
-function isPeersNewer(state: GatewayState, event: EventOf<'serversRead'>): boolean {
+function isPeerRegistryNewer(state: GatewayState, event: EventOf<'serversRead'>): boolean {
   const { sender, revision } = event;
   const hub = sender?.boxId === state.hubId ? state.peers.get(state.hubId ?? '') : undefined;
   if (hub === undefined) return revision > state.serversRevision;
@@ -89,38 +89,46 @@
 }
 
 /** Whether an entry may be of a life that this box has seen go, and come back with a copy alone. */
-function isDoubtful(state: GatewayState, step: Step, { id, bornAtMs }: ServerEntry): boolean {
+function needsConfirmation(
+  state: GatewayState,
+  step: Step,
+  { id, bornAtMs }: ServerEntry,
+): boolean {
   const gone = state.goneServers.get(id);
   if (gone === undefined || state.servers.has(id) || !mayShowCopy(state, step.nowMs)) return false;
   return !isLaterIncarnation(bornAtMs, gone.bornAtMs);
 }
 
-function doubt(state: GatewayState, step: Step, entry: ServerEntry): void {
+function holdUnconfirmed(state: GatewayState, step: Step, entry: ServerEntry): void {
   if (state.unconfirmedServers.has(entry.id)) return;
-  state.unconfirmedServers.set(entry.id, { entry, untilMs: step.nowMs + DOUBTED_MS });
+  state.unconfirmedServers.set(entry.id, { entry, untilMs: step.nowMs + UNCONFIRMED_MS });
   log(step, 'serverDoubted', { server: entry.id });
 }
 
-function onEntry(state: GatewayState, step: Step, given: ServerEntry, source: string): void {
-  state.unconfirmedServers.delete(given.id);
-  const entry = withUsableSlots(given);
-  if (isOfEarlierLife(state, entry)) return;
-  const known = state.servers.get(given.id);
-  if (known === undefined && entry !== given) {
-    log(step, 'serverEntryOdd', { ...describe(given, source), slots: String(given.slots) });
+function onEntry(state: GatewayState, step: Step, received: ServerEntry, source: string): void {
+  state.unconfirmedServers.delete(received.id);
+  const entry = withValidSlots(received);
+  if (isOfEarlierIncarnation(state, entry)) return;
+  const known = state.servers.get(received.id);
+  if (known === undefined && entry !== received) {
+    log(step, 'serverEntryOdd', {
+      ...entryLogFields(received, source),
+      slots: String(received.slots),
+    });
   }
   const leaving = entry.state === ServerState.leaving;
-  const isBorn = known !== undefined && isLaterIncarnation(entry.bornAtMs, known.entry.bornAtMs);
-  const isNews = known === undefined || isBorn || known.entry.state !== entry.state;
-  if (isNews) noteRegistryChange(state, step, { id: entry.id, entry });
-  if (known === undefined || isBorn) {
+  const isRestarted =
+    known !== undefined && isLaterIncarnation(entry.bornAtMs, known.entry.bornAtMs);
+  const isChanged = known === undefined || isRestarted || known.entry.state !== entry.state;
+  if (isChanged) recordRegistryChange(state, step, { id: entry.id, entry });
+  if (known === undefined || isRestarted) {
     state.servers.set(entry.id, createView(state, entry));
     if (leaving) mergeLeaving(state, step, { life: incarnationOf(entry), source, isListed: true });
-    log(step, isBorn ? 'serverBorn' : 'serverAdded', describe(entry, source));
-    if (isBorn) loseAttempts(state, step, known);
+    log(step, isRestarted ? 'serverBorn' : 'serverAdded', entryLogFields(entry, source));
+    if (isRestarted) failOpenAttempts(state, step, known);
     return;
   }
-  if (known.expiresAtMs !== undefined) log(step, 'serverBack', describe(entry, source));
+  if (known.expiresAtMs !== undefined) log(step, 'serverBack', entryLogFields(entry, source));
   known.expiresAtMs = undefined;
   known.entry = entry;
   known.statements = findStatements(state, incarnationOf(entry));
@@ -129,14 +137,15 @@
 }
 
 /** Whether news are of a life before the one that is known: it never comes back. */
-function isOfEarlierLife(state: GatewayState, entry: ServerEntry): boolean {
+function isOfEarlierIncarnation(state: GatewayState, entry: ServerEntry): boolean {
   const { id, bornAtMs } = entry;
-  const knownMs = state.servers.get(id)?.entry.bornAtMs ?? state.goneServers.get(id)?.bornAtMs;
-  return isLaterIncarnation(knownMs, bornAtMs);
+  const latestKnownMs =
+    state.servers.get(id)?.entry.bornAtMs ?? state.goneServers.get(id)?.bornAtMs;
+  return isLaterIncarnation(latestKnownMs, bornAtMs);
 }
 
 /** Decisions divide by the places of a server: an entry without a whole number of them counts as one place. */
-function withUsableSlots(entry: ServerEntry): ServerEntry {
+function withValidSlots(entry: ServerEntry): ServerEntry {
   return Number.isInteger(entry.slots) && entry.slots >= 1 ? entry : { ...entry, slots: 1 };
 }
 
@@ -164,7 +173,7 @@
   };
 }
 
-function describe(entry: ServerEntry, source: string) {
+function entryLogFields(entry: ServerEntry, source: string) {
   return {
     server: entry.id,
     service: entry.service,
@@ -176,7 +185,7 @@
 }
 
 /** An entry is missing that may have lapsed at a time: its server stays a moment from then. */
-function onMissing(
+function onEntryMissing(
   state: GatewayState,
   step: Step,
   { id, source, sinceMs }: { id: string; source: string; sinceMs: number },
@@ -184,10 +193,10 @@
   state.unconfirmedServers.delete(id);
   const view = state.servers.get(id);
   if (view === undefined || view.expiresAtMs !== undefined) return;
-  const lapsesAtMs = sinceMs + LAPSE_WINDOW_MS;
-  if (step.nowMs < lapsesAtMs && !view.leaving) {
-    view.expiresAtMs = lapsesAtMs;
-    log(step, 'serverLapsed', describe(view.entry, source));
+  const expiresAtMs = sinceMs + EXPIRY_GRACE_MS;
+  if (step.nowMs < expiresAtMs && !view.leaving) {
+    view.expiresAtMs = expiresAtMs;
+    log(step, 'serverLapsed', entryLogFields(view.entry, source));
     return;
   }
   removeServer(state, step, view, source);
@@ -200,13 +209,13 @@
   view: ServerView,
   reason: string,
 ): void {
-  if (!view.leaving) noteLifeOver(state, step, view.life);
+  if (!view.leaving) recordIncarnationEnd(state, step, view.life);
   view.leaving = true;
   state.servers.delete(view.entry.id);
   const { id, bornAtMs } = view.entry;
   state.goneServers.set(id, { bornAtMs, goneAtMs: step.nowMs });
-  noteRegistryChange(state, step, { id: view.entry.id, entry: undefined });
-  log(step, 'serverGone', { ...describe(view.entry, reason), running: view.running });
+  recordRegistryChange(state, step, { id: view.entry.id, entry: undefined });
+  log(step, 'serverGone', { ...entryLogFields(view.entry, reason), running: view.running });
 }
 
 /** Notes that the store answers, or does not. */
@@ -219,20 +228,20 @@
   if (event.reachable === state.storeReachable) return;
   state.storeReachable = event.reachable;
   if (!event.reachable) state.storeLostAtMs = step.nowMs;
-  else if (wasAwayForAll(state, step)) state.storeReturnedAtMs = step.nowMs;
+  else if (wasDownForAllBoxes(state, step)) state.storeReturnedAtMs = step.nowMs;
   log(step, event.reachable ? 'storeRegained' : 'storeLost', {});
 }
 
 /** The store may have turned away just this box; then the entries of living servers did not lapse. */
-function wasAwayForAll(state: GatewayState, step: Step): boolean {
-  const awayMs = step.nowMs - state.storeLostAtMs;
-  return awayMs >= LAPSING_ABSENCE_MS && state.storeContactByPeerAtMs < state.storeLostAtMs;
+function wasDownForAllBoxes(state: GatewayState, step: Step): boolean {
+  const outageMs = step.nowMs - state.storeLostAtMs;
+  return outageMs >= MIN_EXPIRING_OUTAGE_MS && state.storeContactByPeerAtMs < state.storeLostAtMs;
 }
 
 /** Lets servers go whose entries did not come back. */
 export function serversTick(state: GatewayState, step: Step): void {
   for (const [id, { goneAtMs }] of state.goneServers) {
-    if (step.nowMs - goneAtMs > GONE_KNOWN_MS) state.goneServers.delete(id);
+    if (step.nowMs - goneAtMs > GONE_RETENTION_MS) state.goneServers.delete(id);
   }
   for (const { entry, untilMs } of [...state.unconfirmedServers.values()]) {
     if (step.nowMs >= untilMs) onEntry(state, step, entry, 'store');
--- a/packages/reedlug-gateway/src/slices/serviceLoad.ts
+++ b/packages/reedlug-gateway/src/slices/serviceLoad.ts
@@ -9,11 +9,11 @@
 /** The same while it falls, in ms: an engine that is given up costs its start again. */
 const FALL_SMOOTHING_MS = 20_000;
 /** Time from the first request until the load is taken to be known, in ms; until then the engines of the start are kept. */
-const LEARN_LOAD_MS = 5000;
+const LOAD_KNOWN_AFTER_MS = 5000;
 /** How long the engines of the start are kept while nobody asks anything, in ms: callers may come a while after the boxes. */
-const AWAIT_LOAD_MS = 60_000;
+const MAX_LOAD_WAIT_MS = 60_000;
 /** Shortest time that an average is over, in ms: one measurement. */
-const SHORTEST_SMOOTHING_MS = 250;
+const MIN_SMOOTHING_MS = 250;
 
 /** Measures prompt tokens to be read a second, and requests in progress, since the last measurement. */
 export function measureLoad(state: GatewayState, elapsedMs: number, nowMs: number): void {
@@ -27,28 +27,28 @@
   }
   const sinceMs = nowMs - (state.loadSinceMs ?? nowMs);
   const ratePerSecond = (added * 1000) / Math.max(1, elapsedMs);
-  follow(state.tokensPerSecond, { value: ratePerSecond, elapsedMs, sinceMs });
+  updateAverage(state.tokensPerSecond, { value: ratePerSecond, elapsedMs, sinceMs });
   for (const [service, value] of open) {
     const average = state.openRequests.get(service) ?? { recent: 0, long: 0 };
-    follow(average, { value, elapsedMs, sinceMs });
+    updateAverage(average, { value, elapsedMs, sinceMs });
     state.openRequests.set(service, average);
   }
 }
 
 /** Moves an average on; just after the first request it is over the time since. */
-function follow(
+function updateAverage(
   average: LoadAverage,
   sample: { value: number; elapsedMs: number; sinceMs: number },
 ): void {
   const { value, elapsedMs } = sample;
-  const sinceMs = Math.max(SHORTEST_SMOOTHING_MS, sample.sinceMs);
-  const shareOf = (smoothingMs: number): number =>
+  const sinceMs = Math.max(MIN_SMOOTHING_MS, sample.sinceMs);
+  const weightFor = (smoothingMs: number): number =>
     Math.min(1, elapsedMs / Math.min(smoothingMs, sinceMs));
-  average.recent += (value - average.recent) * shareOf(RISE_SMOOTHING_MS);
-  average.long += (value - average.long) * shareOf(FALL_SMOOTHING_MS);
+  average.recent += (value - average.recent) * weightFor(RISE_SMOOTHING_MS);
+  average.long += (value - average.long) * weightFor(FALL_SMOOTHING_MS);
 }
 
-function highest({ recent, long }: LoadAverage): number {
+function higherAverage({ recent, long }: LoadAverage): number {
   return Math.max(recent, long);
 }
 
@@ -75,13 +75,13 @@
 export function loadOf(state: GatewayState, service: string): ServiceLoad {
   const open = state.openRequests.get(service);
   return {
-    openRequests: open === undefined ? 0 : highest(open),
-    tokensPerSecond: highest(state.tokensPerSecond),
+    openRequests: open === undefined ? 0 : higherAverage(open),
+    tokensPerSecond: higherAverage(state.tokensPerSecond),
   };
 }
 
 /** Whether the load has been seen for long enough to order by it. */
 export function isLoadKnown(state: GatewayState, step: Step): boolean {
-  if (state.loadSinceMs === undefined) return step.nowMs - state.startedAtMs >= AWAIT_LOAD_MS;
-  return step.nowMs - state.loadSinceMs >= LEARN_LOAD_MS;
+  if (state.loadSinceMs === undefined) return step.nowMs - state.startedAtMs >= MAX_LOAD_WAIT_MS;
+  return step.nowMs - state.loadSinceMs >= LOAD_KNOWN_AFTER_MS;
 }
--- a/packages/reedlug-gateway/src/slices/versionRule.ts
+++ b/packages/reedlug-gateway/src/slices/versionRule.ts
@@ -14,12 +14,12 @@
 import { isOver } from './rollouts.js';
 
 /** Whether a server is of the version that is rolled out. */
-export function isTarget(view: RolloutView, entry: ServerEntry): boolean {
+export function isTargetVersion(view: RolloutView, entry: ServerEntry): boolean {
   return entry.version === view.order.targetVersion;
 }
 
 /** Whether a server is of a version whose roll-out did not end well. */
-export function isBarred(view: RolloutView, entry: ServerEntry): boolean {
+export function isBlockedVersion(view: RolloutView, entry: ServerEntry): boolean {
   return entry.version !== undefined && view.barred.includes(entry.version);
 }
 
@@ -27,14 +27,14 @@
 export function carriesLoad(state: GatewayState, entry: ServerEntry): boolean {
   const view = state.rollouts.get(entry.service);
   if (view === undefined) return true;
-  if (isBarred(view, entry)) return false;
-  const isMoved = view.phase === RolloutPhase.shifted || view.phase === RolloutPhase.completed;
-  return isMoved === isTarget(view, entry);
+  if (isBlockedVersion(view, entry)) return false;
+  const isShifted = view.phase === RolloutPhase.shifted || view.phase === RolloutPhase.completed;
+  return isShifted === isTargetVersion(view, entry);
 }
 
 /** Which servers a request may be sent to. */
 export interface VersionRule {
-  admits: (view: ServerView) => boolean;
+  isAllowed: (view: ServerView) => boolean;
   /** True when the request is one of the sample. */
   isSample: boolean;
 }
@@ -45,9 +45,9 @@
   if (view === undefined) return undefined;
   if (isInSample(state, view, record)) {
     const servers = view.phase === RolloutPhase.widened ? view.widenedServers : view.sampleServers;
-    return { admits: ({ entry }) => servers.has(entry.id), isSample: true };
+    return { isAllowed: ({ entry }) => servers.has(entry.id), isSample: true };
   }
-  return { admits: ({ entry }) => carriesLoad(state, entry), isSample: false };
+  return { isAllowed: ({ entry }) => carriesLoad(state, entry), isSample: false };
 }
 
 /** Only first sends are: a request that comes back after a failure goes to the old version. */
--- a/packages/reedlug-gateway/src/slices/waitingSends.ts
+++ b/packages/reedlug-gateway/src/slices/waitingSends.ts
@@ -10,7 +10,7 @@
 import type { EventOf } from '../types/event.js';
 import type { WorkspaceSpec } from '../types/configuration.js';
 import type { RequestRecord, WaitingSend } from '../types/request.js';
-import { giveUp, refuse } from './ending.js';
+import { giveUp, refuse } from './requestCompletion.js';
 import {
   chargeFurtherSend,
   chargeSend,
@@ -22,7 +22,7 @@
   timeToUnits,
 } from './quotas.js';
 import { countFirstSend } from './retryBudgets.js';
-import { offer } from './sending.js';
+import { sendOrGiveUp } from './sending.js';
 import { askForUnits, forgetOldAsks, returnLoans, takeLoan } from './unitLoans.js';
 
 /** Part of a route's target time for which a request may wait: with it the answer is hardly later. */
@@ -54,7 +54,8 @@
   record: RequestRecord,
   choice?: Choice,
 ): void {
-  if (chargeFurtherSend(state, record, step.nowMs)) return offer(state, step, record, choice);
+  if (chargeFurtherSend(state, record, step.nowMs))
+    return sendOrGiveUp(state, step, record, choice);
   const workspace = findWorkspace(state, record.workspace ?? '');
   if (workspace !== undefined && sendOrAwaitUnits(state, step, record, workspace)) return;
   refuseOverLimit(state, step, record);
@@ -82,7 +83,7 @@
 
 function go(state: GatewayState, step: Step, record: RequestRecord): void {
   if (record.attempts.length === 0) countFirstSend(state, record.service);
-  offer(state, step, record);
+  sendOrGiveUp(state, step, record);
 }
 
 /** Whether the request is still this box's to serve: its caller may have left, its time may be up. */
