--- a/packages/reedlug-gateway/src/slices/__tests__/attempts.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/attempts.test.ts
@@ -38,14 +38,14 @@
   expect(only(effects, 'refuse').status).to.equal(502);
 });
 
-test('a notice that its server refused may go to another server', () => {
+test('a notice that its server refused may be sent to another server', () => {
   const box = createServingBox();
   const { attemptId, order } = sendRequest(box, { path: '/notice/1' });
   const again = only(answer(box, attemptId, 'notRun', 503), 'send');
   expect(again.order.serverId).not.to.equal(order.serverId);
 });
 
-test('a notice that every server refused is refused as not run', () => {
+test('a notice that every server refused is answered as not run', () => {
   const box = createServingBox();
   const { attemptId } = sendRequest(box, { path: '/notice/1' });
   const again = only(answer(box, attemptId, 'notRun', 503), 'send');
@@ -73,7 +73,7 @@
   expect(only(effects, 'refuse').status).to.equal(502);
 });
 
-test('a stream that may be resumed goes on after its last event', () => {
+test('a stream that may be resumed continues after its last event', () => {
   const box = createServingBox();
   const { attemptId } = sendRequest(box, { path: '/draft/1', deadlineMs: 8000 });
   answer(box, attemptId, 'success');
@@ -91,14 +91,14 @@
   expect(ofType(effects, 'cutCaller')).to.have.length(1);
 });
 
-test('a caller that leaves stops its server at once', () => {
+test('a caller that disconnects cancels its attempt at once', () => {
   const box = createServingBox();
   const { attemptId } = sendRequest(box);
   const effects = box.take({ type: 'callerGone', exchangeId: 1 });
   expect(only(effects, 'cancelAttempt').attemptId).to.equal(attemptId);
 });
 
-test('at the end of its time a request gets a final answer', () => {
+test('at its deadline a request gets a final answer', () => {
   const box = createServingBox();
   sendRequest(box);
   const effects = box.pass(600);
@@ -106,14 +106,14 @@
   expect(ofType(effects, 'cancelAttempt')).to.have.length(1);
 });
 
-test('an address that another server has is not used again', () => {
+test('a server whose address another server has taken over is removed', () => {
   const box = createServingBox();
   const { attemptId, order } = sendRequest(box);
   answer(box, attemptId, 'otherServer', 421);
   expect(box.state.servers.has(order.serverId)).to.equal(false);
 });
 
-test('the retry budget ends repeats when every send is lost', () => {
+test('the retry budget limits retries when every send is lost', () => {
   const box = createServingBox();
   let repeats = 0;
   for (let exchangeId = 1; exchangeId <= 400; exchangeId += 1) {
@@ -131,7 +131,7 @@
   expect(repeats).to.be.at.least(20);
 });
 
-test('a dropped route is not found, and an unknown key is refused', () => {
+test('a removed route gets 404, and an unknown key 401', () => {
   const box = createServingBox();
   const take = (changes: Partial<RequestFacts>) =>
     only(box.take({ type: 'requestArrived', exchangeId: 1, facts: facts(changes) }), 'refuse');
@@ -143,7 +143,7 @@
   expect(take({}).status).to.equal(404);
 });
 
-/** A serving box with so many engines, of which each has a stream open that is heard. */
+/** Sends a draft request, which opens a stream, and returns its first send. */
 function sendDraft(box: TestBox, exchangeId: number, path = '/draft/1') {
   const request = facts({
     requestId: `draft-${exchangeId}`,
@@ -159,7 +159,7 @@
   return Array.from({ length: ms / 50 }, () => box.pass(50)).flat();
 }
 
-test('a stream whose server says nothing is sent to another one', () => {
+test('a stream whose server stays silent is sent to another one', () => {
   const box = createServingBox();
   const first = sendDraft(box, 1);
   expect(ofType(passTicks(box, 400), 'send')).to.have.length(0);
@@ -169,7 +169,7 @@
   expect(only(effects, 'cancelAttempt').attemptId).to.equal(first.attemptId);
 });
 
-test('a stream that goes silent in the middle is resumed after its last event', () => {
+test('a stream that goes silent midway is resumed after its last event', () => {
   const box = createServingBox();
   const { attemptId } = sendDraft(box, 1);
   answer(box, attemptId, 'success');
@@ -178,7 +178,7 @@
   expect(again.order.resumeAfterEventId).to.equal(4);
 });
 
-test('a slow request stays while its server is heard by others', () => {
+test('a slow request stays while its server still answers other requests', () => {
   const box = createServingBox();
   const first = sendDraft(box, 1);
   let other = sendDraft(box, 2);
@@ -197,13 +197,13 @@
   }
 });
 
-test('what may not be repeated stays with its silent server', () => {
+test('a request that may not be repeated stays with its silent server', () => {
   const box = createServingBox();
   sendDraft(box, 1, '/review/1');
   expect(ofType(passTicks(box, 3000), 'send')).to.have.length(0);
 });
 
-test('a silent server gets nothing more while another one is heard', () => {
+test('a silent server gets no more requests while another one answers', () => {
   const box = createServingBox();
   const first = sendDraft(box, 1, '/review/1');
   box.pass(600);
@@ -215,7 +215,7 @@
   }
 });
 
-test('only answers that came well teach what a server can do', () => {
+test('only successful answers count for the performance model', () => {
   const recordedSends = (verdict: AnswerVerdict, status: number): number => {
     const box = createServingBox();
     const { attemptId } = sendRequest(box, { path: '/notice/1' });
--- a/packages/reedlug-gateway/src/slices/__tests__/capacity.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/capacity.test.ts
@@ -32,7 +32,7 @@
   expect(ordersOf(box, 500)).to.have.length(0);
 });
 
-test('at the start reclaimable engines are ordered, and on-demand ones only until they serve', () => {
+test('at the start reclaimable engines are ordered, with on-demand ones only until they are ready', () => {
   const box = createServingBox();
   takeLease(box);
   const first = ordersOf(box, 300);
@@ -48,7 +48,7 @@
   expect(then.some(({ reclaimable }) => !reclaimable)).to.equal(true);
 });
 
-test('an order that was taken is not sent again under the same fence', () => {
+test('an accepted order is not sent again under the same fence', () => {
   const box = createServingBox();
   takeLease(box);
   const calls = ofType(box.pass(300), 'callCloud');
@@ -56,7 +56,7 @@
   expect(ordersOf(box, 300)).to.have.length(0);
 });
 
-test('an order that was not taken is sent again after a pause', () => {
+test('an order that was not accepted is sent again after a pause', () => {
   const box = createServingBox();
   takeLease(box);
   const calls = ofType(box.pass(300), 'callCloud');
@@ -67,7 +67,7 @@
   expect(ordersOf(box, 500)).to.have.length(calls.length);
 });
 
-test('a zone that refuses a reclaimable engine is not asked again for a while', () => {
+test('a zone that refuses a reclaimable engine gets no further order for a while', () => {
   const box = createServingBox();
   takeLease(box);
   const calls = ofType(box.pass(300), 'callCloud');
@@ -77,7 +77,7 @@
   }
   const next = ordersOf(box, 300).filter(({ reclaimable }) => reclaimable);
   expect(next.find(({ zone }) => zone === 'zone-a')?.wanted).to.equal(0);
-  // Zone-b keeps what its on-demand engine leaves of the four that it may hold.
+  // The maximum of zone-b is four engines, one of which is its on-demand engine.
   expect(box.state.orders.get('engines zone-b reclaimable')?.call.wanted).to.equal(3);
   expect(next.find(({ zone }) => zone === 'zone-b')).to.equal(undefined);
 });
@@ -103,7 +103,7 @@
   );
 });
 
-test('a crash is no reclaim: only engines that say that they leave call for a reserve', () => {
+test('a crash is no reclaim: only engines that announce draining cause a reserve', () => {
   const reserveAfter = (state: ServerState | undefined): boolean => {
     const box = createServingBox();
     const entryOf = (id: string, change: Partial<ServerEntry> = {}): ServerEntry =>
@@ -128,11 +128,11 @@
   expect(reserveAfter(undefined)).to.equal(false);
 });
 
-/** A first holder of the lease, so many ms after its start. */
+/** Creates the first holder of the lease, `ms` after its start. */
 function startHolder(ms: number): TestBox {
   const box = createServingBox();
   takeLease(box);
-  // The lease's fixture lets time pass; a first start is as old as is asked.
+  // The lease fixture advances the clock, so the start time is set to the requested age.
   box.state.startedAtMs = box.nowMs - ms;
   return box;
 }
@@ -148,13 +148,13 @@
   box.take({ type: 'requestArrived', exchangeId, facts: request });
 }
 
-test('at a first start most on-demand engines are given up before anybody asks', () => {
+test('at a first start most on-demand engines are released before any request arrives', () => {
   const orders = ordersOf(startHolder(500), 300);
   expect(sum(orders, false)).to.equal(2);
   expect(sum(orders, true)).to.equal(6);
 });
 
-test('at a first start the limits tell how many engines to expect', () => {
+test('at a first start the number of engines follows from the limits', () => {
   const orderedFor = (ratePerSecond: number): number => {
     const box = createBox();
     applyRoomyConfiguration(box, ratePerSecond);
@@ -164,13 +164,13 @@
     return sum(ordersOf(box, 300), true);
   };
   expect(orderedFor(10_000)).to.equal(6);
-  // Half of it is read by 13 engines of 60 tokens a ms that are used at 0.38.
+  // 13 engines that read 60 tokens per ms at a utilization of 0.38 can read half of the limit.
   expect(orderedFor(600_000)).to.be.within(13, 22);
   expect(orderedFor(60_000_000)).to.equal(30);
   expect(orderedFor(0)).to.equal(6);
 });
 
-test('engines that were ordered at a first start stay while they come', () => {
+test('engines ordered at a first start stay ordered while they register', () => {
   const box = createBox();
   applyRoomyConfiguration(box, 600_000);
   box.take({ type: 'serversRead', whole: true, changes: [], revision: 1, source: 'store' });
@@ -185,14 +185,14 @@
   expect(sum(wanted, true)).to.equal(first);
 });
 
-test('at a first start engines that enter themselves late are counted', () => {
+test('at a first start engines that register late are counted', () => {
   const box = createBox();
   applyRoomyConfiguration(box);
   box.take({ type: 'serversRead', whole: true, changes: [], revision: 0, source: 'store' });
   takeLease(box);
   box.state.startedAtMs = box.nowMs;
   for (let index = 0; index < 20; index += 1) {
-    // One entry each 0.1 s, as heartbeats of 1.2 s and the store's delay bring them.
+    // One entry every 0.1 s, as with heartbeats of 1.2 s and the store's delay.
     const entry = server(`engine-${index}`, { service: 'engines', zone: 'zone-a' });
     const changes = [{ id: entry.id, entry }];
     const revision = index + 1;
@@ -205,7 +205,7 @@
   expect(sum(wanted, false)).to.equal(2);
 });
 
-/** Gives a box a configuration whose zones have room for many engines. */
+/** Applies a configuration whose zones may hold many engines. */
 function applyRoomyConfiguration(box: TestBox, ratePerSecond = 10_000): void {
   const [records, engines] = configuration().services;
   if (records === undefined || engines?.scaling === undefined) throw new Error('no services');
@@ -215,7 +215,7 @@
   box.take({ type: 'configurationRead', configuration: changed, source: 'store' });
 }
 
-test('at a first start as many reclaimable engines come as there were on-demand ones', () => {
+test('at a first start as many reclaimable engines are ordered as there were on-demand ones', () => {
   const box = createBox();
   applyRoomyConfiguration(box);
   const changes = Array.from({ length: 20 }, (_, index) => {
@@ -226,7 +226,7 @@
   takeLease(box);
   box.state.startedAtMs = box.nowMs - 500;
   box.pass(300);
-  // The platform empties those that were given up.
+  // The platform stops the released ones.
   const gone = changes.slice(2).map(({ id }) => ({ id, entry: undefined }));
   box.take({ type: 'serversRead', whole: false, changes: gone, revision: 2, source: 'store' });
   passAsHolder(box, 4000);
@@ -235,7 +235,7 @@
   expect(sum(wanted, false)).to.equal(2);
 });
 
-test('at a first start with callers the registry is awaited', () => {
+test('at a first start with load, orders wait until the registry has filled', () => {
   const box = startHolder(500);
   sendRequest(box, 1);
   expect(ordersOf(box, 300)).to.have.length(0);
@@ -249,14 +249,14 @@
   expect(ordersOf(box, 300)).to.have.length(0);
 });
 
-test('a box that takes the lease over knows the need that it has seen', () => {
+test('a box without the lease tracks the need, for when it acquires the lease', () => {
   const box = createServingBox();
   for (let exchangeId = 1; exchangeId <= 200; exchangeId += 1) sendRequest(box, exchangeId);
   for (let step = 0; step < 20; step += 1) box.pass(300);
   expect(box.state.stabilizedNeeds.get('engines')?.usual.value).to.be.greaterThan(3);
 });
 
-test('the engines of the start stay until the load has been seen for five seconds', () => {
+test('the initial engines stay until the load has been measured for five seconds', () => {
   const wantedAfter = (ms: number): number => {
     const box = startHolder(5000);
     sendRequest(box, 1);
@@ -265,11 +265,11 @@
     return sum(orders, true);
   };
   expect(wantedAfter(3000)).to.equal(6);
-  // Two at least, and as many again in the zone that may be lost.
+  // The minimum of two, and as many again in the zone that may be lost.
   expect(wantedAfter(7000)).to.equal(4);
 });
 
-test('engines that limit or rest count for what they take: others are ordered in their place', () => {
+test('engines that limit their rate or pause count by what they accept: others are ordered instead', () => {
   const wantedWith = (statement: ServerStatement | undefined): number => {
     const box = createServingBox();
     const entries = ['a', 'b', 'c', 'd'].map((id) =>
@@ -301,6 +301,6 @@
   expect(wantedWith(limitStatement(1))).to.be.above(usual);
   expect(wantedWith(limitStatement(1_000_000))).to.equal(usual);
   expect(wantedWith(restStatement(30_000))).to.be.above(usual);
-  // Over before another engine would be there.
+  // The pause ends before another engine would be ready.
   expect(wantedWith(restStatement(3000))).to.equal(usual);
 });
--- a/packages/reedlug-gateway/src/slices/__tests__/capacityUnderFaults.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/capacityUnderFaults.test.ts
@@ -1,6 +1,7 @@
 /**
- * Orders of engines over time, before a platform under virtual time: engines come
- * after their boot, zones are taken back, and reclaimable ones are then refused.
+ * Orders of engines over time, against a simulated platform in virtual time: engines become
+ * ready after their boot time, zones are reclaimed, and orders for reclaimable engines are
+ * refused for a while after that.
  */
 import { expect } from 'chai';
 import {
@@ -19,21 +20,21 @@
 const HEARTBEAT_MS = 1200;
 const SLOTS = 24;
 const ZONES = ['zone-a', 'zone-b', 'zone-c', 'zone-d'];
-/** Tokens to be read a second for each open request: so reading and places ask for about as much. */
+/** Prompt tokens per second for each open request, at which prefill and slots need about equally many engines. */
 const TOKENS_PER_OPEN_REQUEST = 1500;
 
 interface Scene {
   box: TestBox;
   /** Requests in progress over all boxes. */
   open: number;
-  /** Orders taken, by zone and kind. */
+  /** Accepted orders, by zone and kind. */
   wanted: Map<string, number>;
   starting: { dueMs: number; entry: ServerEntry }[];
-  /** Engines that were given up: they say that they leave after a heartbeat. */
+  /** Released engines, which announce after a heartbeat that they drain. */
   released: { announcedAtMs: number; entry: ServerEntry }[];
-  /** From an engine's start until its entry is read. */
+  /** Time from an engine's start until its entry is read. */
   entryDelayMs: number;
-  /** Until when no reclaimable engine is to be had anywhere. */
+  /** Time until which no zone has reclaimable engines. */
   outOfCapacityUntilMs: number;
   orders: number;
   nextId: number;
@@ -43,7 +44,7 @@
   return `${zone} ${reclaimable}`;
 }
 
-/** A holder whose service began with on-demand engines, and has callers. */
+/** Creates a lease holder whose service started with on-demand engines and has `open` requests in progress. */
 function startScene(open: number): Scene {
   const box = createBox();
   const [records, engines] = configuration().services;
@@ -100,7 +101,7 @@
     .map(({ entry }) => entry);
 }
 
-/** One tick: load, plans, and what the platform makes of the orders. */
+/** Runs one tick: load, plans, and what the platform does with the orders. */
 function tick(scene: Scene): void {
   const { box } = scene;
   const serving = readyEngines(scene);
@@ -170,7 +171,7 @@
   );
 }
 
-/** Lets time pass; `each` is called after every tick. */
+/** Advances the time and calls `each` after every tick. */
 function pass(scene: Scene, ms: number, each: () => void = () => undefined): void {
   for (let passed = 0; passed < ms; passed += TICK_MS) {
     tick(scene);
@@ -178,7 +179,7 @@
   }
 }
 
-/** Takes all reclaimable engines of a zone back after their notice; there are none for a while. Those that are starting elsewhere come or not. */
+/** Reclaims all reclaimable engines of a zone after their notice; no zone has any for a while. `othersArrive` keeps those that are starting in other zones. */
 function reclaimZone(scene: Scene, zone: string, othersArrive = false): void {
   const reclaimed = readyEngines(scene).filter((entry) => entry.zone === zone && entry.reclaimable);
   sendRegistryChanges(
@@ -198,12 +199,12 @@
   );
 }
 
-/** Share of the places that is taken. */
+/** Returns the share of the slots that is in use. */
 function utilization(scene: Scene): number {
   return scene.open / (readyEngines(scene).length * SLOTS);
 }
 
-test('a wave of the load moves few engines', () => {
+test('periodic load changes cause few orders', () => {
   const scene = startScene(60);
   pass(scene, 30_000);
   scene.orders = 0;
@@ -214,11 +215,11 @@
     highest = Math.max(highest, utilization(scene));
   }
   expect(highest).to.be.lessThan(0.5);
-  // Two waves: some zones get one engine more and give it back.
+  // In two periods, some zones get one more engine and release it again.
   expect(scene.orders).to.be.lessThan(14);
 });
 
-test('a burst of 1.7 times the load leaves places free', () => {
+test('a burst of 1.7 times the load leaves slots free', () => {
   const scene = startScene(60);
   pass(scene, 30_000);
   scene.open = 60 * 1.7;
@@ -227,7 +228,7 @@
   expect(highest).to.be.lessThan(0.65);
 });
 
-test('one zone taken back leaves what is needed', () => {
+test('one reclaimed zone leaves the engines that are needed', () => {
   const scene = startScene(60);
   pass(scene, 30_000);
   reclaimZone(scene, 'zone-b');
@@ -236,7 +237,7 @@
   expect(highest).to.be.lessThan(0.55);
 });
 
-test('two zones taken back in turn, without replacement, leave places free', () => {
+test('two zones reclaimed in turn, without replacement, leave slots free', () => {
   const scene = startScene(60);
   pass(scene, 30_000);
   let highest = 0;
@@ -248,7 +249,7 @@
   expect(highest).to.be.lessThan(0.7);
 });
 
-test('engines on their way to other zones come although a zone is taken back', () => {
+test('engines starting in other zones become ready although a zone is reclaimed', () => {
   const scene = startScene(40);
   pass(scene, 30_000);
   scene.open = 300;
@@ -258,13 +259,13 @@
   const there = readyEngines(scene).filter(({ zone }) => zone !== 'zone-b').length;
   reclaimZone(scene, 'zone-b', true);
   pass(scene, BOOT_MS);
-  // Cancelled with the refusal of more, 5 of 17 were left.
+  // When a refusal of more engines cancelled the starting ones, 5 of 17 were left.
   expect(readyEngines(scene).filter(({ reclaimable }) => reclaimable)).to.have.length(
     there + coming,
   );
 });
 
-test('engines that were given up are no reclaim', () => {
+test('released engines do not count as a reclaim', () => {
   const scene = startScene(120);
   pass(scene, 30_000);
   scene.open = 30;
@@ -272,7 +273,7 @@
     expect(passed).to.be.lessThan(120_000);
     tick(scene);
   }
-  // The load rises again while they are on their way out.
+  // The load rises again while they drain.
   scene.open = 400;
   pass(scene, 3000);
   const { outOfCapacityUntilMs, reclaimsExpectedUntilMs } = scene.box.state;
@@ -280,7 +281,7 @@
   expect([...outOfCapacityUntilMs]).to.deep.equal([]);
 });
 
-test('engines that enter themselves late are not given up', () => {
+test('engines that register late are not released', () => {
   const scene = startScene(40);
   pass(scene, 30_000);
   scene.entryDelayMs = 2600;
@@ -298,7 +299,7 @@
   expect(readyEngines(scene).filter(({ reclaimable }) => reclaimable).length).to.be.greaterThan(12);
 });
 
-test('a reclaim does not make orders swing', () => {
+test('a reclaim does not make orders oscillate', () => {
   const scene = startScene(60);
   pass(scene, 30_000);
   scene.orders = 0;
@@ -307,7 +308,7 @@
   expect(scene.orders).to.be.lessThan(32);
 });
 
-test('a holder that comes in the middle of a reclaim orders no engine away', () => {
+test('a new lease holder in the middle of a reclaim releases no engine', () => {
   const scene = startScene(60);
   pass(scene, 30_000);
   reclaimZone(scene, 'zone-b');
@@ -315,14 +316,14 @@
   const held = lease.held;
   if (held === undefined) throw new Error('no lease');
   lease.held = undefined;
-  // Nobody holds the lease for a while; this box goes on to follow the need.
+  // No box holds the lease for a while; this box still tracks the need.
   for (let passed = 0; passed < 3000; passed += TICK_MS) scene.box.pass(TICK_MS);
   const before = readyEngines(scene).length;
   lease.held = { ...held, fence: held.fence + 1, grantedAtMs: scene.box.nowMs };
   pass(scene, 3000, () => expect(readyEngines(scene).length).to.be.at.least(before));
 });
 
-test('without load a few engines are left after a while', () => {
+test('without load only a few engines are left after a while', () => {
   const scene = startScene(60);
   pass(scene, 30_000);
   scene.open = 0;
--- a/packages/reedlug-gateway/src/slices/__tests__/lateRefusals.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/lateRefusals.test.ts
@@ -8,10 +8,10 @@
 } from '../../__tests__/__fixtures__/box.js';
 import type { RequestFacts } from '../../types/request.js';
 
-/** A box at whose engines so many prompt tokens of an urgency wait. */
+/** Creates a box at whose engines `tokens` prompt tokens of the given urgency wait. */
 function createBusyBox(tokens: number, urgency: number): TestBox {
   const box = createServingBox();
-  // What was admitted before its start is supposed to have left the limits' window.
+  // A new box assumes earlier admissions; they leave the limits' window within this time.
   box.pass(20_000);
   for (const view of box.state.servers.values()) {
     if (view.entry.service !== 'engines') continue;
@@ -30,7 +30,7 @@
   return facts({ path: '/draft/1', ...prompt, ...changes });
 }
 
-test('a request that no engine begins in time is refused at once, and has not run', () => {
+test('a request that no engine can start in time is refused at once, and has not run', () => {
   const box = createBusyBox(200_000, 0);
   const effects = box.take({ type: 'requestArrived', exchangeId: 1, facts: draftRequest() });
   const { status, retryAfterMs } = only(effects, 'refuse');
@@ -40,19 +40,19 @@
   expect(box.state.requests.size).to.equal(0);
 });
 
-test('what was refused so counts against no limit', () => {
+test('a request refused as too late counts against no limit', () => {
   const box = createBusyBox(200_000, 0);
   box.take({ type: 'requestArrived', exchangeId: 1, facts: draftRequest() });
   expect(box.state.quotas.get('tiger')?.admitted ?? 0).to.equal(0);
 });
 
-test('prompts of less urgent requests hold nobody up', () => {
+test('prompts of less urgent requests do not delay a more urgent one', () => {
   const box = createBusyBox(200_000, 9);
   const effects = box.take({ type: 'requestArrived', exchangeId: 1, facts: draftRequest() });
   expect(ofType(effects, 'send')).to.have.length(1);
 });
 
-test('who has waited before goes ahead', () => {
+test('a request whose caller has waited before is still sent', () => {
   const box = createBusyBox(90_000, 0);
   const first = box.take({ type: 'requestArrived', exchangeId: 1, facts: draftRequest() });
   expect(ofType(first, 'send')).to.have.length(0);
--- a/packages/reedlug-gateway/src/slices/__tests__/serverIncarnationOrders.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/serverIncarnationOrders.test.ts
@@ -16,7 +16,7 @@
 
 const IDS = ['records-1', 'records-2'] as const;
 
-/** Something that a box hears of a server or a request, in whatever order. */
+/** An event about a server or a request; they occur in any order. */
 type GeneratedStep =
   | { kind: 'entry'; id: string; bornAtMs: number; leaving: boolean }
   | { kind: 'gone'; id: string }
@@ -53,7 +53,7 @@
   attemptId: number;
 }
 
-/** Plays what was drawn, and checks after each step what must hold of lives. */
+/** Runs generated steps, and checks the invariants of server incarnations after each one. */
 function playSteps(steps: readonly GeneratedStep[]): void {
   const box = createServingBox();
   const latest = new Map<string, number>();
@@ -150,7 +150,7 @@
   }
 }
 
-test('500 drawn orders of entries, answers and news leave each life its own', () => {
+test('500 generated orders of entries, answers and gossip never mix up incarnations', () => {
   fc.assert(
     fc.property(fc.array(generatedStep, { minLength: 5, maxLength: 60 }), (steps) =>
       playSteps(steps),
--- a/packages/reedlug-gateway/src/slices/__tests__/serverIncarnations.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/serverIncarnations.test.ts
@@ -14,7 +14,7 @@
 
 const STARTED_MS = 1_780_000_000_000;
 
-/** A box whose only engine is in its first life. */
+/** Creates a box whose only engine is in its first incarnation. */
 function createBoxWithEngine(): TestBox {
   const box = createServingBox(settings());
   const changes = [
@@ -46,7 +46,7 @@
   return only(box.take({ type: 'requestArrived', exchangeId, facts: request }), 'send');
 }
 
-test('a new life under a known id holds and knows nothing of the earlier one', () => {
+test('a new incarnation under a known id inherits nothing from the earlier one', () => {
   const box = createBoxWithEngine();
   const { attemptId } = openStream(box, 1);
   box.take({ type: 'attemptLost', exchangeId: 1, attemptId, reason: 'reset' });
@@ -63,7 +63,7 @@
   expect(next?.running).to.equal(0);
 });
 
-test('a draining life that is followed by a ready one takes work', () => {
+test('a ready incarnation accepts requests after a draining one', () => {
   const box = createBoxWithEngine();
   readEntry(box, { state: ServerState.leaving });
   expect(box.state.servers.get('engine-1')?.leaving).to.equal(true);
@@ -71,7 +71,7 @@
   expect(openStream(box, 1).order.serverId).to.equal('engine-1');
 });
 
-test('an entry of an earlier life changes nothing, also once the server is gone', () => {
+test('an entry of an earlier incarnation changes nothing, even after the server is gone', () => {
   const box = createBoxWithEngine();
   readEntry(box, { bornAtMs: STARTED_MS + 1 });
   readEntry(box, { state: ServerState.leaving }, 4);
@@ -84,7 +84,7 @@
   expect(box.state.servers.has('engine-1')).to.equal(true);
 });
 
-test('a stream of the earlier life goes on at the new one, what may not be repeated ends truly', () => {
+test('a stream of the earlier incarnation continues at the new one, and a request that may not be repeated ends', () => {
   const box = createBoxWithEngine();
   openStream(box, 1);
   openStream(box, 2, '/review/1');
@@ -96,17 +96,17 @@
   expect(only(effects, 'send').exchangeId).to.equal(1);
 });
 
-test('an end of the earlier life takes nothing from the new one', () => {
+test('a lost attempt of the earlier incarnation does not change the count of the new one', () => {
   const box = createBoxWithEngine();
   const { attemptId } = openStream(box, 1);
   readEntry(box, { bornAtMs: STARTED_MS + 1 });
   openStream(box, 2);
   box.take({ type: 'attemptLost', exchangeId: 1, attemptId, reason: 'reset' });
-  // The stream that went on there, and the second one.
+  // The stream that continued there, and the second one.
   expect(box.state.servers.get('engine-1')?.running).to.equal(2);
 });
 
-test('an entry without its time of birth is the life that is known', () => {
+test('an entry without a start time belongs to the known incarnation', () => {
   const box = createBoxWithEngine();
   const { attemptId } = openStream(box, 1);
   readEntry(box, { bornAtMs: undefined });
@@ -114,7 +114,7 @@
   expect(box.state.servers.get('engine-1')?.running).to.equal(0);
 });
 
-test('an entry that can not be read names no server, and is told', () => {
+test('an entry that can not be decoded removes the server and is logged', () => {
   const box = createBoxWithEngine();
   const fault = { field: 'slots', reason: 'invalid', revision: 3 };
   const changes = [{ id: 'engine-1', entry: undefined, fault }];
@@ -132,7 +132,7 @@
   expect(box.state.servers.has('engine-1')).to.equal(true);
 });
 
-test('members of a hub are told of a new life', () => {
+test('a datagram to members of a hub keeps the start time of an incarnation', () => {
   const entry = server('engine-1', { bornAtMs: STARTED_MS });
   const registry = { lastNumber: 1, changes: [{ number: 1, id: 'engine-1', entry }] };
   const sent = decodeDatagram(encodeDatagram(peerMessage({ registry })));
--- a/packages/reedlug-gateway/src/slices/__tests__/servers.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/servers.test.ts
@@ -20,13 +20,13 @@
   box.take({ type: 'storeContact', reachable: true });
 }
 
-test('a server whose entry goes is out at once', () => {
+test('a server whose entry is removed is removed at once', () => {
   const box = createServingBox();
   remove(box, 'records-1');
   expect(box.state.servers.has('records-1')).to.equal(false);
 });
 
-test('an entry that lapsed while the store was away keeps its server for a moment', () => {
+test('a server whose entry expired during an outage of the store stays for a moment', () => {
   const box = createServingBox();
   loseStore(box, 5000);
   remove(box, 'records-1');
@@ -38,7 +38,7 @@
   expect(box.state.servers.has('records-1')).to.equal(true);
 });
 
-test('a lapsed entry that is not back in time is gone', () => {
+test('a server whose expired entry does not reappear in time is removed', () => {
   const box = createServingBox();
   loseStore(box, 5000);
   box.pass(500);
@@ -47,14 +47,14 @@
   expect(box.state.servers.has('records-1')).to.equal(false);
 });
 
-test('an entry that goes right after a short loss of contact is out at once', () => {
+test('a server whose entry is removed after a short loss of contact is removed at once', () => {
   const box = createServingBox();
   loseStore(box, 300);
   remove(box, 'records-1');
   expect(box.state.servers.has('records-1')).to.equal(false);
 });
 
-test('an entry that goes while peers had the store is out at once', () => {
+test('a server whose entry is removed while peers reached the store is removed at once', () => {
   const box = createServingBox();
   box.take({ type: 'storeContact', reachable: false });
   box.pass(2000);
@@ -65,7 +65,7 @@
   expect(box.state.servers.has('records-1')).to.equal(false);
 });
 
-test('a peer that has not noticed the loss of the store yet changes nothing', () => {
+test('a peer that has not detected the outage of the store yet changes nothing', () => {
   const box = createServingBox();
   box.pass(5000);
   box.take({ type: 'storeContact', reachable: false });
@@ -77,7 +77,7 @@
   expect(box.state.servers.has('records-1')).to.equal(true);
 });
 
-test('a leaving server stays leaving when an older entry says ready', () => {
+test('a draining server stays draining when an older entry says ready', () => {
   const box = createServingBox();
   const leaving = server('records-1', { state: ServerState.leaving });
   const take = (entry: typeof leaving, revision: number): void => {
@@ -89,7 +89,7 @@
   expect(box.state.servers.get('records-1')?.leaving).to.equal(true);
 });
 
-test('an entry with absurd places counts as one place, and is logged', () => {
+test('an entry with an invalid slot count counts as one slot, and is logged', () => {
   for (const slots of [0, -3, Number.NaN, 1.5, undefined as unknown as number]) {
     const box = createServingBox();
     const changes = [{ id: 'records-9', entry: server('records-9', { slots }) }];
@@ -108,14 +108,14 @@
   }
 });
 
-/** The whole registry as the store gives it after it came back from a copy. */
+/** Reads the whole registry from a store that was restored from a backup. */
 function readBackup(box: TestBox, ids: readonly string[]): void {
   const changes = ids.map((id) => ({ id, entry: server(id) }));
   box.take({ type: 'storeEra', era: 2 });
   box.take({ type: 'serversRead', whole: true, changes, revision: 2 ** 42, source: 'store' });
 }
 
-test('a server that a copy of the store lacks stays until its entry is due again', () => {
+test('a server missing in a backup of the store stays until its entry is due again', () => {
   const box = createServingBox();
   box.take({ type: 'storeEra', era: 1 });
   readBackup(box, ['records-1']);
@@ -125,7 +125,7 @@
   expect(box.state.servers.has('records-2')).to.equal(false);
 });
 
-test('an entry that goes after the store came back is out at once', () => {
+test('a server whose entry is removed after the store was restored is removed at once', () => {
   const box = createServingBox();
   box.take({ type: 'storeEra', era: 1 });
   readBackup(box, ['records-1', 'records-2']);
@@ -133,7 +133,7 @@
   expect(box.state.servers.has('records-1')).to.equal(false);
 });
 
-test('a server that has left gets nothing though a copy of the store shows it', () => {
+test('a server that is gone gets no requests though a backup of the store contains it', () => {
   const box = createServingBox();
   box.take({ type: 'storeEra', era: 1 });
   remove(box, 'records-1');
@@ -142,12 +142,12 @@
   expect(isThere()).to.equal(false);
   box.pass(5900);
   expect(isThere()).to.equal(false);
-  // Its entry would have gone by then unless it lives.
+  // By then its entry would have expired if the server were not live.
   box.pass(200);
   expect(isThere()).to.equal(true);
 });
 
-test('a server that writes its entry after the store came back counts at once', () => {
+test('a server that writes its entry after the store was restored counts at once', () => {
   const box = createServingBox();
   box.take({ type: 'storeEra', era: 1 });
   remove(box, 'records-1');
@@ -157,7 +157,7 @@
   expect(box.state.servers.has('records-1')).to.equal(true);
 });
 
-test('a server that leaves goes on leaving though a copy of the store says ready', () => {
+test('a draining server stays draining though a backup of the store says ready', () => {
   const box = createServingBox();
   box.take({ type: 'storeEra', era: 1 });
   const changes = [{ id: 'records-1', entry: server('records-1', { state: ServerState.leaving }) }];
--- a/packages/reedlug-gateway/src/slices/attempts.ts
+++ b/packages/reedlug-gateway/src/slices/attempts.ts
@@ -1,4 +1,4 @@
-/** Attempts: what servers say of sends, and what follows. */
+/** Events of attempts (one attempt is one send of a request to a server): answers, losses, completion. */
 import { Reach } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
 import { RouteKind } from '../types/configuration.js';
@@ -30,7 +30,7 @@
   return { record, attempt };
 }
 
-/** No connection was had: the request has not run there. */
+/** No connection could be opened, so the request has not run there. */
 export function onAttemptNotSent(
   state: GatewayState,
   step: Step,
@@ -44,7 +44,7 @@
   retryNotRun(state, step, found, event.reason);
 }
 
-/** The head of an answer came: it may say something of its server. */
+/** The head of an answer arrived; its headers may carry statements of the server about itself. */
 export function onAnswerBegun(
   state: GatewayState,
   step: Step,
@@ -55,7 +55,7 @@
   takeAnswerStatements(state, step, { ...found, said: event.statements });
 }
 
-/** A plain answer, or the head and first event of a stream. */
+/** Handles a plain answer, or the head and first event of a stream. */
 export function onAttemptAnswered(
   state: GatewayState,
   step: Step,
@@ -110,14 +110,14 @@
   finishRequest(state, step, found, 'success');
 }
 
-/** A server's own failure goes to the caller as it is, unless the request may be repeated. */
+/** Relays a server's own failure to the caller unchanged, unless the request may be sent again. */
 function onFailure(state: GatewayState, step: Step, found: RequestAttempt, status: number): void {
   const { record, attempt } = found;
   recordRunStart(state, step, found);
   const view = serverOf(state, attempt);
   if (view !== undefined && status >= 500) noteFailure(view, step.nowMs);
   if (status >= 500) noteAnswer(state, step, { record, attempt, end: AnswerEnd.failed });
-  // An answer that is there goes to the caller where the limit holds no other run.
+  // If the workspace's limit has no units for another run, the caller gets this answer.
   const mayRetry = status >= 500 && !record.relayed && reserveRerun(state, step, record);
   if (mayRetry && chargeFurtherSend(state, record, step.nowMs)) {
     closeAttempt(state, attempt, Reach.answered);
@@ -139,7 +139,7 @@
   finishRequest(state, step, found, `status${status}`);
 }
 
-/** The run has begun: its prompt is read, and it counts for its workspace. */
+/** Records that the run has started: its prompt has been read, and it counts as usage of its workspace. */
 function recordRunStart(state: GatewayState, step: Step, found: RequestAttempt): void {
   const { record, attempt } = found;
   if (attempt.firstOutputAtMs === undefined) {
@@ -177,7 +177,7 @@
   });
 }
 
-/** Notes how far the caller has a stream. */
+/** Records the last event of a stream that the caller has received. */
 export function onEventsRelayed(
   state: GatewayState,
   step: Step,
@@ -190,7 +190,7 @@
   if (event.lastEventId !== undefined) found.record.lastEventId = event.lastEventId;
 }
 
-/** A stream came to its end. */
+/** A stream ended normally. */
 export function onAttemptEnded(
   state: GatewayState,
   step: Step,
@@ -229,7 +229,7 @@
   });
 }
 
-/** Notes that something came of an attempt. */
+/** Records that data arrived for an attempt, and so from its server. */
 function recordAttemptActivity(state: GatewayState, step: Step, attempt: Attempt): void {
   attempt.lastActivityAtMs = step.nowMs;
   const view = serverOf(state, attempt);
--- a/packages/reedlug-gateway/src/slices/capacity.ts
+++ b/packages/reedlug-gateway/src/slices/capacity.ts
@@ -1,8 +1,9 @@
 /**
- * Engines ordered from the platform, by the holder of the duty lease.
+ * Plans how many engines to order from the platform. Only the holder of the duty lease orders,
+ * which is one box at a time.
  *
- * Reclaimable engines carry the load. On-demand ones are kept only while the
- * reclaimable ones are not all there: at the start, and after a reclaim.
+ * Reclaimable engines carry the load. On-demand engines are kept only while reclaimable
+ * ones are missing: at the start, and after a reclaim.
  */
 import type { ScalingSpec, ServiceSpec } from '../types/configuration.js';
 import {
@@ -28,16 +29,16 @@
 import { measureLoad } from './serviceLoad.js';
 import { isRollingOut } from './versionRule.js';
 
-/** Pause between plans, in ms: an engine takes seconds to start, a reclaim gives two. */
+/** Interval between plans, in ms: an engine takes seconds to start, and a reclaim is announced two seconds ahead. */
 const PLAN_INTERVAL_MS = 250;
-/** How long after a reclaim more of them are expected, in ms: in logs of zones taken back in turn, the next one went 6 to 10 s later. */
+/** How long after a reclaim further ones are expected, in ms: when zones are reclaimed in turn, the next one follows 6 to 10 s later. */
 const RECLAIMS_EXPECTED_MS = 12_000;
-/** The fence of the first holder of all: nobody has ordered anything before. */
+/** Fence (a number that grows with each lease holder) of the very first one: no box has ordered anything before it. */
 const FIRST_FENCE = 1;
-/** Time from this box's start until it plans, in ms: two heartbeats, in which the registry fills. */
+/** Time from this box's start until it plans, in ms: two heartbeats, during which the registry fills. */
 const REGISTRY_FILL_MS = 3500;
 
-/** Plans and orders, while this box holds the lease. */
+/** Measures the load, and plans and orders engines while this box holds the duty lease. */
 export function capacityTick(state: GatewayState, step: Step): void {
   if (step.nowMs - state.plannedAtMs < PLAN_INTERVAL_MS) return;
   const elapsedMs = step.nowMs - state.plannedAtMs;
@@ -49,9 +50,9 @@
   for (const service of state.active.configuration.services) {
     if (service.scaling === undefined) continue;
     if (isBeforeFirstLoad(state, step)) recordInitialOnDemand(state, service.name);
-    // At a first start the engines that stand cost their full price: nothing is awaited.
+    // At a first start the on-demand engines already running cost their full price, so planning does not wait.
     const isFirstStart = fence === FIRST_FENCE && isBeforeFirstLoad(state, step);
-    // Every box follows the need, so that a new holder knows it.
+    // Every box tracks the need, so that a new lease holder knows it.
     const need = stabilizedNeed(state, step, service, isFirstStart);
     if (fence === undefined) continue;
     if (isFirstStart || !isRegistryFilling(state, step))
@@ -59,12 +60,12 @@
   }
 }
 
-/** True while entries may still be missing from the registry after this box's start. */
+/** Whether entries may still be missing from the registry after this box's start. */
 function isRegistryFilling(state: GatewayState, step: Step): boolean {
   return step.nowMs - state.startedAtMs < REGISTRY_FILL_MS;
 }
 
-/** What is there and what was ordered, by zone. */
+/** Returns the engines that are ready and those that were ordered, by zone. */
 function zoneOffers(
   state: GatewayState,
   step: Step,
@@ -109,7 +110,7 @@
   orderEngines(state, step, { service, plan, fence });
 }
 
-/** While two versions stand, none is given up: the platform may take the ones that came last, all of the new version. */
+/** Never lowers an order while two versions run: the platform may stop the newest engines, which all run the new version. */
 function keepOrdered(state: GatewayState, { name }: ServiceSpec) {
   return ({ zone, reclaimable, onDemand }: ZoneWanted): ZoneWanted => ({
     zone,
@@ -119,8 +120,8 @@
 }
 
 /**
- * Finds zones that have run dry: reclaimable engines there went that this box did
- * not give up, or did not come in time after the order was taken.
+ * Detects zones that are out of capacity: reclaimable engines disappeared there that this
+ * box did not release, or did not arrive in time after an accepted order.
  */
 function recordLosses(
   state: GatewayState,
@@ -140,12 +141,12 @@
   if (isLoss || isLate) recordOutOfCapacity(state, step, zone.service, zone.name);
   if (!isLoss) return;
   const isReclaimed = isBeingReclaimed(state, zone);
-  // In a reclaim those that were still to come there go with the others.
+  // A reclaim also takes the engines that were still starting in the zone.
   order.granted = isReclaimed ? zone.ready : Math.max(zone.ready, order.granted - lost);
   if (isReclaimed) recordReclaim(state, step, zone);
 }
 
-/** Engines that are taken back say so and leave; crashed ones are just gone. */
+/** Whether engines of a zone are draining: reclaimed engines announce that, crashed ones just disappear. */
 function isBeingReclaimed(state: GatewayState, zone: { service: string; name: string }): boolean {
   return [...state.servers.values()].some(
     ({ entry, leaving }) =>
--- a/packages/reedlug-gateway/src/slices/configuration.ts
+++ b/packages/reedlug-gateway/src/slices/configuration.ts
@@ -1,10 +1,10 @@
-/** Configuration: the newest version in force; never an older one. */
+/** The configuration in force: always the newest version that was read, never an older one. */
 import type { EventOf } from '../types/event.js';
 import type { Configuration, RouteSpec, WorkspaceSpec } from '../types/configuration.js';
 import { log, type GatewayState, type Step } from '../state.js';
 import type { ActiveConfiguration } from '../types/views.js';
 
-/** Takes a version, unless it is not newer than the one in force. */
+/** Puts a version into force if it is newer than the current one. */
 export function onConfigurationRead(
   state: GatewayState,
   step: Step,
@@ -41,7 +41,7 @@
   return { configuration, routesByHost, workspaceByKey };
 }
 
-/** The route of the longest prefix that begins the path, or undefined. */
+/** Returns the route with the longest matching path prefix, or undefined. */
 export function findRoute(
   active: ActiveConfiguration,
   host: string,
--- a/packages/reedlug-gateway/src/slices/engineModels.ts
+++ b/packages/reedlug-gateway/src/slices/engineModels.ts
@@ -1,4 +1,4 @@
-/** The figures of services, from this box's own sends and those that peers tell of. */
+/** Performance models of the engines of each service, fitted to the sends of this box and its peers. */
 import { serverOf } from './requestCompletion.js';
 import {
   addSendSums,
@@ -16,12 +16,12 @@
 import type { Attempt, RequestRecord } from '../types/request.js';
 import { countedPeers } from './fleet.js';
 
-/** Pause between fits, in ms: figures that halve in 15 s change by 2 % in it. */
+/** Interval between fits, in ms: sums with a half-life of 15 s change by 2 % in it. */
 const FIT_INTERVAL_MS = 500;
-/** Shortest expected time that a server's slowness is judged by, in ms: below it, network and timers decide. */
+/** Shortest time by which a server's slowness is evaluated, in ms: shorter ones mostly reflect network and timers. */
 const MIN_COMPARED_MS = 30;
 
-/** The figures of a service now. */
+/** Returns the current model of a service's engines. */
 export function modelOf(state: GatewayState, service: string, nowMs: number): EngineModel {
   const known = state.engineModels.get(service);
   if (known !== undefined && nowMs - known.fittedAtMs < FIT_INTERVAL_MS) return known.model;
@@ -40,7 +40,7 @@
   return model;
 }
 
-/** Takes the time to the first event of a send. */
+/** Records the time to the first event of a send, for the model and for the slowness of its server. */
 export function recordFirstEvent(
   state: GatewayState,
   step: Step,
@@ -62,7 +62,7 @@
   }
 }
 
-/** Takes how long a send that ended well kept its place. */
+/** Records how long a successful send occupied its slot. */
 export function recordSuccessfulEnd(
   state: GatewayState,
   step: Step,
@@ -80,7 +80,7 @@
   return own;
 }
 
-/** This box's sums as it tells them. */
+/** Returns this box's sums by service, as sent to its peers. */
 export function ownSendSums(state: GatewayState, nowMs: number): Record<string, SendSums> {
   const sumsByService: Record<string, SendSums> = {};
   for (const [service, own] of state.ownSends) {
--- a/packages/reedlug-gateway/src/slices/engineNeed.ts
+++ b/packages/reedlug-gateway/src/slices/engineNeed.ts
@@ -1,4 +1,4 @@
-/** Engines that a service needs: by its load, and before any load is known by what else is known. */
+/** Engines that a service needs: computed from its load, or estimated while the load is not known yet. */
 import { LimitUnit, type ServiceSpec, type WorkspaceSpec } from '../types/configuration.js';
 import {
   enginesNeeded,
@@ -13,17 +13,17 @@
 import { withMissingEngines } from './statements/missingEngines.js';
 import { isLoadKnown, loadOf } from './serviceLoad.js';
 
-/** How long a need is kept after it was last that high, in ms: an engine takes 4 s to start, and load comes in waves. */
+/** How long a need is kept after it was last that high, in ms: an engine takes 4 s to start, and the load fluctuates. */
 const USUAL_NEED_HOLD_MS = 20_000;
 const MIN_NEED_HOLD_MS = 5000;
-/** Part of all workspaces' limits that callers are taken to use before any load is known: on the users' sites, about half. */
+/** Share of all workspaces' limits that callers are assumed to use before the load is known: they typically use about half. */
 const EXPECTED_LIMIT_USE = 0.5;
-/** The most engines that are ordered for it, as a share of those that the zones may hold: limits may be far above what is asked. */
+/** Maximum number of engines ordered on that estimate, as a share of what the zones may hold: limits may be far above the actual load. */
 const MAX_EXPECTED_SHARE = 0.5;
-/** Time from this box's start up to which it may be a first start, in ms: of 55 engines the last entered itself after 5.9 s. */
+/** Time from this box's start during which a first start is possible, in ms: the last of 55 engines registered after 5.9 s. */
 const FIRST_START_WINDOW_MS = 7000;
 
-/** The need, which rises at once and falls only after a while. */
+/** Returns the need, which rises at once and falls only after its hold time. */
 export function stabilizedNeed(
   state: GatewayState,
   step: Step,
@@ -59,15 +59,15 @@
   return withMissingEngines(state, step, { spec, load, model, need });
 }
 
-/** Nothing is held yet. */
+/** Creates a need of zero engines that is not held. */
 function createStabilizedNeed(): StabilizedNeed {
   return { usual: { value: 0, untilMs: 0 }, least: { value: 0, untilMs: 0 } };
 }
 
 /**
- * Before the load is known, what is there or was ordered stays; at a first start, as many as the
- * limits let expect, as far as seen as many as the operators started with, and a few
- * for each zone at least.
+ * Returns the number of engines while the load is not known. Engines that are ready or ordered
+ * stay. At a first start it is the larger of the number that the limits suggest and the number
+ * of on-demand engines that the operators started with, and at least a few for each zone.
  */
 function initialEngineCount(
   state: GatewayState,
@@ -91,7 +91,7 @@
   return Math.max(ordered, firstReclaimable(zones.length, initialOnDemand));
 }
 
-/** Engines for the part of all limits that callers are likely to use; none where a workspace has no limit in tokens. */
+/** Returns the engines for the share of all limits that callers are likely to use; 0 where a workspace has no limit in tokens. */
 function enginesExpectedByLimits(state: GatewayState, step: Step, service: ServiceSpec): number {
   const { workspaces = [] } = state.active?.configuration ?? {};
   const hasLimit = ({ unit, ratePerSecond }: WorkspaceSpec): boolean =>
@@ -104,14 +104,14 @@
   return Math.min(maxExpected, needForLoad(state, step, service, load).usual);
 }
 
-/** True right after this box's start while nobody has asked anything. */
+/** Whether this box has just started and no request has arrived yet. */
 export function isBeforeFirstLoad(state: GatewayState, step: Step): boolean {
   return step.nowMs - state.startedAtMs < FIRST_START_WINDOW_MS && state.loadSinceMs === undefined;
 }
 
-/** Remembers the engines that the operators started with: so many are likely to be needed. */
+/** Records the on-demand engines that the operators started with: about as many are likely to be needed. */
 export function recordInitialOnDemand(state: GatewayState, service: string): void {
-  // With reclaimable ones there, it is no first start: then on-demand ones only stand in.
+  // If reclaimable engines are ready, this is not a first start, and on-demand ones only replace missing ones.
   if (countReady(state, { service, reclaimable: true }) > 0) return;
   const seen = state.initialOnDemand.get(service) ?? new Set();
   state.initialOnDemand.set(service, seen);
@@ -120,7 +120,7 @@
   }
 }
 
-/** Places of one engine, by the registry; by the configuration before there is an entry. */
+/** Returns the average number of slots of an engine by the registry, or by the configuration if no engine is registered. */
 function slotsPerEngine(state: GatewayState, service: ServiceSpec): number {
   let slots = 0;
   let engines = 0;
--- a/packages/reedlug-gateway/src/slices/engineOrders.ts
+++ b/packages/reedlug-gateway/src/slices/engineOrders.ts
@@ -1,4 +1,4 @@
-/** Orders of engines to the platform: what was ordered last, and what came of it. */
+/** Orders of engines to the platform, its answers, and the engines that each order granted or released. */
 import type { EventOf } from '../types/event.js';
 import type { ServiceSpec } from '../types/configuration.js';
 import type { ZoneWanted } from '../policy/engineTarget.js';
@@ -8,31 +8,31 @@
 import { loadOf } from './serviceLoad.js';
 import { carriesLoad } from './versionRule.js';
 
-/** Pause before an order that was refused or lost is sent again, in ms. */
+/** Time until an order that was refused or lost is sent again, in ms. */
 const ORDER_RETRY_MS = 1000;
-/** How long a zone is taken to have no reclaimable engines, in ms: the users' zones run dry for 5 to 14 s. */
+/** How long a zone is considered out of reclaimable engines, in ms: zones run out of them for 5 to 14 s at a time. */
 const OUT_OF_CAPACITY_MS = 5000;
 
-/** Time from an order until an engine that it gives up says that it leaves, in ms: three heartbeats and the store's delay. */
+/** Longest time from an order until an engine that it releases announces that it drains, in ms: three heartbeats and the store's delay. */
 const MAX_DRAIN_DELAY_MS = 4500;
 /**
- * How much later than its usual start an engine may be seen, in ms: a heartbeat of 1.2 s
- * until it enters itself, 0.8 s of the store, 0.4 s through a hub, and a slow box. With 2 s,
- * engines were taken for late and given up while they were entering themselves.
+ * How much later than its usual start time an engine may appear, in ms: a heartbeat of 1.2 s
+ * until it registers, 0.8 s in the store, 0.4 s through a hub, and a slow box. With 2 s,
+ * engines were considered late and released while they were registering.
  */
 export const BOOT_MARGIN_MS = 3500;
 
-/** Names a zone of a service. */
+/** Returns the key of a zone of a service. */
 export function zoneKey(service: string, zone: string): string {
   return `${service} ${zone}`;
 }
 
-/** Names the orders of one kind of engines in a zone. */
+/** Returns the key of the orders for one kind of engine in a zone. */
 export function orderKey(service: string, zone: string, reclaimable: boolean): string {
   return `${zoneKey(service, zone)} ${reclaimable ? 'reclaimable' : 'onDemand'}`;
 }
 
-/** Engines last ordered; before the first order of this box, those that are there. */
+/** Returns the number of engines last ordered; before this box's first order, the number that is ready. */
 export function lastOrderedCount(
   state: GatewayState,
   service: string,
@@ -44,10 +44,10 @@
 }
 
 /**
- * Reclaimable engines of a zone that are there, or on their way as the platform
- * granted them: an order for more that is refused takes nothing of those. Counting
- * only those that are there cancelled 36 of 64 engines half a second before they
- * came, when one zone was taken back (195 boxes).
+ * Returns the reclaimable engines of a zone that are ready, or starting because the platform
+ * granted them: a refused order for more does not revoke those. Counting only the ready ones
+ * cancelled 36 of 64 engines half a second before they were ready, when one zone was
+ * reclaimed on a site of 195 boxes.
  */
 export function countGranted(
   state: GatewayState,
@@ -59,7 +59,7 @@
   return Math.max(ready, order.granted);
 }
 
-/** No further reclaimable engines are to be had in a zone for a while. */
+/** Records that a zone has no further reclaimable engines for a while. */
 export function recordOutOfCapacity(
   state: GatewayState,
   step: Step,
@@ -69,7 +69,7 @@
   state.outOfCapacityUntilMs.set(zoneKey(service, zone), step.nowMs + OUT_OF_CAPACITY_MS);
 }
 
-/** Engines of one kind that take work, in one zone or in all; while two versions stand, those of the one that carries the load. */
+/** Counts the engines of one kind that accept requests, in one zone or in all; while two versions run, those of the version that carries the load. */
 export function countReady(
   state: GatewayState,
   params: { service: string; reclaimable: boolean; zone?: string },
@@ -84,7 +84,7 @@
   return count;
 }
 
-/** Orders what a plan wants, zone by zone; what is ordered already is not sent again. */
+/** Orders the engines of a plan, zone by zone; an order that was sent already is not repeated. */
 export function orderEngines(
   state: GatewayState,
   step: Step,
@@ -125,7 +125,7 @@
   const notBeforeMs = step.nowMs + ORDER_RETRY_MS;
   const sentAtMs = step.nowMs;
   const { granted, grantedAtMs } = last ?? { granted: 0, grantedAtMs: Number.NEGATIVE_INFINITY };
-  // The platform counts those that have not entered themselves yet, and may take others for them.
+  // The platform also counts engines that have not registered yet, and may stop others instead of them.
   const knownEngines = Math.max(countReady(state, wanted), granted);
   const surplus = Math.max(0, knownEngines - wanted.wanted);
   const releasedEngines = Math.max(surplus, stillDraining(last, step.nowMs));
@@ -148,16 +148,17 @@
   });
 }
 
-/** Engines that were given up a moment ago and may still be on their way out. */
+/** Returns how many engines were released so recently that they may still be draining. */
 function stillDraining(order: EngineOrder | undefined, nowMs: number): number {
   if (order === undefined || nowMs - order.sentAtMs > MAX_DRAIN_DELAY_MS) return 0;
   return order.releasedEngines;
 }
 
 /**
- * Takes engines that went from those that orders have given up; returns how many
- * went by themselves. An engine of its own orders taken for a reclaim made a holder
- * keep a reserve of on-demand ones for 12 s, and call the zone dry.
+ * Matches engines that disappeared with those that orders released, and returns how many
+ * were lost otherwise. When a lease holder mistook an engine that it had released for a
+ * reclaim, it kept a reserve of on-demand engines for 12 s and considered the zone out of
+ * capacity.
  */
 export function countLost(order: EngineOrder, gone: number, nowMs: number): number {
   const released = Math.min(gone, stillDraining(order, nowMs));
@@ -165,7 +166,7 @@
   return gone - released;
 }
 
-/** The figures that decided an order. */
+/** Returns the load and model values that decided an order, for the log. */
 function describeNeed(state: GatewayState, step: Step, service: string) {
   const load = loadOf(state, service);
   const model = modelOf(state, service, step.nowMs);
@@ -178,7 +179,7 @@
   };
 }
 
-/** Takes the platform's answer to an order; false when the call was no order. */
+/** Handles the platform's answer to an order; returns false if the call was not an order. */
 export function onOrderAnswered(
   state: GatewayState,
   step: Step,
--- a/packages/reedlug-gateway/src/slices/lateRefusals.ts
+++ b/packages/reedlug-gateway/src/slices/lateRefusals.ts
@@ -1,4 +1,4 @@
-/** Refusals of requests that no engine would begin in time. */
+/** Refusals of requests that no engine would start in time. */
 import type { Choice } from '../policy/chooseServer.js';
 import { decideSend } from '../policy/decideSend.js';
 import { spreadRetryMs } from '../policy/retrySpread.js';
@@ -7,10 +7,10 @@
 import type { RequestRecord } from '../types/request.js';
 import { refuse } from './requestCompletion.js';
 
-/** Share of a route's time below which a request's own says that its caller has waited before. */
+/** Share of a route's timeout; a request with a shorter deadline comes from a caller that has waited before. */
 const RETRY_DEADLINE_SHARE = 0.95;
 
-/** Refuses a stream that would begin too late at the best engine; true when it did. Nothing of it was sent or counted yet. */
+/** Refuses a stream that would start too late even at the best engine; returns whether it did. Runs before the request is sent or charged. */
 export function refuseIfLate(step: Step, record: RequestRecord, choice: Choice): boolean {
   const { route, facts, exchangeId, deadlineAtMs } = record;
   if (route.kind !== RouteKind.stream) return false;
--- a/packages/reedlug-gateway/src/slices/lostServers.ts
+++ b/packages/reedlug-gateway/src/slices/lostServers.ts
@@ -1,9 +1,9 @@
 /**
- * Servers with lost sends, until it is known whether they crashed.
+ * Tracks servers with lost sends until it is known whether they crashed.
  *
- * A reset of one connection, a drain, a reclaim and this box's own cancel are no crash.
- * A server that was not leaving has crashed when its port refuses a new connection right
- * after, when it is born again, or when its entry goes: the first says so some ms after
+ * A reset of one connection, a drain, a reclaim or a cancellation by this box is not a crash.
+ * A server that was not draining has crashed if its port refuses a new connection right
+ * after the loss, if it restarts, or if its entry disappears. The first is known some ms after
  * the loss, the others seconds later.
  */
 import { noteFailure, noteGone } from '../policy/serverHealth.js';
@@ -20,10 +20,10 @@
   suspectKey,
 } from './crashSuspects.js';
 
-/** Time for which it may still come out that a server has crashed, in ms: its entry goes after three heartbeats, or it is born again after some seconds. */
+/** How long after a loss a crash of the server may still be detected, in ms: its entry expires after three heartbeats, or it restarts after some seconds. */
 const CRASH_DETECTION_MS = 15_000;
 
-/** A send of this box was lost: it counts against its server, if that is still known. */
+/** Records a lost send of this box, as a failure of its server if that is still known. */
 export function recordLoss(
   state: GatewayState,
   step: Step,
@@ -35,7 +35,7 @@
   recordLostSend(state, step, { record, attempt, view });
 }
 
-/** Notes a send that its server will not answer, and asks whether the server is still there. */
+/** Records a send that its server will not answer, and probes whether the server is still up. */
 export function recordLostSend(
   state: GatewayState,
   step: Step,
@@ -60,17 +60,17 @@
   step.effects.push({ type: 'probeServer', life: view.life, address });
 }
 
-/** What came of a new connection to a server with lost sends. */
+/** Handles the result of a new connection to a server with lost sends. */
 export function onServerProbed(
   state: GatewayState,
   step: Step,
   event: EventOf<'serverProbed'>,
 ): void {
-  // A server that accepts may be the next life, and one that is silent may be cut off: both come out later.
+  // A server that accepts may be the next incarnation, and a silent one may be partitioned: both are detected later.
   if (event.outcome === 'refused') recordIncarnationEnd(state, step, event.life);
 }
 
-/** A server's life is over: what was lost there counts as under a crash. */
+/** Records the end of a server's incarnation: the sends lost there count as lost in a crash. */
 export function recordIncarnationEnd(state: GatewayState, step: Step, life: number): void {
   const lost = state.lostServers.get(life);
   if (lost === undefined || lost.isGone) return;
@@ -87,11 +87,11 @@
   { key, sentAtMs, lostAtMs }: LostServer['sends'][number],
 ): void {
   const crash = { serverId, bornAtMs, sentAtMs, endedAtMs: lostAtMs };
-  // A forwarder may take what comes after the end, and lose it: the server did not end under that.
+  // A forwarding proxy may accept and lose a request after the server has ended: that request did not crash it.
   if (!hasEndedBefore(state, crash)) noteCrash(state, step, key, crash);
 }
 
-/** Forgets servers of which nothing came out. */
+/** Removes servers for which no crash was detected in time. */
 export function lostServersTick(state: GatewayState, step: Step): void {
   for (const [life, { firstLostAtMs }] of state.lostServers) {
     if (step.nowMs - firstLostAtMs >= CRASH_DETECTION_MS) state.lostServers.delete(life);
--- a/packages/reedlug-gateway/src/slices/pendingRequests.ts
+++ b/packages/reedlug-gateway/src/slices/pendingRequests.ts
@@ -1,30 +1,30 @@
 /**
- * Requests that come before a box knows configuration and servers.
+ * Requests that arrive before a box knows its configuration and the servers.
  *
- * After a start both are read within some tens of ms, while callers that waited
- * for the box all come at once: they wait for it a moment longer.
+ * After a start both are read within some tens of ms, but callers that waited for the box
+ * all arrive at once. Their requests are held for a moment instead of being refused.
  */
 import type { EventOf } from '../types/event.js';
 import type { PendingRequest } from '../types/request.js';
 import type { GatewayState, Step } from '../state.js';
 import { refuse } from './requestCompletion.js';
 
-/** Longest wait for configuration and servers, in ms: the store answers in some ms, a slow one in 250. */
+/** Longest wait for configuration and servers, in ms: the store answers within a few ms, a slow one within 250. */
 const MAX_START_WAIT_MS = 300;
-/** When to come back to a box that knows neither yet, in ms: it asks the store again within half a second. */
+/** Retry-After time while the box lacks either of them, in ms: it asks the store again within half a second. */
 const NOT_STARTED_RETRY_MS = 500;
 
-/** Whether the box knows what it needs to take requests: configuration and servers, and its part of the limits. */
+/** Whether the box knows the configuration, the servers and its share of the limits, which it needs to accept requests. */
 export function isReadyForRequests(state: GatewayState): boolean {
   return canServe(state) && state.part.listRevision > 0;
 }
 
-/** Whether it could serve what no limit holds back, or what others lend units for. */
+/** Whether it could serve requests without a limit, and those for which other boxes lend units. */
 function canServe(state: GatewayState): boolean {
   return state.active !== undefined && state.serversKnown;
 }
 
-/** Keeps a request until the box knows enough. */
+/** Holds a request until the box is ready for it. */
 export function addPendingRequest(
   state: GatewayState,
   step: Step,
@@ -34,7 +34,7 @@
   state.pendingRequests.push({ exchangeId, facts, arrivedAtMs: step.nowMs });
 }
 
-/** Takes out the requests that may go on now; refuses those that waited long enough. */
+/** Removes and returns the requests that may proceed now, and refuses those that have waited too long. */
 export function takeReadyRequests(state: GatewayState, step: Step): PendingRequest[] {
   if (state.pendingRequests.length === 0) return [];
   if (isReadyForRequests(state)) return state.pendingRequests.splice(0);
@@ -50,7 +50,7 @@
   return [];
 }
 
-/** The caller of a request that waited is gone. */
+/** Removes a pending request whose caller has disconnected. */
 export function removePendingRequest(state: GatewayState, exchangeId: number): void {
   state.pendingRequests = state.pendingRequests.filter(
     (request) => request.exchangeId !== exchangeId,
--- a/packages/reedlug-gateway/src/slices/registryGossip.ts
+++ b/packages/reedlug-gateway/src/slices/registryGossip.ts
@@ -1,18 +1,19 @@
 /**
- * The registry of servers within a group: a hub hands its changes on with its
- * news, so that its members need not follow the store as well.
+ * The registry of servers within a group of boxes: a hub (the box that sums up its group's
+ * gossip) includes its changes in what it sends, so that its members need not follow the store
+ * as well.
  */
 import type { NumberedChange, RegistryGossip } from '../types/peer.js';
 import type { ServerChange } from '../types/server.js';
 import type { GatewayState, Step } from '../state.js';
 import type { PeerView } from '../types/views.js';
 
-/** Time for which a change is told, in ms: seven messages, of which some may be lost. */
+/** Time for which a change is announced, in ms: seven messages, of which some may be lost. */
 const ANNOUNCE_MS = 1500;
-/** Changes told at most; after more of them members ask for the whole. A datagram holds three times as many. */
+/** Maximum number of changes announced; members that missed more request the whole registry. A datagram holds three times as many. */
 const MAX_ANNOUNCED_CHANGES = 100;
 
-/** Notes a change of the registry as this box sees it. */
+/** Records a change of this box's view of the registry. */
 export function recordRegistryChange(state: GatewayState, step: Step, change: ServerChange): void {
   state.registryNumber += 1;
   const numbered: NumberedChange = { number: state.registryNumber, ...change };
@@ -20,7 +21,7 @@
   if (state.registryChanges.length > MAX_ANNOUNCED_CHANGES) state.registryChanges.shift();
 }
 
-/** The changes that members are told now. */
+/** Returns the changes to announce to members now. */
 export function registryGossip(state: GatewayState, nowMs: number): RegistryGossip {
   state.registryChanges = state.registryChanges.filter(({ atMs }) => nowMs - atMs <= ANNOUNCE_MS);
   const changes = state.registryChanges.map(({ change }) => change);
@@ -34,9 +35,9 @@
   | { kind: 'askWhole' };
 
 /**
- * Compares a hub's changes with those that were taken from it before. A box that has
- * read as new a registry from the store goes on from there: after a start of all boxes
- * each would else ask its hub for what it has just read.
+ * Compares a hub's changes with those that were applied before. A box that has read an
+ * equally recent registry from the store continues from there: otherwise, after a start of
+ * all boxes, each would request from its hub what it has just read.
  */
 export function nextRegistryUpdate(
   hub: PeerView,
--- a/packages/reedlug-gateway/src/slices/requestCompletion.ts
+++ b/packages/reedlug-gateway/src/slices/requestCompletion.ts
@@ -1,4 +1,4 @@
-/** Endings of a request: closed attempts, refusals, giving up. */
+/** Completion of requests: closing attempts, refusing and giving up. */
 import { mayHaveRun, Reach } from 'reedlug-coordination';
 import { RouteKind } from '../types/configuration.js';
 import type { Attempt, RequestFacts, RequestRecord } from '../types/request.js';
@@ -6,18 +6,18 @@
 import { noteRead } from '../policy/serverLoad.js';
 import type { ServerView } from '../types/views.js';
 
-/** When to come back after no server took a request, in ms: an engine's queue moves on in this time. */
+/** Retry-After time when no server accepted a request, in ms: an engine's queue advances in this time. */
 const NO_SERVER_RETRY_MS = 250;
-/** Shortest time to come back that is told, in ms: below it a caller comes back into the same state. */
+/** Shortest Retry-After time given, in ms: a caller that returns sooner finds the same state. */
 const MIN_RETRY_MS = 100;
 
-/** The server that an attempt was sent to; undefined once it is gone, or another life has its id. */
+/** Returns the server of an attempt; undefined once it is gone or a new incarnation has its id. */
 export function serverOf(state: GatewayState, attempt: Attempt): ServerView | undefined {
   const view = state.servers.get(attempt.serverId);
   return view?.life === attempt.life ? view : undefined;
 }
 
-/** Gives an attempt's place back. */
+/** Closes an attempt and frees its slot; returns its server if that is still known. */
 export function closeAttempt(
   state: GatewayState,
   attempt: Attempt,
@@ -33,12 +33,12 @@
   return view;
 }
 
-/** How far a send got whose server says nothing more. */
+/** Returns how far a send got whose server will not answer any more. */
 export function reachWhenLost(attempt: Attempt): Reach {
   return attempt.firstOutputAtMs !== undefined ? Reach.answered : Reach.maybe;
 }
 
-/** Closes every open attempt of a request and stops its servers. */
+/** Closes every open attempt of a request and cancels it at its server. */
 export function cancelAll(state: GatewayState, step: Step, record: RequestRecord): void {
   for (const attempt of record.attempts) {
     if (!attempt.open) continue;
@@ -47,7 +47,7 @@
   }
 }
 
-/** Answers with a status of this box; nothing of the request is kept. */
+/** Answers a request with a status of this box. Its record is no longer stored by then, or never was. */
 export function refuse(
   step: Step,
   params: {
@@ -71,7 +71,7 @@
   });
 }
 
-/** Gives a request its final answer when no server can finish it; one that has not run is told when to come back. */
+/** Gives a request its final answer when no server can finish it; one that has not run gets a Retry-After time. */
 export function giveUp(
   state: GatewayState,
   step: Step,
@@ -104,13 +104,13 @@
   });
 }
 
-/** 503 promises that the request has not run; 504 and 502 promise nothing. */
+/** Returns the final status: 503 guarantees that the request has not run, 504 and 502 guarantee nothing. */
 function failureStatus(params: { ran: boolean; timeIsUp: boolean }): number {
   if (params.timeIsUp) return 504;
   return params.ran ? 502 : 503;
 }
 
-/** True when a request may be sent again after a server may have run it. */
+/** Whether a request may be sent again after a server may have run it. */
 export function isRepeatable(record: RequestRecord): boolean {
   switch (record.route.kind) {
     case RouteKind.repeatable:
--- a/packages/reedlug-gateway/src/slices/requests.ts
+++ b/packages/reedlug-gateway/src/slices/requests.ts
@@ -1,4 +1,4 @@
-/** Requests: arrival, the caller's leaving, the end of their time. */
+/** Arrival of requests, disconnects of their callers, and deadlines. */
 import { hashShare } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
 import type { RouteSpec, WorkspaceSpec } from '../types/configuration.js';
@@ -22,14 +22,14 @@
 import { isTooLateToTake } from './stopping.js';
 import { refuseOverLimit, sendOrAwaitUnits } from './waitingSends.js';
 
-/** When to come back to another box after this one's planned stop refused, in ms. */
+/** Retry-After time of requests refused because this box is about to stop, in ms; another box serves them then. */
 const STOPPING_RETRY_MS = 100;
-/** The engine's scale of urgency, from 0 to this. */
+/** Largest value on the engines' urgency scale; 0 is the most urgent. */
 const MAX_URGENCY = 9;
-/** Steps of urgency between two priorities of workspaces, so that a route's priority decides within. */
+/** Urgency steps per workspace priority: a route's priority only orders requests within its workspace's steps. */
 const WORKSPACE_PRIORITY_STEP = 3;
 
-/** Takes a request whose body is whole. */
+/** Handles a request whose body has been received completely. */
 export function onRequestArrived(
   state: GatewayState,
   step: Step,
@@ -39,7 +39,7 @@
   acceptRequest(state, step, { ...event, arrivedAtMs: step.nowMs });
 }
 
-/** Takes the requests that waited for configuration and servers. */
+/** Accepts the requests that waited for configuration and servers. */
 export function pendingRequestsTick(state: GatewayState, step: Step): void {
   for (const request of takeReadyRequests(state, step)) acceptRequest(state, step, request);
 }
@@ -105,7 +105,7 @@
   };
 }
 
-/** The service by the targets' weights; one request id always gets the same. */
+/** Picks the service by the targets' weights, always the same one for a request id. */
 function pickService(route: RouteSpec, requestId: string): string {
   const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
   let point = hashShare(requestId) * total;
@@ -121,7 +121,7 @@
   return Math.min(MAX_URGENCY, base + Math.min(route.priority, WORKSPACE_PRIORITY_STEP - 1));
 }
 
-/** The caller closed its connection: whatever works for it stops. */
+/** Cancels a request whose caller has closed its connection. */
 export function onCallerGone(state: GatewayState, step: Step, event: EventOf<'callerGone'>): void {
   const record = state.requests.get(event.exchangeId);
   if (record === undefined) return removePendingRequest(state, event.exchangeId);
@@ -136,7 +136,7 @@
   });
 }
 
-/** Ends requests whose time is up. */
+/** Gives up requests whose deadline has passed. */
 export function requestsTick(state: GatewayState, step: Step): void {
   for (const record of state.requests.values()) {
     if (step.nowMs < record.deadlineAtMs) continue;
--- a/packages/reedlug-gateway/src/slices/retries.ts
+++ b/packages/reedlug-gateway/src/slices/retries.ts
@@ -1,8 +1,8 @@
 /**
- * Further sends of a request.
+ * Further sends of a request after one that failed.
  *
- * A request that a server may have run goes to another one only when it may be
- * repeated, within the route's number of attempts, its time and the budget.
+ * A request that a server may have run is sent to another one only if it may be
+ * repeated, and within the route's number of attempts, the deadline and the retry budget.
  */
 import { mayHaveRun } from 'reedlug-coordination';
 import { CRASHES_TO_KEEP_OUT } from '../policy/crashVerdict.js';
@@ -14,9 +14,9 @@
 import { takeRepeat } from './retryBudgets.js';
 import { sendAgain } from './waitingSends.js';
 
-/** Least time left for which a further send is worth its place, in ms: a short plain request's work. */
+/** Minimum time left for a further send, in ms: a short plain request takes about as long. */
 const MIN_TIME_LEFT_MS = 30;
-/** Sends of one request at most, refused ones too: beyond it the service is full. */
+/** Maximum number of sends of one request, including refused ones: after that many the service counts as full. */
 const MAX_SENDS = 3;
 
 /** A request and one of its attempts. */
@@ -25,7 +25,7 @@
   attempt: Attempt;
 }
 
-/** After a loss the request goes on elsewhere where it may, or ends. */
+/** Sends a request whose attempt was lost to another server, or gives it up. */
 export function retryAfterLoss(
   state: GatewayState,
   step: Step,
@@ -36,7 +36,7 @@
   retryOrGiveUp(state, step, found, reason);
 }
 
-/** After the end of a server's life the request may go on at its next one, too. */
+/** Sends a request again whose server has restarted; the new incarnation may serve it too. */
 export function retryAfterRestart(state: GatewayState, step: Step, found: RequestAttempt): void {
   found.record.excludedServers.delete(found.attempt.serverId);
   retryOrGiveUp(state, step, found, 'serverBorn');
@@ -55,16 +55,16 @@
 }
 
 /**
- * Whether a lost send is followed by another one of this box. Of a request under which a
- * server crashed before, the loss may be the next crash: its caller may come again, and
- * is then sent by a box that knows.
+ * Whether this box may send a request again after a loss. If a server has crashed under the
+ * request before, the loss may be another crash: the caller may retry, and by then the boxes
+ * know whether it was.
  */
 function isBelowCrashLimit(state: GatewayState, record: RequestRecord): boolean {
   const crashes = suspectOf(state, record)?.crashes.length ?? 0;
   return crashes + 1 < CRASHES_TO_KEEP_OUT;
 }
 
-/** Sends a request to another server after its own was lost, to the one chosen where that is done. */
+/** Sends a request again after its attempt was lost, to the given choice if there is one. */
 export function retry(
   state: GatewayState,
   step: Step,
@@ -82,19 +82,19 @@
   sendAgain(state, step, record, choice);
 }
 
-/** Whether a request that may have run may go to another server now; takes it from the budget. */
+/** Whether a request that may have run may be sent to another server now; charges the retry budget. */
 export function reserveRerun(state: GatewayState, step: Step, record: RequestRecord): boolean {
   return mayRunAgain(record) && reserveRetry(state, step, record);
 }
 
-/** Whether its kind and its route allow one run more than it may have had. */
+/** Whether the route of a request allows one more run than it may have had. */
 export function mayRunAgain(record: RequestRecord): boolean {
   if (!isRepeatable(record)) return false;
   const runs = record.attempts.filter(({ reach }) => mayHaveRun(reach)).length;
   return runs < record.route.maxAttempts;
 }
 
-/** A send that did not run may be made again at another server. */
+/** Sends a request that a server did not run to another one, or gives it up. */
 export function retryNotRun(
   state: GatewayState,
   step: Step,
@@ -114,7 +114,7 @@
   sendAgain(state, step, record);
 }
 
-/** Whether a further send is worth it and in the budget; takes it from there. */
+/** Whether a further send is within the limits of sends, time and retry budget; charges the budget. */
 export function reserveRetry(state: GatewayState, step: Step, record: RequestRecord): boolean {
   if (record.attempts.length >= MAX_SENDS) return false;
   if (record.deadlineAtMs - step.nowMs < MIN_TIME_LEFT_MS) return false;
--- a/packages/reedlug-gateway/src/slices/sending.ts
+++ b/packages/reedlug-gateway/src/slices/sending.ts
@@ -1,4 +1,4 @@
-/** Sends of requests to servers. */
+/** Choosing a server for a request and sending the request there. */
 import { describeRevision, hashString, Reach } from 'reedlug-coordination';
 import { chooseServer, notePartsRead, type Choice } from '../policy/chooseServer.js';
 import { noteUnread } from '../policy/serverLoad.js';
@@ -12,7 +12,7 @@
 import { giveUp, isRepeatable } from './requestCompletion.js';
 import { carriesLoad, versionRule } from './versionRule.js';
 
-/** The best server for a request now; undefined when none may take it. */
+/** Returns the best server for a request now, or undefined when none is eligible. */
 export function chooseServerFor(
   state: GatewayState,
   step: Step,
@@ -32,14 +32,15 @@
   if (rule === undefined) return chooseServer(state, params);
   const choice = chooseServer(state, { ...params, admits: rule.isAllowed });
   if (choice !== undefined || !rule.isSample) return choice;
-  // No server of the sample takes work: the request goes the usual way.
+  // No server of the sample accepts requests: the request goes to the version that carries the load.
   return chooseServer(state, { ...params, admits: ({ entry }) => carriesLoad(state, entry) });
 }
 
 /**
- * The place of a request that may be what crashed a server. Its copies at all boxes go to
- * one server, and different ones mostly to different servers: so a culprit takes one server
- * at a time, and who merely ran beside it is not with it at the next crash.
+ * Returns the hash that places a request that may have crashed a server. All boxes send copies
+ * of one such request to the same server, and different requests mostly to different servers.
+ * So a crashing request takes down one server at a time, and requests that merely ran
+ * alongside it are not on its server at the next crash.
  */
 function suspectHash(state: GatewayState, record: RequestRecord): number | undefined {
   const suspect = suspectOf(state, record);
@@ -52,7 +53,7 @@
   return hashString(suspectKey(record.workspace, record.facts.digest));
 }
 
-/** Sends a request to the best server, or gives it up. */
+/** Sends a request to the best server, or gives it up if there is none. */
 export function sendOrGiveUp(
   state: GatewayState,
   step: Step,
--- a/packages/reedlug-gateway/src/slices/serverIncarnations.ts
+++ b/packages/reedlug-gateway/src/slices/serverIncarnations.ts
@@ -1,4 +1,4 @@
-/** Lives of servers: what belongs to one ends with it. */
+/** Incarnations of servers (a server restarted under the same id is a new one): what runs at one ends with it. */
 import type { GatewayState, Step } from '../state.js';
 import type { Attempt, RequestRecord } from '../types/request.js';
 import type { ServerView } from '../types/views.js';
@@ -6,7 +6,7 @@
 import { recordIncarnationEnd, recordLostSend } from './lostServers.js';
 import { retryAfterRestart } from './retries.js';
 
-/** Takes the attempts that are open at a server's earlier life for lost: it is gone with all that it worked on. */
+/** Closes the attempts open at a server's earlier incarnation as lost: it has ended with everything it was working on. */
 export function failOpenAttempts(state: GatewayState, step: Step, earlier: ServerView): void {
   const lost: { record: RequestRecord; attempt: Attempt }[] = [];
   for (const record of state.requests.values()) {
--- a/packages/reedlug-gateway/src/slices/servers.ts
+++ b/packages/reedlug-gateway/src/slices/servers.ts
@@ -1,10 +1,11 @@
 /**
- * Backend servers: the registry's entries, and what this box's own sends say.
+ * Backend servers: the registry's entries, and what this box knows from its own sends.
  *
- * Leaving is sticky for an id. An entry that goes missing right after the store
- * was away, or came back from a copy, may only have lapsed: its server stays in use
- * for a moment, since a living one enters itself again at once. An entry of a server
- * that is gone may come back with a copy: it counts once it is written or stays.
+ * Draining is sticky for an incarnation. An entry that goes missing right after an outage of
+ * the store, or after the store was restored from a backup, may only have expired: its server
+ * stays in use for a moment, since a live one registers again at once. The entry of a server
+ * that is gone may reappear from a backup: it counts once it is written again, or if it is
+ * still there after a while.
  */
 import { describeRevision, hashId } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
@@ -24,17 +25,17 @@
 import { mergeLeaving } from './statements/leaving.js';
 import { findStatements } from './statements/lifeStatements.js';
 
-/** How long after the store's return entries of living servers may be missing, in ms: the users' figure, about 2 s. */
+/** How long after the store's return entries of live servers may be missing, in ms: they register again within about 2 s. */
 const EXPIRY_GRACE_MS = 2000;
-/** Shortest absence of the store in which entries lapse, in ms: under three heartbeats nothing does. */
+/** Shortest outage of the store in which entries expire, in ms: none does within three heartbeats. */
 const MIN_EXPIRING_OUTAGE_MS = 2000;
 
-/** Time after which an entry that came back with a copy is gone unless its server lives, in ms: three of the longest heartbeats, from the store's return, and a little. */
+/** Time after which an entry restored from a backup has expired unless its server is live, in ms: three of the longest heartbeats from the store's return, and a margin. */
 const UNCONFIRMED_MS = 6000;
-/** Time for which the last life of a server that is gone is known, in ms: no news of it is on its way any more. */
+/** How long the last incarnation of a server that is gone is remembered, in ms: after that no message about it is in transit any more. */
 const GONE_RETENTION_MS = 60_000;
 
-/** Takes changes that a hub handed on; its revision covers them. */
+/** Applies changes that a hub forwarded; the given revision includes them. */
 export function applyHubChanges(
   state: GatewayState,
   step: Step,
@@ -49,7 +50,7 @@
   state.serversRevision = Math.max(state.serversRevision, params.revision);
 }
 
-/** Takes entries of the registry. */
+/** Applies entries read from the registry. */
 export function onServersRead(
   state: GatewayState,
   step: Step,
@@ -79,7 +80,7 @@
   }
 }
 
-/** A peer's registry counts when it is newer; a hub's also when it is as new, since its own removals raise no revision. */
+/** Whether a peer's registry replaces this one: if it is newer, or for a hub also if it is equally new, since its own removals raise no revision. */
 function isPeerRegistryNewer(state: GatewayState, event: EventOf<'serversRead'>): boolean {
   const { sender, revision } = event;
   const hub = sender?.boxId === state.hubId ? state.peers.get(state.hubId ?? '') : undefined;
@@ -88,7 +89,7 @@
   return revision >= state.serversRevision;
 }
 
-/** Whether an entry may be of a life that this box has seen go, and come back with a copy alone. */
+/** Whether an entry may belong to an incarnation that this box has seen disappear, and be there only because of a backup. */
 function needsConfirmation(
   state: GatewayState,
   step: Step,
@@ -136,7 +137,7 @@
   if (leaving || known.statements?.leaving !== undefined) known.leaving = true;
 }
 
-/** Whether news are of a life before the one that is known: it never comes back. */
+/** Whether an entry is of an incarnation before the latest known one, which never comes back. */
 function isOfEarlierIncarnation(state: GatewayState, entry: ServerEntry): boolean {
   const { id, bornAtMs } = entry;
   const latestKnownMs =
@@ -144,12 +145,12 @@
   return isLaterIncarnation(latestKnownMs, bornAtMs);
 }
 
-/** Decisions divide by the places of a server: an entry without a whole number of them counts as one place. */
+/** Replaces a slot count that is not a positive integer by 1, since decisions divide by it. */
 function withValidSlots(entry: ServerEntry): ServerEntry {
   return Number.isInteger(entry.slots) && entry.slots >= 1 ? entry : { ...entry, slots: 1 };
 }
 
-/** A server as this box begins to know it: a new life holds and knows nothing of an earlier one. */
+/** Creates the view of a new server; a new incarnation inherits nothing from an earlier one. */
 function createView(state: GatewayState, entry: ServerEntry): ServerView {
   state.serverIncarnationCount += 1;
   const statements = findStatements(state, incarnationOf(entry));
@@ -184,7 +185,7 @@
   };
 }
 
-/** An entry is missing that may have lapsed at a time: its server stays a moment from then. */
+/** Handles a missing entry: it may have expired at `sinceMs`, so its server stays in use for a moment from then. */
 function onEntryMissing(
   state: GatewayState,
   step: Step,
@@ -202,7 +203,7 @@
   removeServer(state, step, view, source);
 }
 
-/** Takes a server out for good; requests in progress there go on. */
+/** Removes a server for good; requests in progress there continue. */
 export function removeServer(
   state: GatewayState,
   step: Step,
@@ -218,7 +219,7 @@
   log(step, 'serverGone', { ...entryLogFields(view.entry, reason), running: view.running });
 }
 
-/** Notes that the store answers, or does not. */
+/** Records whether the store answers. */
 export function onStoreContact(
   state: GatewayState,
   step: Step,
@@ -232,13 +233,13 @@
   log(step, event.reachable ? 'storeRegained' : 'storeLost', {});
 }
 
-/** The store may have turned away just this box; then the entries of living servers did not lapse. */
+/** Whether the store was down for all boxes: if only this box lost contact, the entries of live servers did not expire. */
 function wasDownForAllBoxes(state: GatewayState, step: Step): boolean {
   const outageMs = step.nowMs - state.storeLostAtMs;
   return outageMs >= MIN_EXPIRING_OUTAGE_MS && state.storeContactByPeerAtMs < state.storeLostAtMs;
 }
 
-/** Lets servers go whose entries did not come back. */
+/** Removes servers whose entries did not reappear, and applies restored entries that are still there. */
 export function serversTick(state: GatewayState, step: Step): void {
   for (const [id, { goneAtMs }] of state.goneServers) {
     if (step.nowMs - goneAtMs > GONE_RETENTION_MS) state.goneServers.delete(id);
--- a/packages/reedlug-gateway/src/slices/serviceLoad.ts
+++ b/packages/reedlug-gateway/src/slices/serviceLoad.ts
@@ -1,21 +1,21 @@
-/** What callers ask of the services whose engines can be ordered, over all boxes and averaged. */
+/** Load of the services whose engines can be ordered, over all boxes and averaged over time. */
 import type { ServiceLoad } from '../policy/engineTarget.js';
 import type { GatewayState, Step } from '../state.js';
 import type { LoadAverage } from '../types/views.js';
 import { countedPeers } from './fleet.js';
 
-/** Time over which the load is averaged while it rises, in ms: shorter than an engine's start. */
+/** Time over which a rising load is averaged, in ms: shorter than an engine's start. */
 const RISE_SMOOTHING_MS = 3000;
-/** The same while it falls, in ms: an engine that is given up costs its start again. */
+/** Time over which a falling load is averaged, in ms: an engine released too early costs another start. */
 const FALL_SMOOTHING_MS = 20_000;
-/** Time from the first request until the load is taken to be known, in ms; until then the engines of the start are kept. */
+/** Time from the first request until the load counts as known, in ms; until then the initial engines are kept. */
 const LOAD_KNOWN_AFTER_MS = 5000;
-/** How long the engines of the start are kept while nobody asks anything, in ms: callers may come a while after the boxes. */
+/** How long the initial engines are kept while no request arrives, in ms: callers may come a while after the boxes. */
 const MAX_LOAD_WAIT_MS = 60_000;
-/** Shortest time that an average is over, in ms: one measurement. */
+/** Shortest time over which the load is averaged, in ms: one measurement. */
 const MIN_SMOOTHING_MS = 250;
 
-/** Measures prompt tokens to be read a second, and requests in progress, since the last measurement. */
+/** Measures the prompt tokens to read per second since the last measurement, and the requests in progress. */
 export function measureLoad(state: GatewayState, elapsedMs: number, nowMs: number): void {
   const { workTokens, totalsFromBoxes, totalsFromHubs } = state;
   const total = workTokens + totalsFromBoxes.workTokens + totalsFromHubs.workTokens;
@@ -35,7 +35,7 @@
   }
 }
 
-/** Moves an average on; just after the first request it is over the time since. */
+/** Adds a sample to an average; shortly after the first request the average covers only the time since then. */
 function updateAverage(
   average: LoadAverage,
   sample: { value: number; elapsedMs: number; sinceMs: number },
@@ -52,7 +52,7 @@
   return Math.max(recent, long);
 }
 
-/** Requests in progress at the servers of each service that can be ordered, over all boxes. */
+/** Returns the requests in progress of each service whose engines can be ordered, over all boxes. */
 function openRequests(state: GatewayState, nowMs: number): Map<string, number> {
   const open = new Map<string, number>();
   for (const { name, scaling } of state.active?.configuration.services ?? []) {
@@ -71,7 +71,7 @@
   return open;
 }
 
-/** The load of a service: recent rises count at once, falls after a while. */
+/** Returns the load of a service, which follows rises quickly and falls slowly. */
 export function loadOf(state: GatewayState, service: string): ServiceLoad {
   const open = state.openRequests.get(service);
   return {
@@ -80,7 +80,7 @@
   };
 }
 
-/** Whether the load has been seen for long enough to order by it. */
+/** Whether the load has been measured for long enough to order engines by it. */
 export function isLoadKnown(state: GatewayState, step: Step): boolean {
   if (state.loadSinceMs === undefined) return step.nowMs - state.startedAtMs >= MAX_LOAD_WAIT_MS;
   return step.nowMs - state.loadSinceMs >= LOAD_KNOWN_AFTER_MS;
--- a/packages/reedlug-gateway/src/slices/silentServers.ts
+++ b/packages/reedlug-gateway/src/slices/silentServers.ts
@@ -1,4 +1,4 @@
-/** Requests whose server has gone silent: what may be repeated is sent to another one. */
+/** Detects attempts whose server has gone silent, and sends requests that may be repeated to another one. */
 import { lostAfterMs, silenceMs } from '../policy/serverSilence.js';
 import type { GatewayState, Step } from '../state.js';
 import type { Attempt, RequestRecord } from '../types/request.js';
@@ -8,7 +8,7 @@
 import { closeAttempt, reachWhenLost, serverOf } from './requestCompletion.js';
 import { chooseServerFor } from './sending.js';
 
-/** Looks for attempts that are lost. */
+/** Moves requests with a lost attempt to another server where they may run again. */
 export function silentServersTick(state: GatewayState, step: Step): void {
   for (const record of state.requests.values()) {
     const attempt = record.attempts.at(-1);
@@ -18,7 +18,7 @@
   }
 }
 
-/** Whether neither the attempt nor its server has been heard for long. */
+/** Whether both the attempt and its server have been silent for too long. */
 function isLost(state: GatewayState, step: Step, record: RequestRecord, attempt: Attempt): boolean {
   const expectedSilenceMs =
     attempt.firstOutputAtMs !== undefined ? (record.route.gapTargetMs ?? 0) : attempt.expectedMs;
@@ -28,7 +28,7 @@
   return view === undefined || silenceMs(view, step.nowMs) >= lostMs;
 }
 
-/** Leaves the server if the request may go on elsewhere; otherwise it stays until its time is up. */
+/** Sends the request to another server if it may run there; otherwise it stays until its deadline. */
 function moveToOtherServer(
   state: GatewayState,
   step: Step,
--- a/packages/reedlug-gateway/src/slices/versionRule.ts
+++ b/packages/reedlug-gateway/src/slices/versionRule.ts
@@ -1,8 +1,9 @@
 /**
- * Which servers a request may go to by their version, while a roll-out is in progress or over.
+ * Decides by version which servers a request may be sent to, during and after a roll-out.
  *
- * Exposure needs no count over boxes: each request is in the sample by its own id, so the
- * share holds whatever boxes die or are cut off, and only first sends are in it.
+ * The share of requests that are exposed to the new version needs no count over boxes: a
+ * request's own id decides whether it is in the sample. So the share holds even when boxes
+ * fail or are partitioned. Only first sends are in the sample.
  */
 import { hashShare } from 'reedlug-coordination';
 import { catchUpFactor, shareOfPhase } from '../policy/rolloutStep.js';
@@ -13,17 +14,17 @@
 import type { ServerView } from '../types/views.js';
 import { isOver } from './rollouts.js';
 
-/** Whether a server is of the version that is rolled out. */
+/** Whether a server runs the version that is being rolled out. */
 export function isTargetVersion(view: RolloutView, entry: ServerEntry): boolean {
   return entry.version === view.order.targetVersion;
 }
 
-/** Whether a server is of a version whose roll-out did not end well. */
+/** Whether a server runs a version whose roll-out did not complete. */
 export function isBlockedVersion(view: RolloutView, entry: ServerEntry): boolean {
   return entry.version !== undefined && view.barred.includes(entry.version);
 }
 
-/** Whether a server is of the version that carries its service's load now. */
+/** Whether a server runs the version that currently carries its service's load. */
 export function carriesLoad(state: GatewayState, entry: ServerEntry): boolean {
   const view = state.rollouts.get(entry.service);
   if (view === undefined) return true;
@@ -35,11 +36,11 @@
 /** Which servers a request may be sent to. */
 export interface VersionRule {
   isAllowed: (view: ServerView) => boolean;
-  /** True when the request is one of the sample. */
+  /** True when the request is in the sample. */
   isSample: boolean;
 }
 
-/** The rule for a request's next send; undefined where its service has no roll-out. */
+/** Returns the rule for a request's next send; undefined if its service has no roll-out. */
 export function versionRule(state: GatewayState, record: RequestRecord): VersionRule | undefined {
   const view = state.rollouts.get(record.service);
   if (view === undefined) return undefined;
@@ -50,7 +51,7 @@
   return { isAllowed: ({ entry }) => carriesLoad(state, entry), isSample: false };
 }
 
-/** Only first sends are: a request that comes back after a failure goes to the old version. */
+/** Whether a send is in the sample. Only first sends are: a request that is sent again after a failure goes to the old version. */
 function isInSample(state: GatewayState, view: RolloutView, record: RequestRecord): boolean {
   const { phase, order } = view;
   if (phase !== RolloutPhase.sampling && phase !== RolloutPhase.widened) return false;
@@ -59,13 +60,13 @@
   return hashShare(`${record.facts.requestId} ${order.revision}`) < share;
 }
 
-/** Whether two versions of a service stand side by side. */
+/** Whether two versions of a service run side by side. */
 export function isRollingOut(state: GatewayState, service: string): boolean {
   const view = state.rollouts.get(service);
   return view !== undefined && !isOver(view);
 }
 
-/** Share of the service's requests in the sample now. */
+/** Returns the share of the service's requests that is in the sample now. */
 export function sampleShare(state: GatewayState, view: RolloutView): number {
   const { order, waitedMs = 0, phase } = view;
   const share = shareOfPhase(phase, state.settings.bounds.exposeShare);
