--- a/packages/reedlug-gateway/src/slices/__tests__/capacity.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/capacity.test.ts
@@ -157,7 +157,7 @@
 test('at a first start the number of engines follows from the limits', () => {
   const orderedFor = (ratePerSecond: number): number => {
     const box = createBox();
-    applyRoomyConfiguration(box, ratePerSecond);
+    applyLargeZoneConfiguration(box, ratePerSecond);
     box.take({ type: 'serversRead', whole: true, changes: [], revision: 1, source: 'store' });
     takeLease(box);
     box.state.startedAtMs = box.nowMs - 500;
@@ -172,7 +172,7 @@
 
 test('engines ordered at a first start stay ordered while they register', () => {
   const box = createBox();
-  applyRoomyConfiguration(box, 600_000);
+  applyLargeZoneConfiguration(box, 600_000);
   box.take({ type: 'serversRead', whole: true, changes: [], revision: 1, source: 'store' });
   takeLease(box);
   box.state.startedAtMs = box.nowMs - 500;
@@ -187,7 +187,7 @@
 
 test('at a first start engines that register late are counted', () => {
   const box = createBox();
-  applyRoomyConfiguration(box);
+  applyLargeZoneConfiguration(box);
   box.take({ type: 'serversRead', whole: true, changes: [], revision: 0, source: 'store' });
   takeLease(box);
   box.state.startedAtMs = box.nowMs;
@@ -206,18 +206,18 @@
 });
 
 /** Applies a configuration whose zones may hold many engines. */
-function applyRoomyConfiguration(box: TestBox, ratePerSecond = 10_000): void {
+function applyLargeZoneConfiguration(box: TestBox, ratePerSecond = 10_000): void {
   const [records, engines] = configuration().services;
   if (records === undefined || engines?.scaling === undefined) throw new Error('no services');
-  const roomy = { ...engines, scaling: { ...engines.scaling, maxPerZone: 30 } };
+  const enginesService = { ...engines, scaling: { ...engines.scaling, maxPerZone: 30 } };
   const workspaces = configuration().workspaces.map((spec) => ({ ...spec, ratePerSecond }));
-  const changed = { ...configuration(), services: [records, roomy], workspaces };
+  const changed = { ...configuration(), services: [records, enginesService], workspaces };
   box.take({ type: 'configurationRead', configuration: changed, source: 'store' });
 }
 
 test('at a first start as many reclaimable engines are ordered as there were on-demand ones', () => {
   const box = createBox();
-  applyRoomyConfiguration(box);
+  applyLargeZoneConfiguration(box);
   const changes = Array.from({ length: 20 }, (_, index) => {
     const id = `engine-${index}`;
     return { id, entry: server(id, { service: 'engines', zone: 'zone-a' }) };
@@ -278,12 +278,12 @@
     const changes = entries.map((entry) => ({ id: entry.id, entry }));
     box.take({ type: 'serversRead', whole: false, changes, revision: 2, source: 'store' });
     const { services, ...others } = configuration({ version: 2 });
-    const roomy = services.map((service) => ({
+    const largeServices = services.map((service) => ({
       ...service,
       scaling: service.scaling && { ...service.scaling, maxPerZone: 40 },
     }));
-    const withRoom = { ...others, services: roomy };
-    box.take({ type: 'configurationRead', configuration: withRoom, source: 'store' });
+    const largeConfiguration = { ...others, services: largeServices };
+    box.take({ type: 'configurationRead', configuration: largeConfiguration, source: 'store' });
     takeLease(box);
     const incarnations = entries.map(({ id }) => ({ serverId: id, bornAtMs: undefined }));
     if (statement !== undefined) {
--- a/packages/reedlug-gateway/src/slices/engineOrders.ts
+++ b/packages/reedlug-gateway/src/slices/engineOrders.ts
@@ -112,22 +112,22 @@
 function sendOrder(
   state: GatewayState,
   step: Step,
-  wanted: Omit<EngineOrder['call'], 'kind'>,
+  target: Omit<EngineOrder['call'], 'kind'>,
   fence: number,
 ): void {
-  const key = orderKey(wanted.service, wanted.zone, wanted.reclaimable);
+  const key = orderKey(target.service, target.zone, target.reclaimable);
   const last = state.orders.get(key);
-  const isSame = last?.call.wanted === wanted.wanted && last.fence === fence;
-  if (isSame && (last.taken || step.nowMs < last.notBeforeMs)) return;
+  const isUnchanged = last?.call.wanted === target.wanted && last.fence === fence;
+  if (isUnchanged && (last.taken || step.nowMs < last.notBeforeMs)) return;
   const callId = state.nextCallId;
   state.nextCallId += 1;
-  const call: EngineOrder['call'] = { kind: 'orderEngines', ...wanted };
+  const call: EngineOrder['call'] = { kind: 'orderEngines', ...target };
   const notBeforeMs = step.nowMs + ORDER_RETRY_MS;
   const sentAtMs = step.nowMs;
   const { granted, grantedAtMs } = last ?? { granted: 0, grantedAtMs: Number.NEGATIVE_INFINITY };
   // The platform also counts engines that have not registered yet, and may stop others instead of them.
-  const knownEngines = Math.max(countReady(state, wanted), granted);
-  const surplus = Math.max(0, knownEngines - wanted.wanted);
+  const knownEngines = Math.max(countReady(state, target), granted);
+  const surplus = Math.max(0, knownEngines - target.wanted);
   const releasedEngines = Math.max(surplus, stillDraining(last, step.nowMs));
   state.orders.set(key, {
     call,
@@ -142,9 +142,9 @@
   });
   step.effects.push({ type: 'callCloud', callId, call, fence });
   log(step, 'enginesOrdered', {
-    ...wanted,
+    ...target,
     fence,
-    ...describeNeed(state, step, wanted.service),
+    ...describeNeed(state, step, target.service),
   });
 }
 
