--- a/packages/reedlug-gateway/src/slices/__tests__/capacityUnderTrouble.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/capacityUnderFaults.test.ts
@@ -1,6 +1,7 @@
 /**
- * Orders of engines over time, before a platform under virtual time: engines come
- * after their boot, zones are taken back, and reclaimable ones are then refused.
+ * Orders of engines over time, against a simulated platform in virtual time: engines become
+ * ready after their boot time, zones are reclaimed, and orders for reclaimable engines are
+ * refused for a while after that.
  */
 import { expect } from 'chai';
 import {
@@ -19,22 +20,22 @@
 const HEARTBEAT_MS = 1200;
 const SLOTS = 24;
 const ZONES = ['zone-a', 'zone-b', 'zone-c', 'zone-d'];
-/** Tokens to be read a second for each open request: so reading and places ask for about as much. */
+/** Prompt tokens per second for each open request, at which prefill and slots need about equally many engines. */
 const TOKENS_PER_OPEN_REQUEST = 1500;
 
 interface Scene {
   box: TestBox;
   /** Requests in progress over all boxes. */
   open: number;
-  /** Orders taken, by zone and kind. */
+  /** Accepted orders, by zone and kind. */
   wanted: Map<string, number>;
   starting: { dueMs: number; entry: ServerEntry }[];
-  /** Engines that were given up: they say that they leave after a heartbeat. */
-  givenUp: { saysAtMs: number; entry: ServerEntry }[];
-  /** From an engine's start until its entry is read. */
+  /** Released engines, which announce after a heartbeat that they drain. */
+  released: { announcedAtMs: number; entry: ServerEntry }[];
+  /** Time from an engine's start until its entry is read. */
   entryDelayMs: number;
-  /** Until when no reclaimable engine is to be had anywhere. */
-  dryUntilMs: number;
+  /** Time until which no zone has reclaimable engines. */
+  outOfCapacityUntilMs: number;
   orders: number;
   nextId: number;
 }
@@ -43,7 +44,7 @@
   return `${zone} ${reclaimable}`;
 }
 
-/** A holder whose service began with on-demand engines, and has callers. */
+/** Creates a lease holder whose service started with on-demand engines and has `open` requests in progress. */
 function startScene(open: number): Scene {
   const box = createBox();
   const [records, engines] = configuration().services;
@@ -61,27 +62,27 @@
     open: 0,
     wanted: new Map(),
     starting: [],
-    givenUp: [],
+    released: [],
     entryDelayMs: 0,
-    dryUntilMs: 0,
+    outOfCapacityUntilMs: 0,
     orders: 0,
     nextId: 0,
   };
   const entries = ZONES.flatMap((zone) =>
-    Array.from({ length: 4 }, () => engine(scene, zone, false)),
+    Array.from({ length: 4 }, () => createEngine(scene, zone, false)),
   );
-  tellRegistry(scene, entries);
+  sendRegistryChanges(scene, entries);
   takeLease(box);
   scene.open = open;
   return scene;
 }
 
-function engine(scene: Scene, zone: string, reclaimable: boolean): ServerEntry {
+function createEngine(scene: Scene, zone: string, reclaimable: boolean): ServerEntry {
   scene.nextId += 1;
   return server(`engine-${scene.nextId}`, { service: 'engines', zone, reclaimable, slots: SLOTS });
 }
 
-function tellRegistry(
+function sendRegistryChanges(
   scene: Scene,
   entries: readonly ServerEntry[],
   gone: readonly string[] = [],
@@ -94,16 +95,16 @@
   scene.box.take({ type: 'serversRead', whole: false, changes, revision: 1, source: 'store' });
 }
 
-function ready(scene: Scene): ServerEntry[] {
+function readyEngines(scene: Scene): ServerEntry[] {
   return [...scene.box.state.servers.values()]
     .filter(({ leaving }) => !leaving)
     .map(({ entry }) => entry);
 }
 
-/** One tick: load, plans, and what the platform makes of the orders. */
+/** Runs one tick: load, plans, and what the platform does with the orders. */
 function tick(scene: Scene): void {
   const { box } = scene;
-  const serving = ready(scene);
+  const serving = readyEngines(scene);
   for (const view of box.state.servers.values()) {
     view.running = view.leaving ? 0 : scene.open / serving.length;
   }
@@ -113,63 +114,64 @@
     scene.orders += 1;
     const key = keyOf(call.zone, call.reclaimable);
     const isMore = call.wanted > countOf(scene, call.zone, call.reclaimable);
-    const isRefused = call.reclaimable && isMore && box.nowMs < scene.dryUntilMs;
+    const isRefused = call.reclaimable && isMore && box.nowMs < scene.outOfCapacityUntilMs;
     if (!isRefused) scene.wanted.set(key, call.wanted);
     box.take({ type: 'cloudAnswered', callId, outcome: isRefused ? 'refused' : 'done' });
   }
-  followOrders(scene);
+  applyOrders(scene);
 }
 
 function countOf(scene: Scene, zone: string, reclaimable: boolean): number {
   const isOne = (entry: ServerEntry): boolean =>
     entry.zone === zone && entry.reclaimable === reclaimable;
   return (
-    ready(scene).filter(isOne).length + scene.starting.filter(({ entry }) => isOne(entry)).length
+    readyEngines(scene).filter(isOne).length +
+    scene.starting.filter(({ entry }) => isOne(entry)).length
   );
 }
 
-function followOrders(scene: Scene): void {
+function applyOrders(scene: Scene): void {
   const { box } = scene;
   for (const zone of ZONES) {
     for (const reclaimable of [true, false]) {
       const wanted = scene.wanted.get(keyOf(zone, reclaimable));
       if (wanted === undefined) continue;
-      const there = ready(scene).filter(
+      const ready = readyEngines(scene).filter(
         (entry) => entry.zone === zone && entry.reclaimable === reclaimable,
       );
-      for (const entry of there.slice(wanted)) giveUp(scene, entry);
-      const isDry = reclaimable && box.nowMs < scene.dryUntilMs;
-      while (!isDry && countOf(scene, zone, reclaimable) < wanted) {
-        const entry = engine(scene, zone, reclaimable);
+      for (const entry of ready.slice(wanted)) releaseEngine(scene, entry);
+      const isOutOfCapacity = reclaimable && box.nowMs < scene.outOfCapacityUntilMs;
+      while (!isOutOfCapacity && countOf(scene, zone, reclaimable) < wanted) {
+        const entry = createEngine(scene, zone, reclaimable);
         scene.starting.push({ dueMs: box.nowMs + BOOT_MS + scene.entryDelayMs, entry });
       }
     }
   }
-  tellGivenUp(scene);
+  announceReleased(scene);
   const due = scene.starting.filter(({ dueMs }) => dueMs <= box.nowMs);
   scene.starting = scene.starting.filter(({ dueMs }) => dueMs > box.nowMs);
-  tellRegistry(
+  sendRegistryChanges(
     scene,
     due.map(({ entry }) => entry),
   );
 }
 
-function giveUp(scene: Scene, entry: ServerEntry): void {
-  if (scene.givenUp.some((known) => known.entry.id === entry.id)) return;
-  scene.givenUp.push({ saysAtMs: scene.box.nowMs + HEARTBEAT_MS, entry });
+function releaseEngine(scene: Scene, entry: ServerEntry): void {
+  if (scene.released.some((known) => known.entry.id === entry.id)) return;
+  scene.released.push({ announcedAtMs: scene.box.nowMs + HEARTBEAT_MS, entry });
 }
 
-function tellGivenUp(scene: Scene): void {
+function announceReleased(scene: Scene): void {
   const { nowMs } = scene.box;
-  const leaving = scene.givenUp.filter(({ saysAtMs }) => saysAtMs <= nowMs);
-  scene.givenUp = scene.givenUp.filter(({ saysAtMs }) => saysAtMs > nowMs);
-  tellRegistry(
+  const leaving = scene.released.filter(({ announcedAtMs }) => announcedAtMs <= nowMs);
+  scene.released = scene.released.filter(({ announcedAtMs }) => announcedAtMs > nowMs);
+  sendRegistryChanges(
     scene,
     leaving.map(({ entry }) => ({ ...entry, state: ServerState.leaving })),
   );
 }
 
-/** Lets time pass; `each` is called after every tick. */
+/** Advances the time and calls `each` after every tick. */
 function pass(scene: Scene, ms: number, each: () => void = () => undefined): void {
   for (let passed = 0; passed < ms; passed += TICK_MS) {
     tick(scene);
@@ -177,32 +179,32 @@
   }
 }
 
-/** Takes all reclaimable engines of a zone back after their notice; there are none for a while. Those that are starting elsewhere come or not. */
-function takeBack(scene: Scene, zone: string, othersCome = false): void {
-  const taken = ready(scene).filter((entry) => entry.zone === zone && entry.reclaimable);
-  tellRegistry(
+/** Reclaims all reclaimable engines of a zone after their notice; no zone has any for a while. `othersArrive` keeps those that are starting in other zones. */
+function reclaimZone(scene: Scene, zone: string, othersArrive = false): void {
+  const reclaimed = readyEngines(scene).filter((entry) => entry.zone === zone && entry.reclaimable);
+  sendRegistryChanges(
     scene,
-    taken.map((entry) => ({ ...entry, state: ServerState.leaving })),
+    reclaimed.map((entry) => ({ ...entry, state: ServerState.leaving })),
   );
-  scene.dryUntilMs = scene.box.nowMs + 13_000;
+  scene.outOfCapacityUntilMs = scene.box.nowMs + 13_000;
   scene.starting = scene.starting.filter(
-    ({ entry }) => !entry.reclaimable || (othersCome && entry.zone !== zone),
+    ({ entry }) => !entry.reclaimable || (othersArrive && entry.zone !== zone),
   );
   scene.wanted.set(keyOf(zone, true), 0);
   pass(scene, NOTICE_MS);
-  tellRegistry(
+  sendRegistryChanges(
     scene,
     [],
-    taken.map(({ id }) => id),
+    reclaimed.map(({ id }) => id),
   );
 }
 
-/** Share of the places that is taken. */
-function use(scene: Scene): number {
-  return scene.open / (ready(scene).length * SLOTS);
+/** Returns the share of the slots that is in use. */
+function utilization(scene: Scene): number {
+  return scene.open / (readyEngines(scene).length * SLOTS);
 }
 
-test('a wave of the load moves few engines', () => {
+test('periodic load changes cause few orders', () => {
   const scene = startScene(60);
   pass(scene, 30_000);
   scene.orders = 0;
@@ -210,66 +212,68 @@
   for (let second = 0; second < 80; second += 1) {
     scene.open = 60 * (1 + 0.3 * Math.sin((second * 2 * Math.PI) / 40));
     pass(scene, 1000);
-    highest = Math.max(highest, use(scene));
+    highest = Math.max(highest, utilization(scene));
   }
   expect(highest).to.be.lessThan(0.5);
-  // Two waves: some zones get one engine more and give it back.
+  // In two periods, some zones get one more engine and release it again.
   expect(scene.orders).to.be.lessThan(14);
 });
 
-test('a burst of 1.7 times the load leaves places free', () => {
+test('a burst of 1.7 times the load leaves slots free', () => {
   const scene = startScene(60);
   pass(scene, 30_000);
   scene.open = 60 * 1.7;
   let highest = 0;
-  pass(scene, 8000, () => (highest = Math.max(highest, use(scene))));
+  pass(scene, 8000, () => (highest = Math.max(highest, utilization(scene))));
   expect(highest).to.be.lessThan(0.65);
 });
 
-test('one zone taken back leaves what is needed', () => {
+test('one reclaimed zone leaves the engines that are needed', () => {
   const scene = startScene(60);
   pass(scene, 30_000);
-  takeBack(scene, 'zone-b');
+  reclaimZone(scene, 'zone-b');
   let highest = 0;
-  pass(scene, 20_000, () => (highest = Math.max(highest, use(scene))));
+  pass(scene, 20_000, () => (highest = Math.max(highest, utilization(scene))));
   expect(highest).to.be.lessThan(0.55);
 });
 
-test('two zones taken back in turn, without replacement, leave places free', () => {
+test('two zones reclaimed in turn, without replacement, leave slots free', () => {
   const scene = startScene(60);
   pass(scene, 30_000);
   let highest = 0;
-  const see = (): void => void (highest = Math.max(highest, use(scene)));
-  takeBack(scene, 'zone-b');
-  pass(scene, 4000, see);
-  takeBack(scene, 'zone-d');
-  pass(scene, 15_000, see);
+  const observe = (): void => void (highest = Math.max(highest, utilization(scene)));
+  reclaimZone(scene, 'zone-b');
+  pass(scene, 4000, observe);
+  reclaimZone(scene, 'zone-d');
+  pass(scene, 15_000, observe);
   expect(highest).to.be.lessThan(0.7);
 });
 
-test('engines on their way to other zones come although a zone is taken back', () => {
+test('engines starting in other zones become ready although a zone is reclaimed', () => {
   const scene = startScene(40);
   pass(scene, 30_000);
   scene.open = 300;
   pass(scene, 2000);
   const coming = scene.starting.filter(({ entry }) => entry.zone !== 'zone-b').length;
   expect(coming).to.be.greaterThan(5);
-  const there = ready(scene).filter(({ zone }) => zone !== 'zone-b').length;
-  takeBack(scene, 'zone-b', true);
+  const there = readyEngines(scene).filter(({ zone }) => zone !== 'zone-b').length;
+  reclaimZone(scene, 'zone-b', true);
   pass(scene, BOOT_MS);
-  // Cancelled with the refusal of more, 5 of 17 were left.
-  expect(ready(scene).filter(({ reclaimable }) => reclaimable)).to.have.length(there + coming);
+  // When a refusal of more engines cancelled the starting ones, 5 of 17 were left.
+  expect(readyEngines(scene).filter(({ reclaimable }) => reclaimable)).to.have.length(
+    there + coming,
+  );
 });
 
-test('engines that were given up are no reclaim', () => {
+test('released engines do not count as a reclaim', () => {
   const scene = startScene(120);
   pass(scene, 30_000);
   scene.open = 30;
-  for (let passed = 0; scene.givenUp.length === 0; passed += TICK_MS) {
+  for (let passed = 0; scene.released.length === 0; passed += TICK_MS) {
     expect(passed).to.be.lessThan(120_000);
     tick(scene);
   }
-  // The load rises again while they are on their way out.
+  // The load rises again while they drain.
   scene.open = 400;
   pass(scene, 3000);
   const { outOfCapacityUntilMs, reclaimsExpectedUntilMs } = scene.box.state;
@@ -277,7 +281,7 @@
   expect([...outOfCapacityUntilMs]).to.deep.equal([]);
 });
 
-test('engines that enter themselves late are not given up', () => {
+test('engines that register late are not released', () => {
   const scene = startScene(40);
   pass(scene, 30_000);
   scene.entryDelayMs = 2600;
@@ -292,37 +296,37 @@
   let times = 0;
   pass(scene, 12_000, () => (times += lowered() ? 1 : 0));
   expect(times).to.equal(0);
-  expect(ready(scene).filter(({ reclaimable }) => reclaimable).length).to.be.greaterThan(12);
+  expect(readyEngines(scene).filter(({ reclaimable }) => reclaimable).length).to.be.greaterThan(12);
 });
 
-test('a reclaim does not make orders swing', () => {
+test('a reclaim does not make orders oscillate', () => {
   const scene = startScene(60);
   pass(scene, 30_000);
   scene.orders = 0;
-  takeBack(scene, 'zone-b');
+  reclaimZone(scene, 'zone-b');
   pass(scene, 30_000);
   expect(scene.orders).to.be.lessThan(32);
 });
 
-test('a holder that comes in the middle of a reclaim orders no engine away', () => {
+test('a new lease holder in the middle of a reclaim releases no engine', () => {
   const scene = startScene(60);
   pass(scene, 30_000);
-  takeBack(scene, 'zone-b');
+  reclaimZone(scene, 'zone-b');
   const { lease } = scene.box.state;
   const held = lease.held;
   if (held === undefined) throw new Error('no lease');
   lease.held = undefined;
-  // Nobody holds the lease for a while; this box goes on to follow the need.
+  // No box holds the lease for a while; this box still tracks the need.
   for (let passed = 0; passed < 3000; passed += TICK_MS) scene.box.pass(TICK_MS);
-  const before = ready(scene).length;
+  const before = readyEngines(scene).length;
   lease.held = { ...held, fence: held.fence + 1, grantedAtMs: scene.box.nowMs };
-  pass(scene, 3000, () => expect(ready(scene).length).to.be.at.least(before));
+  pass(scene, 3000, () => expect(readyEngines(scene).length).to.be.at.least(before));
 });
 
-test('without load a few engines are left after a while', () => {
+test('without load only a few engines are left after a while', () => {
   const scene = startScene(60);
   pass(scene, 30_000);
   scene.open = 0;
   pass(scene, 120_000);
-  expect(ready(scene).length).to.be.within(3, 6);
+  expect(readyEngines(scene).length).to.be.within(3, 6);
 });
--- a/packages/reedlug-gateway/src/slices/capacity.ts
+++ b/packages/reedlug-gateway/src/slices/capacity.ts
@@ -1,8 +1,9 @@
 /**
- * Engines ordered from the platform, by the holder of the duty lease.
+ * Plans how many engines to order from the platform. Only the holder of the duty lease orders,
+ * which is one box at a time.
  *
- * Reclaimable engines carry the load. On-demand ones are kept only while the
- * reclaimable ones are not all there: at the start, and after a reclaim.
+ * Reclaimable engines carry the load. On-demand engines are kept only while reclaimable
+ * ones are missing: at the start, and after a reclaim.
  */
 import type { ScalingSpec, ServiceSpec } from '../types/configuration.js';
 import {
@@ -13,14 +14,14 @@
 } from '../policy/engineTarget.js';
 import { log, type GatewayState, type Step } from '../state.js';
 import { dutyFence } from './duties.js';
-import { isBeforeLoad, noteFirstOnDemand, steadyNeed } from './engineNeed.js';
+import { isBeforeFirstLoad, recordInitialOnDemand, stabilizedNeed } from './engineNeed.js';
 import {
   BOOT_MARGIN_MS,
   countLost,
   countReady,
-  grantedEngines,
-  lastOrdered,
-  noteDry,
+  countGranted,
+  lastOrderedCount,
+  recordOutOfCapacity,
   orderEngines,
   orderKey,
   zoneKey,
@@ -28,18 +29,18 @@
 import { measureLoad } from './serviceLoad.js';
 import { isRollingOut } from './versionRule.js';
 
-/** Pause between plans, in ms: an engine takes seconds to start, a reclaim gives two. */
-const PLAN_EVERY_MS = 250;
-/** How long after a reclaim more of them are expected, in ms: in logs of zones taken back in turn, the next one went 6 to 10 s later. */
+/** Interval between plans, in ms: an engine takes seconds to start, and a reclaim is announced two seconds ahead. */
+const PLAN_INTERVAL_MS = 250;
+/** How long after a reclaim further ones are expected, in ms: when zones are reclaimed in turn, the next one follows 6 to 10 s later. */
 const RECLAIMS_EXPECTED_MS = 12_000;
-/** The fence of the first holder of all: nobody has ordered anything before. */
+/** Fence (a number that grows with each lease holder) of the very first one: no box has ordered anything before it. */
 const FIRST_FENCE = 1;
-/** Time from this box's start until it plans, in ms: two heartbeats, in which the registry fills. */
-const REGISTRY_FILLS_MS = 3500;
+/** Time from this box's start until it plans, in ms: two heartbeats, during which the registry fills. */
+const REGISTRY_FILL_MS = 3500;
 
-/** Plans and orders, while this box holds the lease. */
+/** Measures the load, and plans and orders engines while this box holds the duty lease. */
 export function capacityTick(state: GatewayState, step: Step): void {
-  if (step.nowMs - state.plannedAtMs < PLAN_EVERY_MS) return;
+  if (step.nowMs - state.plannedAtMs < PLAN_INTERVAL_MS) return;
   const elapsedMs = step.nowMs - state.plannedAtMs;
   state.plannedAtMs = step.nowMs;
   measureLoad(state, elapsedMs, step.nowMs);
@@ -48,22 +49,23 @@
   const fence = dutyFence(state, step.nowMs);
   for (const service of state.active.configuration.services) {
     if (service.scaling === undefined) continue;
-    if (isBeforeLoad(state, step)) noteFirstOnDemand(state, service.name);
-    // At a first start the engines that stand cost their full price: nothing is awaited.
-    const isFirst = fence === FIRST_FENCE && isBeforeLoad(state, step);
-    // Every box follows the need, so that a new holder knows it.
-    const need = steadyNeed(state, step, service, isFirst);
+    if (isBeforeFirstLoad(state, step)) recordInitialOnDemand(state, service.name);
+    // At a first start the on-demand engines already running cost their full price, so planning does not wait.
+    const isFirstStart = fence === FIRST_FENCE && isBeforeFirstLoad(state, step);
+    // Every box tracks the need, so that a new lease holder knows it.
+    const need = stabilizedNeed(state, step, service, isFirstStart);
     if (fence === undefined) continue;
-    if (isFirst || !registryFills(state, step)) planService(state, step, { service, need, fence });
+    if (isFirstStart || !isRegistryFilling(state, step))
+      planService(state, step, { service, need, fence });
   }
 }
 
-/** True while entries may still be missing from the registry after this box's start. */
-function registryFills(state: GatewayState, step: Step): boolean {
-  return step.nowMs - state.startedAtMs < REGISTRY_FILLS_MS;
+/** Whether entries may still be missing from the registry after this box's start. */
+function isRegistryFilling(state: GatewayState, step: Step): boolean {
+  return step.nowMs - state.startedAtMs < REGISTRY_FILL_MS;
 }
 
-/** What is there and what was ordered, by zone. */
+/** Returns the engines that are ready and those that were ordered, by zone. */
 function zoneOffers(
   state: GatewayState,
   step: Step,
@@ -73,18 +75,18 @@
   return scaling.zonePrices.map(({ zone, price }) => {
     const ready = countReady(state, { service: service.name, zone, reclaimable: true });
     const { bootMs } = scaling;
-    noteLosses(state, step, { service: service.name, name: zone, ready, bootMs });
+    recordLosses(state, step, { service: service.name, name: zone, ready, bootMs });
     const { nowMs } = step;
-    const granted = grantedEngines(state, { service: service.name, zone, ready, bootMs, nowMs });
-    const dryUntilMs = state.outOfCapacityUntilMs.get(zoneKey(service.name, zone)) ?? 0;
+    const granted = countGranted(state, { service: service.name, zone, ready, bootMs, nowMs });
+    const outOfCapacityUntilMs = state.outOfCapacityUntilMs.get(zoneKey(service.name, zone)) ?? 0;
     return {
       zone,
       price,
       readyReclaimable: ready,
       granted,
-      reclaimable: lastOrdered(state, service.name, zone, true),
-      onDemand: lastOrdered(state, service.name, zone, false),
-      isOutOfCapacity: step.nowMs < dryUntilMs,
+      reclaimable: lastOrderedCount(state, service.name, zone, true),
+      onDemand: lastOrderedCount(state, service.name, zone, false),
+      isOutOfCapacity: step.nowMs < outOfCapacityUntilMs,
     };
   });
 }
@@ -108,51 +110,51 @@
   orderEngines(state, step, { service, plan, fence });
 }
 
-/** While two versions stand, none is given up: the platform may take the ones that came last, all of the new version. */
+/** Never lowers an order while two versions run: the platform may stop the newest engines, which all run the new version. */
 function keepOrdered(state: GatewayState, { name }: ServiceSpec) {
   return ({ zone, reclaimable, onDemand }: ZoneTarget): ZoneTarget => ({
     zone,
-    reclaimable: Math.max(reclaimable, lastOrdered(state, name, zone, true)),
-    onDemand: Math.max(onDemand, lastOrdered(state, name, zone, false)),
+    reclaimable: Math.max(reclaimable, lastOrderedCount(state, name, zone, true)),
+    onDemand: Math.max(onDemand, lastOrderedCount(state, name, zone, false)),
   });
 }
 
 /**
- * Finds zones that have run dry: reclaimable engines there went that this box did
- * not give up, or did not come in time after the order was taken.
+ * Detects zones that are out of capacity: reclaimable engines disappeared there that this
+ * box did not release, or did not arrive in time after an accepted order.
  */
-function noteLosses(
+function recordLosses(
   state: GatewayState,
   step: Step,
   zone: { service: string; name: string; ready: number; bootMs: number },
 ): void {
   const key = zoneKey(zone.service, zone.name);
-  const before = state.readyReclaimable.get(key) ?? 0;
+  const previouslyReady = state.readyReclaimable.get(key) ?? 0;
   state.readyReclaimable.set(key, zone.ready);
   const order = state.orders.get(orderKey(zone.service, zone.name, true));
   if (order === undefined) return;
   const dueMs = order.sentAtMs + zone.bootMs + BOOT_MARGIN_MS;
   const isLate = order.taken && step.nowMs > dueMs;
-  const lost = countLost(order, Math.max(0, before - zone.ready), step.nowMs);
+  const lost = countLost(order, Math.max(0, previouslyReady - zone.ready), step.nowMs);
   if (zone.ready >= order.call.wanted) return;
   const isLoss = lost > 0;
-  if (isLoss || isLate) noteDry(state, step, zone.service, zone.name);
+  if (isLoss || isLate) recordOutOfCapacity(state, step, zone.service, zone.name);
   if (!isLoss) return;
-  const isTakenBack = isBeingTakenBack(state, zone);
-  // In a reclaim those that were still to come there go with the others.
-  order.granted = isTakenBack ? zone.ready : Math.max(zone.ready, order.granted - lost);
-  if (isTakenBack) noteReclaim(state, step, zone);
+  const isReclaimed = isBeingReclaimed(state, zone);
+  // A reclaim also takes the engines that were still starting in the zone.
+  order.granted = isReclaimed ? zone.ready : Math.max(zone.ready, order.granted - lost);
+  if (isReclaimed) recordReclaim(state, step, zone);
 }
 
-/** Engines that are taken back say so and leave; crashed ones are just gone. */
-function isBeingTakenBack(state: GatewayState, zone: { service: string; name: string }): boolean {
+/** Whether engines of a zone are draining: reclaimed engines announce that, crashed ones just disappear. */
+function isBeingReclaimed(state: GatewayState, zone: { service: string; name: string }): boolean {
   return [...state.servers.values()].some(
     ({ entry, leaving }) =>
       leaving && entry.reclaimable && entry.service === zone.service && entry.zone === zone.name,
   );
 }
 
-function noteReclaim(
+function recordReclaim(
   state: GatewayState,
   step: Step,
   zone: { service: string; name: string; ready: number },
--- a/packages/reedlug-gateway/src/slices/configuration.ts
+++ b/packages/reedlug-gateway/src/slices/configuration.ts
@@ -1,22 +1,22 @@
-/** Configuration: the newest version in force; never an older one. */
+/** The configuration in force: always the newest version that was read, never an older one. */
 import type { EventOf } from '../types/event.js';
 import type { Configuration, RouteSpec, WorkspaceSpec } from '../types/configuration.js';
 import { log, type GatewayState, type Step } from '../state.js';
 import type { ActiveConfiguration } from '../types/views.js';
 
-/** Takes a version, unless it is not newer than the one in force. */
+/** Puts a version into force if it is newer than the current one. */
 export function onConfigurationRead(
   state: GatewayState,
   step: Step,
   event: EventOf<'configurationRead'>,
 ): void {
   const { configuration, source } = event;
-  const inForce = state.active?.configuration.version ?? 0;
-  if (configuration.version <= inForce) return;
+  const currentVersion = state.active?.configuration.version ?? 0;
+  if (configuration.version <= currentVersion) return;
   state.active = activate(configuration);
   log(step, 'configurationInForce', {
     version: configuration.version,
-    before: inForce,
+    before: currentVersion,
     source,
     routes: configuration.routes.length,
     workspaces: configuration.workspaces.length,
@@ -41,7 +41,7 @@
   return { configuration, routesByHost, workspaceByKey };
 }
 
-/** The route of the longest prefix that begins the path, or undefined. */
+/** Returns the route with the longest matching path prefix, or undefined. */
 export function findRoute(
   active: ActiveConfiguration,
   host: string,
--- a/packages/reedlug-gateway/src/slices/lateRefusals.ts
+++ b/packages/reedlug-gateway/src/slices/lateRefusals.ts
@@ -1,16 +1,16 @@
-/** Refusals of requests that no engine would begin in time. */
+/** Refusals of requests that no engine would start in time. */
 import type { Choice } from '../policy/chooseServer.js';
 import { decideSend } from '../policy/decideSend.js';
 import { addRetryJitter } from '../policy/retryJitter.js';
 import { log, type Step } from '../state.js';
 import { RouteKind } from '../types/configuration.js';
 import type { RequestRecord } from '../types/request.js';
-import { refuse } from './ending.js';
+import { refuse } from './requestCompletion.js';
 
-/** Share of a route's time below which a request's own says that its caller has waited before. */
-const RETURNED_DEADLINE_SHARE = 0.95;
+/** Share of a route's timeout; a request with a shorter deadline comes from a caller that has waited before. */
+const RETRY_DEADLINE_SHARE = 0.95;
 
-/** Refuses a stream that would begin too late at the best engine; true when it did. Nothing of it was sent or counted yet. */
+/** Refuses a stream that would start too late even at the best engine; returns whether it did. Runs before the request is sent or charged. */
 export function refuseIfLate(step: Step, record: RequestRecord, choice: Choice): boolean {
   const { route, facts, exchangeId, deadlineAtMs } = record;
   if (route.kind !== RouteKind.stream) return false;
@@ -18,7 +18,7 @@
   const { running, slots } = conditions;
   const leftMs = deadlineAtMs - step.nowMs;
   const { targetMs, timeoutMs } = route;
-  const hasReturned = (facts.deadlineMs ?? timeoutMs) < timeoutMs * RETURNED_DEADLINE_SHARE;
+  const hasReturned = (facts.deadlineMs ?? timeoutMs) < timeoutMs * RETRY_DEADLINE_SHARE;
   const decision = decideSend({ expectedMs, running, slots, targetMs, leftMs, hasReturned });
   if (decision.kind === 'send') return false;
   log(step, 'requestTooLate', {
--- a/packages/reedlug-gateway/src/slices/lostServers.ts
+++ b/packages/reedlug-gateway/src/slices/lostServers.ts
@@ -1,9 +1,9 @@
 /**
- * Servers with lost sends, until it is known whether they crashed.
+ * Tracks servers with lost sends until it is known whether they crashed.
  *
- * A reset of one connection, a drain, a reclaim and this box's own cancel are no crash.
- * A server that was not leaving has crashed when its port refuses a new connection right
- * after, when it is born again, or when its entry goes: the first says so some ms after
+ * A reset of one connection, a drain, a reclaim or a cancellation by this box is not a crash.
+ * A server that was not draining has crashed if its port refuses a new connection right
+ * after the loss, if it restarts, or if its entry disappears. The first is known some ms after
  * the loss, the others seconds later.
  */
 import { recordFailure, recordGone } from '../policy/serverHealth.js';
@@ -20,11 +20,11 @@
   suspectKey,
 } from './crashSuspects.js';
 
-/** Time for which it may still come out that a server has crashed, in ms: its entry goes after three heartbeats, or it is born again after some seconds. */
-const OPEN_MS = 15_000;
+/** How long after a loss a crash of the server may still be detected, in ms: its entry expires after three heartbeats, or it restarts after some seconds. */
+const CRASH_DETECTION_MS = 15_000;
 
-/** A send of this box was lost: it counts against its server, if that is still known. */
-export function noteLoss(
+/** Records a lost send of this box, as a failure of its server if that is still known. */
+export function recordLoss(
   state: GatewayState,
   step: Step,
   params: { record: RequestRecord; attempt: Attempt; view: ServerView | undefined },
@@ -32,11 +32,11 @@
   const { record, attempt, view } = params;
   if (view === undefined) return;
   recordFailure(view, step.nowMs);
-  noteLostSend(state, step, { record, attempt, view });
+  recordLostSend(state, step, { record, attempt, view });
 }
 
-/** Notes a send that its server will not answer, and asks whether the server is still there. */
-export function noteLostSend(
+/** Records a send that its server will not answer, and probes whether the server is still up. */
+export function recordLostSend(
   state: GatewayState,
   step: Step,
   params: { record: RequestRecord; attempt: Attempt; view: ServerView },
@@ -51,7 +51,7 @@
   const known = state.lostServers.get(view.life);
   if (known !== undefined) {
     known.sends.push(send);
-    if (known.isGone) noteSendCrash(state, step, known, send);
+    if (known.isGone) recordSendCrash(state, step, known, send);
     return;
   }
   const { id: serverId, bornAtMs, address } = view.entry;
@@ -60,40 +60,40 @@
   step.effects.push({ type: 'probeServer', life: view.life, address });
 }
 
-/** What came of a new connection to a server with lost sends. */
+/** Handles the result of a new connection to a server with lost sends. */
 export function onServerProbed(
   state: GatewayState,
   step: Step,
   event: EventOf<'serverProbed'>,
 ): void {
-  // A server that accepts may be the next life, and one that is silent may be cut off: both come out later.
-  if (event.outcome === 'refused') noteLifeOver(state, step, event.life);
+  // A server that accepts may be the next incarnation, and a silent one may be partitioned: both are detected later.
+  if (event.outcome === 'refused') recordIncarnationEnd(state, step, event.life);
 }
 
-/** A server's life is over: what was lost there counts as under a crash. */
-export function noteLifeOver(state: GatewayState, step: Step, life: number): void {
+/** Records the end of a server's incarnation: the sends lost there count as lost in a crash. */
+export function recordIncarnationEnd(state: GatewayState, step: Step, life: number): void {
   const lost = state.lostServers.get(life);
   if (lost === undefined || lost.isGone) return;
   lost.isGone = true;
   const view = state.servers.get(lost.serverId);
   if (view?.life === life) recordGone(view, step.nowMs);
-  for (const send of lost.sends) noteSendCrash(state, step, lost, send);
+  for (const send of lost.sends) recordSendCrash(state, step, lost, send);
 }
 
-function noteSendCrash(
+function recordSendCrash(
   state: GatewayState,
   step: Step,
   { serverId, bornAtMs }: LostServer,
   { key, sentAtMs, lostAtMs }: LostServer['sends'][number],
 ): void {
   const crash = { serverId, bornAtMs, sentAtMs, endedAtMs: lostAtMs };
-  // A forwarder may take what comes after the end, and lose it: the server did not end under that.
+  // A forwarding proxy may accept and lose a request after the server has ended: that request did not crash it.
   if (!hasEndedBefore(state, crash)) noteCrash(state, step, key, crash);
 }
 
-/** Forgets servers of which nothing came out. */
+/** Removes servers for which no crash was detected in time. */
 export function lostServersTick(state: GatewayState, step: Step): void {
   for (const [life, { firstLostAtMs }] of state.lostServers) {
-    if (step.nowMs - firstLostAtMs >= OPEN_MS) state.lostServers.delete(life);
+    if (step.nowMs - firstLostAtMs >= CRASH_DETECTION_MS) state.lostServers.delete(life);
   }
 }
--- /dev/null
+++ b/packages/reedlug-gateway/src/slices/registryGossip.ts
@@ -0,0 +1,55 @@
+/**
+ * The registry of servers within a group of boxes: a hub (the box that sums up its group's
+ * gossip) includes its changes in what it sends, so that its members need not follow the store
+ * as well.
+ */
+import type { NumberedChange, RegistryGossip } from '../types/peer.js';
+import type { ServerChange } from '../types/server.js';
+import type { GatewayState, Step } from '../state.js';
+import type { PeerView } from '../types/views.js';
+
+/** Time for which a change is announced, in ms: seven messages, of which some may be lost. */
+const ANNOUNCE_MS = 1500;
+/** Maximum number of changes announced; members that missed more request the whole registry. A datagram holds three times as many. */
+const MAX_ANNOUNCED_CHANGES = 100;
+
+/** Records a change of this box's view of the registry. */
+export function recordRegistryChange(state: GatewayState, step: Step, change: ServerChange): void {
+  state.registryNumber += 1;
+  const numbered: NumberedChange = { number: state.registryNumber, ...change };
+  state.registryChanges.push({ atMs: step.nowMs, change: numbered });
+  if (state.registryChanges.length > MAX_ANNOUNCED_CHANGES) state.registryChanges.shift();
+}
+
+/** Returns the changes to announce to members now. */
+export function registryGossip(state: GatewayState, nowMs: number): RegistryGossip {
+  state.registryChanges = state.registryChanges.filter(({ atMs }) => nowMs - atMs <= ANNOUNCE_MS);
+  const changes = state.registryChanges.map(({ change }) => change);
+  return { lastNumber: state.registryNumber, changes };
+}
+
+/** What a hub's message means for this box's registry. */
+export type RegistryUpdate =
+  | { kind: 'apply'; changes: readonly NumberedChange[] }
+  /** Changes were missed, or it is not known which: the hub's whole registry is needed. */
+  | { kind: 'askWhole' };
+
+/**
+ * Compares a hub's changes with those that were applied before. A box that has read an
+ * equally recent registry from the store continues from there: otherwise, after a start of
+ * all boxes, each would request from its hub what it has just read.
+ */
+export function nextRegistryUpdate(
+  hub: PeerView,
+  registry: RegistryGossip | undefined,
+  isUpToDate: boolean,
+): RegistryUpdate {
+  if (registry === undefined) return { kind: 'apply', changes: [] };
+  if (hub.registryNumber === undefined && isUpToDate) hub.registryNumber = registry.lastNumber;
+  const applied = hub.registryNumber;
+  if (applied === undefined || applied > registry.lastNumber) return { kind: 'askWhole' };
+  const changes = registry.changes.filter(({ number }) => number > applied);
+  if (changes.length < registry.lastNumber - applied) return { kind: 'askWhole' };
+  hub.registryNumber = registry.lastNumber;
+  return { kind: 'apply', changes };
+}
--- a/packages/reedlug-gateway/src/slices/sending.ts
+++ b/packages/reedlug-gateway/src/slices/sending.ts
@@ -1,4 +1,4 @@
-/** Sends of requests to servers. */
+/** Choosing a server for a request and sending the request there. */
 import { describeRevision, hashString, Reach } from 'reedlug-coordination';
 import { chooseServer, recordPartsRead, type Choice } from '../policy/chooseServer.js';
 import { addUnreadPrompt } from '../policy/serverLoad.js';
@@ -9,11 +9,11 @@
 import { bookReturnMs, SERVERS_LIMITED } from './statements/returnTimes.js';
 import { noteSendToStating } from './statements/eligibility.js';
 import { suspectKey, suspectOf } from './crashSuspects.js';
-import { giveUp, isRepeatable } from './ending.js';
+import { giveUp, isRepeatable } from './requestCompletion.js';
 import { carriesLoad, versionRule } from './versionRule.js';
 
-/** The best server for a request now; undefined when none may take it. */
-export function chooseFor(
+/** Returns the best server for a request now, or undefined when none is eligible. */
+export function chooseServerFor(
   state: GatewayState,
   step: Step,
   record: RequestRecord,
@@ -25,23 +25,24 @@
     urgency: record.urgency,
     excludedServers,
     staysInZone: record.failedToConnect,
-    trialHash: trialHash(state, record),
+    trialHash: suspectHash(state, record),
     nowMs: step.nowMs,
   };
   const rule = versionRule(state, record);
   if (rule === undefined) return chooseServer(state, params);
-  const choice = chooseServer(state, { ...params, isAllowed: rule.admits });
+  const choice = chooseServer(state, { ...params, isAllowed: rule.isAllowed });
   if (choice !== undefined || !rule.isSample) return choice;
-  // No server of the sample takes work: the request goes the usual way.
+  // No server of the sample accepts requests: the request goes to the version that carries the load.
   return chooseServer(state, { ...params, isAllowed: ({ entry }) => carriesLoad(state, entry) });
 }
 
 /**
- * The place of a request that may be what crashed a server. Its copies at all boxes go to
- * one server, and different ones mostly to different servers: so a culprit takes one server
- * at a time, and who merely ran beside it is not with it at the next crash.
+ * Returns the hash that places a request that may have crashed a server. All boxes send copies
+ * of one such request to the same server, and different requests mostly to different servers.
+ * So a crashing request takes down one server at a time, and requests that merely ran
+ * alongside it are not on its server at the next crash.
  */
-function trialHash(state: GatewayState, record: RequestRecord): number | undefined {
+function suspectHash(state: GatewayState, record: RequestRecord): number | undefined {
   const suspect = suspectOf(state, record);
   const hasCrashes = suspect !== undefined && suspect.crashes.length > 0;
   const wasLost = record.attempts.some(
@@ -52,12 +53,12 @@
   return hashString(suspectKey(record.workspace, record.facts.digest));
 }
 
-/** Sends a request to the best server, or gives it up. */
-export function offer(
+/** Sends a request to the best server, or gives it up if there is none. */
+export function sendOrGiveUp(
   state: GatewayState,
   step: Step,
   record: RequestRecord,
-  choice = chooseFor(state, step, record),
+  choice = chooseServerFor(state, step, record),
 ): void {
   if (choice === undefined) {
     const retryAfterMs = bookReturnMs(state, record, step.nowMs);
--- /dev/null
+++ b/packages/reedlug-gateway/src/slices/silentServers.ts
@@ -0,0 +1,50 @@
+/** Detects attempts whose server has gone silent, and sends requests that may be repeated to another one. */
+import { lostAfterMs, silenceMs } from '../policy/serverSilence.js';
+import type { GatewayState, Step } from '../state.js';
+import type { Attempt, RequestRecord } from '../types/request.js';
+import { recordLoss } from './lostServers.js';
+import { reserveRetry, mayRunAgain, retry } from './retries.js';
+import { noteLeft } from './rolloutEvidence.js';
+import { closeAttempt, reachWhenLost, serverOf } from './requestCompletion.js';
+import { chooseServerFor } from './sending.js';
+
+/** Moves requests with a lost attempt to another server where they may run again. */
+export function silentServersTick(state: GatewayState, step: Step): void {
+  for (const record of state.requests.values()) {
+    const attempt = record.attempts.at(-1);
+    if (attempt?.open === true && isLost(state, step, record, attempt)) {
+      moveToOtherServer(state, step, record, attempt);
+    }
+  }
+}
+
+/** Whether both the attempt and its server have been silent for too long. */
+function isLost(state: GatewayState, step: Step, record: RequestRecord, attempt: Attempt): boolean {
+  const expectedSilenceMs =
+    attempt.firstOutputAtMs !== undefined ? (record.route.gapTargetMs ?? 0) : attempt.expectedMs;
+  const lostMs = lostAfterMs(expectedSilenceMs);
+  if (step.nowMs - attempt.lastActivityAtMs < lostMs) return false;
+  const view = serverOf(state, attempt);
+  return view === undefined || silenceMs(view, step.nowMs) >= lostMs;
+}
+
+/** Sends the request to another server if it may run there; otherwise it stays until its deadline. */
+function moveToOtherServer(
+  state: GatewayState,
+  step: Step,
+  record: RequestRecord,
+  attempt: Attempt,
+): void {
+  const reach = reachWhenLost(attempt);
+  attempt.reach = reach;
+  if (!mayRunAgain(record)) return;
+  const excludedServers = new Set([...record.excludedServers, attempt.serverId]);
+  const choice = chooseServerFor(state, step, record, excludedServers);
+  if (choice === undefined || !reserveRetry(state, step, record)) return;
+  record.excludedServers.add(attempt.serverId);
+  noteLeft(state, step, record);
+  const view = closeAttempt(state, attempt, reach);
+  recordLoss(state, step, { record, attempt, view });
+  step.effects.push({ type: 'cancelAttempt', attemptId: attempt.attemptId });
+  retry(state, step, { record, attempt }, 'serverSilent', choice);
+}
