--- a/packages/reedlug-gateway/src/policy/chooseServer.ts
+++ b/packages/reedlug-gateway/src/policy/chooseServer.ts
@@ -13,7 +13,7 @@
 import type { GatewayState } from '../state.js';
 import type { ServerView } from '../types/views.js';
 import { countedPeers, type HeardPeer } from '../slices/fleet.js';
-import { isAnswerWanted, isEligible, isLimited } from '../slices/statements/eligibility.js';
+import { isLimitRefreshDue, isEligible, isLimited } from '../slices/statements/eligibility.js';
 import { modelOf } from '../slices/engineModels.js';
 import { highestRanked } from './highestRanked.js';
 import { addLoads, tokensAhead } from './serverLoad.js';
@@ -91,7 +91,7 @@
       ? compared(candidates, {
           facts,
           preferredId,
-          answerWanted: [...limited].find((view) => isAnswerWanted(view, nowMs)),
+          answerWanted: [...limited].find((view) => isLimitRefreshDue(view, nowMs)),
         })
       : highestRanked(candidates, trialHash, 1);
   for (const view of considered) {
@@ -172,7 +172,7 @@
   const zoneMs = view.entry.zone === state.settings.box.zone ? 0 : OTHER_ZONE_MS;
   const failureMs = failureScore(view, nowMs) * FAILURE_MS;
   const lapsedMs = view.expiresAtMs === undefined ? 0 : LAPSED_MS;
-  const answerMs = isAnswerWanted(view, nowMs) ? ANSWER_MS : 0;
+  const answerMs = isLimitRefreshDue(view, nowMs) ? ANSWER_MS : 0;
   const costMs = waitMs + zoneMs + failureMs + lapsedMs - answerMs;
   return { view, prefillTokens, conditions, expectedMs, costMs };
 }
--- a/packages/reedlug-gateway/src/reduce.ts
+++ b/packages/reedlug-gateway/src/reduce.ts
@@ -29,7 +29,7 @@
 import { onRolloutRow, rolloutRecordsTick } from './slices/rolloutRecords.js';
 import { rolloutsTick } from './slices/rolloutJudgement.js';
 import { onRolloutOrdered } from './slices/rollouts.js';
-import { onServerStatements, statementsTick } from './slices/statements/statementNews.js';
+import { onServerStatements, statementsTick } from './slices/statements/statementGossip.js';
 import { onServersRead, onStoreContact, serversTick } from './slices/servers.js';
 import { silenceTick } from './slices/silence.js';
 import { onStoreEra } from './slices/storeEra.js';
--- a/packages/reedlug-gateway/src/slices/attempts.ts
+++ b/packages/reedlug-gateway/src/slices/attempts.ts
@@ -11,8 +11,8 @@
 import { isPastPoint, noteGoodRun } from './crashSuspects.js';
 import { noteEnd, noteFirstEvent } from './engineModels.js';
 import { noteLoss } from './lostServers.js';
-import { noteServed } from './statements/rests.js';
-import { takeAnswerStatements, takeRefusal } from './statements/answerStatements.js';
+import { recordServedProbe } from './statements/pauses.js';
+import { applyAnswerStatements, applyRefusal } from './statements/answerStatements.js';
 import { afterLoss, mayRepeat, tryAgain, type RequestAttempt } from './repeats.js';
 import { AnswerEnd, noteAnswer, noteLost } from './rolloutEvidence.js';
 import { removeServer } from './servers.js';
@@ -52,7 +52,7 @@
 ): void {
   const found = find(state, event);
   if (found === undefined) return;
-  takeAnswerStatements(state, step, { ...found, said: event.statements });
+  applyAnswerStatements(state, step, { ...found, answerStatements: event.statements });
 }
 
 /** A plain answer, or the head and first event of a stream. */
@@ -72,7 +72,7 @@
       return onFailure(state, step, found, event.status);
     case 'notRun':
       closeAttempt(state, attempt, Reach.refused);
-      takeRefusal(state, step, attempt);
+      applyRefusal(state, step, attempt);
       return tryAgain(state, step, found, `refused${event.status}`);
     case 'otherServer': {
       const view = closeAttempt(state, attempt, Reach.refused);
@@ -157,7 +157,7 @@
   if (outcome === 'success') {
     noteEnd(state, step, record, attempt);
     if (view !== undefined) noteSuccess(view, step.nowMs);
-    noteServed(state, step, attempt);
+    recordServedProbe(state, step, attempt);
     noteGoodRun(state, step, record);
   }
   state.requests.delete(record.exchangeId);
--- a/packages/reedlug-gateway/src/slices/peers.ts
+++ b/packages/reedlug-gateway/src/slices/peers.ts
@@ -8,7 +8,7 @@
 import { noteBoxesListed } from './fleetPart.js';
 import { takeRolloutNews } from './rollouts.js';
 import { nextRegistryStep } from './registryNews.js';
-import { noteNewcomer } from './statements/statementNews.js';
+import { recordIfUninformed } from './statements/statementGossip.js';
 import { takeHubChanges } from './servers.js';
 import { mayShowCopy, onStoreEra } from './storeEra.js';
 import { mergeDecisions, mergeUsage } from './usage.js';
@@ -30,7 +30,7 @@
   const peer = peerOf(state, step, { boxId, host, port, zone, processorCores });
   const before = peer.message;
   if (before !== undefined && isOlder(message, before, countsFreshly(peer, step.nowMs))) return;
-  noteNewcomer(state, step, peer, message.incarnation);
+  recordIfUninformed(state, step, peer, message.incarnation);
   peer.lastReceivedAtMs = step.nowMs;
   peer.isSuspected = false;
   peer.message = message;
--- a/packages/reedlug-gateway/src/slices/requests.ts
+++ b/packages/reedlug-gateway/src/slices/requests.ts
@@ -9,7 +9,7 @@
 import { findRoute } from './configuration.js';
 import { cancelAll, giveUp, refuse } from './ending.js';
 import { refuseIfLate } from './lateRefusals.js';
-import { bookReturnMs, SERVERS_LIMITED } from './statements/returnTimes.js';
+import { reserveRetryAfterMs, SERVERS_LIMITED } from './statements/retryAfterTimes.js';
 import { chargeSend, unitsOf } from './quotas.js';
 import { countFirstSend } from './retryBudgets.js';
 import { noteLeft } from './rolloutEvidence.js';
@@ -59,7 +59,8 @@
   if (crash !== undefined) return refuseNow(crash.status, crash.reason, crash.retryAfterMs);
   const choice = chooseFor(state, step, record);
   if (choice !== undefined && refuseIfLate(step, record, choice)) return;
-  const limitedMs = choice === undefined ? bookReturnMs(state, record, step.nowMs) : undefined;
+  const limitedMs =
+    choice === undefined ? reserveRetryAfterMs(state, record, step.nowMs) : undefined;
   if (limitedMs !== undefined) return refuseNow(503, SERVERS_LIMITED, limitedMs);
   state.requests.set(exchangeId, record);
   if (workspace !== undefined && !chargeSend(state, record, workspace, step.nowMs)) {
--- a/packages/reedlug-gateway/src/slices/sending.ts
+++ b/packages/reedlug-gateway/src/slices/sending.ts
@@ -6,8 +6,8 @@
 import { log, type GatewayState, type Step } from '../state.js';
 import { RouteKind } from '../types/configuration.js';
 import type { Attempt, RequestRecord } from '../types/request.js';
-import { bookReturnMs, SERVERS_LIMITED } from './statements/returnTimes.js';
-import { noteSendToStating } from './statements/eligibility.js';
+import { reserveRetryAfterMs, SERVERS_LIMITED } from './statements/retryAfterTimes.js';
+import { recordSendForStatements } from './statements/eligibility.js';
 import { suspectKey, suspectOf } from './crashSuspects.js';
 import { giveUp, isRepeatable } from './ending.js';
 import { carriesLoad, versionRule } from './versionRule.js';
@@ -60,7 +60,7 @@
   choice = chooseFor(state, step, record),
 ): void {
   if (choice === undefined) {
-    const retryAfterMs = bookReturnMs(state, record, step.nowMs);
+    const retryAfterMs = reserveRetryAfterMs(state, record, step.nowMs);
     const reason = retryAfterMs === undefined ? 'noServer' : SERVERS_LIMITED;
     return giveUp(state, step, record, reason, retryAfterMs);
   }
@@ -88,7 +88,7 @@
   state.nextAttemptId += 1;
   record.attempts.push(attempt);
   noteSend(view, step.nowMs);
-  noteSendToStating(view, step.nowMs);
+  recordSendForStatements(view, step.nowMs);
   view.running += 1;
   noteUnread(view, attempt);
   if (record.attempts.length === 1) state.workTokens += prefillTokens;
--- a/packages/reedlug-gateway/src/slices/servers.ts
+++ b/packages/reedlug-gateway/src/slices/servers.ts
@@ -21,8 +21,8 @@
 import { noteRegistryChange } from './registryNews.js';
 import { loseAttempts } from './serverLives.js';
 import { mayShowCopy } from './storeEra.js';
-import { mergeLeaving } from './statements/leaving.js';
-import { findStatements } from './statements/lifeStatements.js';
+import { mergeDraining } from './statements/draining.js';
+import { findStatements } from './statements/incarnationStatements.js';
 
 /** How long after the store's return entries of living servers may be missing, in ms: the users' figure, about 2 s. */
 const LAPSE_WINDOW_MS = 2000;
@@ -115,7 +115,7 @@
   if (isNews) noteRegistryChange(state, step, { id: entry.id, entry });
   if (known === undefined || isBorn) {
     state.servers.set(entry.id, createView(state, entry));
-    if (leaving) mergeLeaving(state, step, { life: incarnationOf(entry), source, isListed: true });
+    if (leaving) mergeDraining(state, step, { life: incarnationOf(entry), source, isListed: true });
     log(step, isBorn ? 'serverBorn' : 'serverAdded', describe(entry, source));
     if (isBorn) loseAttempts(state, step, known);
     return;
@@ -124,7 +124,7 @@
   known.expiresAtMs = undefined;
   known.entry = entry;
   known.statements = findStatements(state, incarnationOf(entry));
-  if (leaving) mergeLeaving(state, step, { life: incarnationOf(entry), source, isListed: true });
+  if (leaving) mergeDraining(state, step, { life: incarnationOf(entry), source, isListed: true });
   if (leaving || known.statements?.leaving !== undefined) known.leaving = true;
 }
 
--- a/packages/reedlug-gateway/src/slices/statements/__tests__/leaving.test.ts
+++ b/packages/reedlug-gateway/src/slices/statements/__tests__/draining.test.ts
@@ -14,27 +14,31 @@
 import type { AnswerVerdict } from '../../../types/request.js';
 import { ServerState } from '../../../types/server.js';
 
-const LEAVING = { ...NOTHING_SAID, isDraining: true };
+const DRAINING = { ...NOTHING_SAID, isDraining: true };
 
 /** Sends a request; gives the server that was chosen, which says that it leaves in its answer. */
-function askLeaving(box: Pick<TestBox, 'take'>, exchangeId: number, verdict: AnswerVerdict) {
+function sendToDrainingServer(
+  box: Pick<TestBox, 'take'>,
+  exchangeId: number,
+  verdict: AnswerVerdict,
+) {
   const request = facts({ requestId: `r${exchangeId}`, path: '/lookup/1', deadlineMs: 8000 });
   const sent = ofType(box.take({ type: 'requestArrived', exchangeId, facts: request }), 'send')[0];
   if (sent === undefined) throw new Error('nothing was sent');
   const ids = { exchangeId, attemptId: sent.attemptId };
-  box.take({ type: 'answerBegun', ...ids, statements: LEAVING });
+  box.take({ type: 'answerBegun', ...ids, statements: DRAINING });
   const status = verdict === 'success' ? 200 : 503;
   box.take({ type: 'attemptAnswered', ...ids, verdict, status });
   return sent.order.serverId;
 }
 
-function chosen(box: Pick<TestBox, 'take'>, exchangeId: number): string | undefined {
+function chosenServer(box: Pick<TestBox, 'take'>, exchangeId: number): string | undefined {
   const request = facts({ requestId: `r${exchangeId}`, path: '/lookup/1', deadlineMs: 8000 });
   const effects = box.take({ type: 'requestArrived', exchangeId, facts: request });
   return ofType(effects, 'send')[0]?.order.serverId;
 }
 
-function isLeaving(box: TestBox, id: string): boolean | undefined {
+function isDraining(box: TestBox, id: string): boolean | undefined {
   return box.state.servers.get(id)?.leaving;
 }
 
@@ -54,9 +58,9 @@
 for (const verdict of ['success', 'failure', 'notRun'] as const) {
   test(`a server whose answer said that it leaves gets nothing more: ${verdict}`, () => {
     const box = createServingBox();
-    const left = askLeaving(box, 1, verdict);
+    const drainingId = sendToDrainingServer(box, 1, verdict);
     for (let exchangeId = 2; exchangeId < 40; exchangeId += 1) {
-      expect(chosen(box, exchangeId)).not.to.equal(left);
+      expect(chosenServer(box, exchangeId)).not.to.equal(drainingId);
     }
   });
 }
@@ -77,13 +81,14 @@
     const fleet = createFleet({ boxes, zones: ['zone-a', 'zone-b', 'zone-c'] });
     fleet.pass(4000);
     const box = { take: (event: Parameters<TestBox['take']>[0]) => fleet.take('box-4', event) };
-    const left = askLeaving(box, 1, 'success');
+    const drainingId = sendToDrainingServer(box, 1, 'success');
     fleet.pass(300);
-    for (const [boxId, other] of fleet.boxes) expect(isLeaving(other, left), boxId).to.equal(true);
+    for (const [boxId, other] of fleet.boxes)
+      expect(isDraining(other, drainingId), boxId).to.equal(true);
     fleet.restart('box-5');
     fleet.pass(1500);
-    const begun = fleet.boxes.get('box-5');
-    expect(begun && isLeaving(begun, left), `of ${boxes}`).to.equal(true);
+    const restarted = fleet.boxes.get('box-5');
+    expect(restarted && isDraining(restarted, drainingId), `of ${boxes}`).to.equal(true);
   }
 });
 
@@ -91,13 +96,13 @@
   const box = createServingBox();
   read(box, 'records-1', 5, ServerState.ready);
   box.take(statementNews({ serverId: 'records-1', bornAtMs: 5, statement: { kind: 'leaving' } }));
-  expect(isLeaving(box, 'records-1')).to.equal(true);
+  expect(isDraining(box, 'records-1')).to.equal(true);
   read(box, 'records-1', 5, ServerState.ready);
-  expect(isLeaving(box, 'records-1')).to.equal(true);
+  expect(isDraining(box, 'records-1')).to.equal(true);
   remove(box, 'records-1');
   box.pass(30_000);
   read(box, 'records-1', 5, ServerState.ready);
-  expect(isLeaving(box, 'records-1')).to.equal(true);
+  expect(isDraining(box, 'records-1')).to.equal(true);
 });
 
 test('a server leaves that said so before its entry was known', () => {
@@ -105,7 +110,7 @@
   box.take(statementNews({ serverId: 'records-9', bornAtMs: 5, statement: { kind: 'leaving' } }));
   box.pass(1000);
   read(box, 'records-9', 5, ServerState.ready);
-  expect(isLeaving(box, 'records-9')).to.equal(true);
+  expect(isDraining(box, 'records-9')).to.equal(true);
 });
 
 test('the next life of a server that left begins clean', () => {
@@ -118,9 +123,9 @@
   read(box, 'records-1', 5, ServerState.ready);
   box.take(news);
   read(box, 'records-1', 6, ServerState.ready);
-  expect(isLeaving(box, 'records-1')).to.equal(false);
+  expect(isDraining(box, 'records-1')).to.equal(false);
   box.take(news);
-  expect(isLeaving(box, 'records-1')).to.equal(false);
+  expect(isDraining(box, 'records-1')).to.equal(false);
 });
 
 test('an entry that says leaving counts beside news of a later life', () => {
@@ -129,7 +134,7 @@
   const statement = limitStatement(2);
   box.take(statementNews({ serverId: 'records-1', bornAtMs: 6, statement }));
   read(box, 'records-1', 5, ServerState.leaving);
-  expect(isLeaving(box, 'records-1')).to.equal(true);
+  expect(isDraining(box, 'records-1')).to.equal(true);
 });
 
 test('what the registry says of a server that leaves is kept as its own word is', () => {
@@ -137,7 +142,7 @@
   read(box, 'records-1', 5, ServerState.leaving);
   remove(box, 'records-1');
   read(box, 'records-1', 5, ServerState.ready);
-  expect(isLeaving(box, 'records-1')).to.equal(true);
+  expect(isDraining(box, 'records-1')).to.equal(true);
 });
 
 test('statements of a server that is not listed are forgotten after ten minutes', () => {
--- a/packages/reedlug-gateway/src/slices/statements/__tests__/limits.test.ts
+++ b/packages/reedlug-gateway/src/slices/statements/__tests__/limits.test.ts
@@ -49,39 +49,42 @@
 const NONE: LimitStatement = { kind: 'none' };
 
 /** A box with two servers of look-ups, of which it sends one request and takes the answer. */
-function ask(box: TestBox, words: Readonly<Record<string, LimitStatement>>): string | undefined {
+function sendAndAnswer(
+  box: TestBox,
+  limits: Readonly<Record<string, LimitStatement>>,
+): string | undefined {
   const sent = sentOf(box.take(requestOf()));
   if (sent === undefined) return undefined;
-  for (const event of answer(sent, words[sent.serverId] ?? NONE)) box.take(event);
+  for (const event of answer(sent, limits[sent.serverId] ?? NONE)) box.take(event);
   return sent.serverId;
 }
 
 /** All servers of look-ups name a limit until told otherwise; a caller comes to a box each few ms. */
-function play(
+function simulate(
   fleet: TestFleet,
-  params: { forMs: number; everyMs: number; word: () => LimitStatement },
+  params: { forMs: number; everyMs: number; limit: () => LimitStatement },
 ): { atMs: number; refusedMs: number[]; sentAtMs: number[] } {
   const ids = [...fleet.boxes.keys()];
   const refusedMs: number[] = [];
   const sentAtMs: number[] = [];
-  let turn = 0;
+  let round = 0;
   for (let atMs = 0; atMs < params.forMs; atMs += 50) {
     fleet.pass(50);
     for (let since = 0; since < 50; since += params.everyMs) {
-      turn += 7;
-      const boxId = ids[turn % ids.length] ?? '';
+      round += 7;
+      const boxId = ids[round % ids.length] ?? '';
       const effects = fleet.take(boxId, requestOf());
       const sent = sentOf(effects);
       for (const { retryAfterMs = 0 } of ofType(effects, 'refuse')) refusedMs.push(retryAfterMs);
       if (sent === undefined) continue;
       sentAtMs.push(atMs);
-      for (const event of answer(sent, params.word())) fleet.take(boxId, event);
+      for (const event of answer(sent, params.limit())) fleet.take(boxId, event);
     }
   }
   return { atMs: params.forMs, refusedMs, sentAtMs };
 }
 
-function mostFrom(sentAtMs: readonly number[], fromMs: number): number {
+function maxInWindow(sentAtMs: readonly number[], fromMs: number): number {
   const counted = sentAtMs.filter((atMs) => atMs >= fromMs);
   const windows = counted.map(
     (endMs) => counted.filter((atMs) => atMs > endMs - 4000 && atMs <= endMs).length,
@@ -108,10 +111,10 @@
     for (const perSecond of [0.4, 1, 8, 50]) {
       const fleet = createFleet({ boxes, zones: ['zone-a', 'zone-b', 'zone-c'] });
       fleet.pass(4000);
-      const word = (): LimitStatement => ({ kind: 'limit', perSecond });
-      const { sentAtMs } = play(fleet, { forMs: 16_000, everyMs: 5, word });
+      const limit = (): LimitStatement => ({ kind: 'limit', perSecond });
+      const { sentAtMs } = simulate(fleet, { forMs: 16_000, everyMs: 5, limit });
       const label = `${boxes} boxes, ${perSecond} a second`;
-      expect(mostFrom(sentAtMs, 1000), label).to.be.at.most(perSecond * 5 + 1);
+      expect(maxInWindow(sentAtMs, 1000), label).to.be.at.most(perSecond * 5 + 1);
       const used = sentAtMs.filter((atMs) => atMs >= 4000).length / (perSecond * 12);
       expect(used, label).to.be.at.least(0.8);
     }
@@ -121,32 +124,32 @@
 test('a box that ends, comes back or stops hands its part on without a second one', () => {
   const fleet = createFleet({ boxes: 6, zones: ['zone-a', 'zone-b', 'zone-c'] });
   fleet.pass(4000);
-  const word = (): LimitStatement => ({ kind: 'limit', perSecond: 1 });
+  const limit = (): LimitStatement => ({ kind: 'limit', perSecond: 1 });
   const sentAtMs: number[] = [];
-  let beganMs = 0;
-  const playOn = (): void => {
-    const { sentAtMs: sent } = play(fleet, { forMs: 5000, everyMs: 10, word });
-    sentAtMs.push(...sent.map((atMs) => beganMs + atMs));
-    beganMs += 5000;
+  let elapsedMs = 0;
+  const continueSimulation = (): void => {
+    const { sentAtMs: sent } = simulate(fleet, { forMs: 5000, everyMs: 10, limit });
+    sentAtMs.push(...sent.map((atMs) => elapsedMs + atMs));
+    elapsedMs += 5000;
   };
-  playOn();
+  continueSimulation();
   const senders = [...fleet.boxes].filter(
     ([, { state }]) =>
       state.servers.get('records-1')?.statements?.limit?.sends.sharingSinceMs !== undefined,
   );
   expect(senders.length).to.equal(2);
   fleet.kill(senders[0]?.[0] ?? '');
-  playOn();
+  continueSimulation();
   fleet.take(senders[1]?.[0] ?? '', { type: 'stopAsked' });
-  playOn();
-  expect(mostFrom(sentAtMs, 3000)).to.be.at.most(6);
+  continueSimulation();
+  expect(maxInWindow(sentAtMs, 3000)).to.be.at.most(6);
   expect(sentAtMs.filter((atMs) => atMs > 12_000).length).to.be.at.least(2);
 });
 
 test('a box that starts is told of limits that stand, and sends within them', () => {
   const fleet = createFleet({ boxes: 6, zones: ['zone-a', 'zone-b', 'zone-c'] });
   fleet.pass(4000);
-  play(fleet, { forMs: 2000, everyMs: 10, word: () => ({ kind: 'limit', perSecond: 1 }) });
+  simulate(fleet, { forMs: 2000, everyMs: 10, limit: () => ({ kind: 'limit', perSecond: 1 }) });
   fleet.restart('box-2');
   fleet.pass(500);
   expect(
@@ -157,10 +160,10 @@
 test('when a limit ends all boxes use the server again, more and more', () => {
   const fleet = createFleet({ boxes: 6, zones: ['zone-a', 'zone-b', 'zone-c'] });
   fleet.pass(4000);
-  let word: LimitStatement = { kind: 'limit', perSecond: 1 };
-  play(fleet, { forMs: 4000, everyMs: 10, word: () => word });
-  word = NONE;
-  const { sentAtMs } = play(fleet, { forMs: 8000, everyMs: 25, word: () => word });
+  let limit: LimitStatement = { kind: 'limit', perSecond: 1 };
+  simulate(fleet, { forMs: 4000, everyMs: 10, limit: () => limit });
+  limit = NONE;
+  const { sentAtMs } = simulate(fleet, { forMs: 8000, everyMs: 25, limit: () => limit });
   const sentIn = (fromMs: number, untilMs: number): number =>
     sentAtMs.filter((atMs) => atMs >= fromMs && atMs < untilMs).length;
   expect(sentIn(0, 1000)).to.be.below(sentIn(1000, 2500));
@@ -170,9 +173,9 @@
 test('what no server may take is refused at once, truly, and comes back at different times', () => {
   const box = createServingBox();
   const limited: LimitStatement = { kind: 'limit', perSecond: 0.5 };
-  const words = { 'records-1': limited, 'records-2': limited };
+  const limits = { 'records-1': limited, 'records-2': limited };
   box.pass(4000);
-  for (let turn = 0; turn < 4; turn += 1) ask(box, words);
+  for (let round = 0; round < 4; round += 1) sendAndAnswer(box, limits);
   const refusals = [1, 2, 3].map(() => only(box.take(requestOf()), 'refuse'));
   for (const { status, reason } of refusals) {
     expect(status).to.equal(503);
@@ -186,8 +189,8 @@
 test('while another server takes requests, none waits for a limited one', () => {
   const box = createServingBox();
   box.pass(4000);
-  const words = { 'records-1': { kind: 'limit', perSecond: 0.4 } } as const;
-  const asked = Array.from({ length: 40 }, () => ask(box, words));
+  const limits = { 'records-1': { kind: 'limit', perSecond: 0.4 } } as const;
+  const asked = Array.from({ length: 40 }, () => sendAndAnswer(box, limits));
   expect(asked.filter((id) => id === 'records-1').length).to.be.at.most(2);
   expect(asked.filter((id) => id === 'records-2').length).to.be.at.least(38);
 });
@@ -205,11 +208,11 @@
 test('an odd value does not end a limit that stands', () => {
   const box = createServingBox();
   box.pass(4000);
-  const words: Record<string, LimitStatement> = { 'records-1': { kind: 'limit', perSecond: 50 } };
-  for (let turn = 0; turn < 5; turn += 1) ask(box, words);
-  words['records-1'] = { kind: 'odd', value: '' };
+  const limits: Record<string, LimitStatement> = { 'records-1': { kind: 'limit', perSecond: 50 } };
+  for (let round = 0; round < 5; round += 1) sendAndAnswer(box, limits);
+  limits['records-1'] = { kind: 'odd', value: '' };
   box.pass(1000);
-  for (let turn = 0; turn < 5; turn += 1) ask(box, words);
+  for (let round = 0; round < 5; round += 1) sendAndAnswer(box, limits);
   expect(box.state.servers.get('records-1')?.statements?.limit?.perSecond).to.equal(50);
 });
 
@@ -280,15 +283,15 @@
   fleet.pass(4000);
   const sent = sentOf(fleet.take('box-4', requestOf())) as Sent;
   for (const event of answer(sent, { kind: 'limit', perSecond: 2 })) fleet.take('box-4', event);
-  const tellers: string[] = [];
+  const senders: string[] = [];
   for (let passed = 0; passed < 3000; passed += 50) {
     fleet.pass(50);
     for (const [boxId, effects] of fleet.effects) {
-      const told = ofType(effects, 'sendPeers').filter(
+      const sent = ofType(effects, 'sendPeers').filter(
         ({ message }) => message.kind === 'serverStatements',
       );
-      tellers.push(...told.map(() => boxId));
+      senders.push(...sent.map(() => boxId));
     }
   }
-  expect(tellers).to.deep.equal(['box-4', 'box-4']);
+  expect(senders).to.deep.equal(['box-4', 'box-4']);
 });
--- a/packages/reedlug-gateway/src/slices/statements/__tests__/rests.test.ts
+++ b/packages/reedlug-gateway/src/slices/statements/__tests__/pauses.test.ts
@@ -22,9 +22,9 @@
   serverId: string;
 }
 
-type Taker = Pick<TestBox, 'take'>;
+type EventReceiver = Pick<TestBox, 'take'>;
 
-function send(box: Taker): Sent | undefined {
+function send(box: EventReceiver): Sent | undefined {
   const exchangeId = nextExchangeId;
   nextExchangeId += 1;
   const request = facts({ requestId: `r${exchangeId}`, path: '/lookup/1', deadlineMs: 8000 });
@@ -32,23 +32,23 @@
   return sent && { exchangeId, attemptId: sent.attemptId, serverId: sent.order.serverId };
 }
 
-function serve(box: Taker, { exchangeId, attemptId }: Sent): void {
+function serve(box: EventReceiver, { exchangeId, attemptId }: Sent): void {
   const ids = { exchangeId, attemptId };
   box.take({ type: 'answerBegun', ...ids, statements: NOTHING_SAID });
   box.take({ type: 'attemptAnswered', ...ids, verdict: 'success', status: 200 });
 }
 
-function refuse(box: Taker, { exchangeId, attemptId }: Sent, restMs: number): void {
+function refuse(box: EventReceiver, { exchangeId, attemptId }: Sent, pauseMs: number): void {
   const ids = { exchangeId, attemptId };
-  box.take({ type: 'answerBegun', ...ids, statements: { ...NOTHING_SAID, pauseMs: restMs } });
+  box.take({ type: 'answerBegun', ...ids, statements: { ...NOTHING_SAID, pauseMs } });
   box.take({ type: 'attemptAnswered', ...ids, verdict: 'notRun', status: 503 });
 }
 
-function boxOf(fleet: TestFleet, boxId: string): Taker {
+function boxOf(fleet: TestFleet, boxId: string): EventReceiver {
   return { take: (event) => fleet.take(boxId, event) };
 }
 
-function createCalmFleet(boxes: number): TestFleet {
+function createStableFleet(boxes: number): TestFleet {
   const fleet = createFleet({ boxes, zones: ['zone-a', 'zone-b', 'zone-c'] });
   fleet.pass(4000);
   return fleet;
@@ -66,7 +66,7 @@
 
 for (const restS of [3, 10, 55]) {
   test(`a rest of ${restS} s is kept to its end by all boxes`, () => {
-    const fleet = createCalmFleet(6);
+    const fleet = createStableFleet(6);
     refuse(boxOf(fleet, 'box-3'), send(boxOf(fleet, 'box-3')) as Sent, restS * 1000);
     expect(sendsIn(fleet, (restS - 1) * 1000)).to.equal(0);
     fleet.pass(1500);
@@ -77,7 +77,7 @@
 
 for (const restS of [3600, 1e9]) {
   test(`in a rest of ${restS} s the fleet sends one request to learn whether it stands`, () => {
-    const fleet = createCalmFleet(6);
+    const fleet = createStableFleet(6);
     refuse(boxOf(fleet, 'box-3'), send(boxOf(fleet, 'box-3')) as Sent, restS * 1000);
     expect(sendsIn(fleet, 59_000)).to.equal(0);
     expect(sendsIn(fleet, 120_000)).to.equal(1);
@@ -85,7 +85,7 @@
 }
 
 test('boxes that were not asked use a server again that served the probe of a long rest', () => {
-  const fleet = createCalmFleet(6);
+  const fleet = createStableFleet(6);
   refuse(boxOf(fleet, 'box-3'), send(boxOf(fleet, 'box-3')) as Sent, 3_600_000);
   let probe: { boxId: string; sent: Sent } | undefined;
   for (let passedMs = 0; passedMs < 130_000 && probe === undefined; passedMs += 500) {
@@ -105,7 +105,7 @@
 });
 
 test('a box that starts is told of a rest that stands', () => {
-  const fleet = createCalmFleet(6);
+  const fleet = createStableFleet(6);
   refuse(boxOf(fleet, 'box-3'), send(boxOf(fleet, 'box-3')) as Sent, 20_000);
   fleet.pass(2000);
   fleet.restart('box-5');
@@ -139,8 +139,8 @@
     maxLength: 6,
   });
   fc.assert(
-    fc.property(rests, (drawn) => {
-      const ends = [drawn, [...drawn].reverse()].map((order) => {
+    fc.property(rests, (pauses) => {
+      const ends = [pauses, [...pauses].reverse()].map((order) => {
         const box = createServingBox();
         for (const { leftMs } of order) {
           const statement = restStatement(leftMs);
@@ -149,7 +149,7 @@
         return box.state.servers.get('records-1')?.statements?.rest?.untilMs;
       });
       expect(ends[0]).to.equal(ends[1]);
-      expect(ends[0]).to.equal(Math.max(...drawn.map(({ leftMs }) => leftMs)));
+      expect(ends[0]).to.equal(Math.max(...pauses.map(({ leftMs }) => leftMs)));
     }),
     { numRuns: 100, seed: 43 },
   );
@@ -176,7 +176,7 @@
   for (const statement of refusals) {
     box.take(statementNews({ serverId: 'records-1', bornAtMs: undefined, statement }));
   }
-  for (let turn = 0; turn < 20; turn += 1) {
+  for (let round = 0; round < 20; round += 1) {
     const sent = send(box) as Sent;
     expect(sent.serverId).to.equal('records-2');
     serve(box, sent);
--- a/packages/reedlug-gateway/src/slices/statements/announcement.ts
+++ b/packages/reedlug-gateway/src/slices/statements/announcement.ts
@@ -2,18 +2,21 @@
 import type { Announcement } from '../../types/serverStatement.js';
 
 /** Pause after which a change is told once more, in ms: longer than a loss of several datagrams in a row. */
-const AGAIN_MS = 1000;
+const REPEAT_AFTER_MS = 1000;
 
 /** Whether others are to be told of a change now. */
-export function isNews({ changedAtMs, announcedAtMs }: Announcement, nowMs: number): boolean {
+export function isAnnouncementDue(
+  { changedAtMs, announcedAtMs }: Announcement,
+  nowMs: number,
+): boolean {
   if (announcedAtMs === undefined) return true;
-  return announcedAtMs < changedAtMs + AGAIN_MS && nowMs >= changedAtMs + AGAIN_MS;
+  return announcedAtMs < changedAtMs + REPEAT_AFTER_MS && nowMs >= changedAtMs + REPEAT_AFTER_MS;
 }
 
 /** The announcement of a change that others tell, and tell again. */
-export function asTold({ changedAtMs }: Announcement): {
+export function asAnnounced({ changedAtMs }: Announcement): {
   changedAtMs: number;
   announcedAtMs: number;
 } {
-  return { changedAtMs, announcedAtMs: changedAtMs + AGAIN_MS };
+  return { changedAtMs, announcedAtMs: changedAtMs + REPEAT_AFTER_MS };
 }
--- a/packages/reedlug-gateway/src/slices/statements/answerStatements.ts
+++ b/packages/reedlug-gateway/src/slices/statements/answerStatements.ts
@@ -6,40 +6,42 @@
   IncarnationStatements,
   LimitStatement,
 } from '../../types/serverStatement.js';
-import { mergeLeaving } from './leaving.js';
-import { statementsFor } from './lifeStatements.js';
+import { mergeDraining } from './draining.js';
+import { statementsFor } from './incarnationStatements.js';
 import { mergeLimit } from './limits.js';
 import { mergeRefusal } from './refusals.js';
-import { mergeOwnRest } from './rests.js';
+import { mergeOwnPause } from './pauses.js';
 
 /** Characters of an odd value that are logged. */
-const MOST_LOGGED = 40;
+const MAX_LOGGED_CHARACTERS = 40;
 
 /** Takes what an answer says of its server. */
-export function takeAnswerStatements(
+export function applyAnswerStatements(
   state: GatewayState,
   step: Step,
-  params: { record: RequestRecord; attempt: Attempt; said: AnswerStatements },
+  params: { record: RequestRecord; attempt: Attempt; answerStatements: AnswerStatements },
 ): void {
-  const { record, attempt, said } = params;
+  const { record, attempt, answerStatements } = params;
   const source = record.facts.requestId;
-  takeLimit(state, step, { attempt, limit: said.limit, source });
-  if (said.pauseMs !== undefined) {
+  applyLimit(state, step, { attempt, limit: answerStatements.limit, source });
+  if (answerStatements.pauseMs !== undefined) {
     const statements = statementsFor(state, step, attempt);
-    if (statements !== undefined) mergeOwnRest(step, { statements, restMs: said.pauseMs, source });
+    if (statements !== undefined)
+      mergeOwnPause(step, { statements, pauseMs: answerStatements.pauseMs, source });
   }
-  if (said.isDraining) mergeLeaving(state, step, { life: attempt, source, isListed: false });
+  if (answerStatements.isDraining)
+    mergeDraining(state, step, { life: attempt, source, isListed: false });
 }
 
 /** A server that refuses has little open and would be the cheapest choice again; one that asked for rest is not chosen. */
-export function takeRefusal(state: GatewayState, step: Step, attempt: Attempt): void {
+export function applyRefusal(state: GatewayState, step: Step, attempt: Attempt): void {
   const statements = statementsFor(state, step, attempt);
   if (statements === undefined) return;
   if (statements.rest !== undefined && statements.rest.ownUntilMs > step.nowMs) return;
   mergeRefusal(state, step, { statements, ageMs: 0 });
 }
 
-function takeLimit(
+function applyLimit(
   state: GatewayState,
   step: Step,
   params: { attempt: Attempt; limit: LimitStatement; source: string },
@@ -48,22 +50,22 @@
   const { serverId, sentAtMs } = attempt;
   switch (limit.kind) {
     case 'odd': {
-      const value = limit.value.slice(0, MOST_LOGGED);
+      const value = limit.value.slice(0, MAX_LOGGED_CHARACTERS);
       return log(step, 'serverLimitOdd', { request: source, server: serverId, value });
     }
     case 'none':
     case 'limit': {
       const perSecond = limit.kind === 'limit' ? limit.perSecond : undefined;
-      const statements = limitedStatements(state, step, attempt, perSecond);
+      const statements = statementsForLimit(state, step, attempt, perSecond);
       if (statements === undefined) return;
-      const fact = { perSecond, sentAtMs, receivedAtMs: step.nowMs };
-      return mergeLimit(step, { statements, fact, source });
+      const observation = { perSecond, sentAtMs, receivedAtMs: step.nowMs };
+      return mergeLimit(step, { statements, observation, source });
     }
   }
 }
 
 /** Most answers name no limit, of servers that never did: nothing is kept for them. */
-function limitedStatements(
+function statementsForLimit(
   state: GatewayState,
   step: Step,
   attempt: Attempt,
--- a/packages/reedlug-gateway/src/slices/statements/eligibility.ts
+++ b/packages/reedlug-gateway/src/slices/statements/eligibility.ts
@@ -3,11 +3,11 @@
 import type { GatewayState } from '../../state.js';
 import type { IncarnationStatements } from '../../types/serverStatement.js';
 import type { ServerView } from '../../types/views.js';
-import { mayProbeRest, noteSendInRest, restsUntilMs } from './rests.js';
-import { ownPart } from './senderPart.js';
+import { mayProbePause, recordSendDuringPause, pausedUntilMs } from './pauses.js';
+import { ownShare } from './senderShare.js';
 
 /** Time since its last answer for which a limited server is sent something where it can be, in ms: the end of its need shows in its next answer alone. */
-const ANSWER_WANTED_MS = 1500;
+const LIMIT_REFRESH_MS = 1500;
 
 /** Whether this box may send to a server now; each send must pass it, whatever it is for. */
 export function isEligible(state: GatewayState, view: ServerView, nowMs: number): boolean {
@@ -19,19 +19,23 @@
   if (view.leaving) return Number.POSITIVE_INFINITY;
   if (view.statements === undefined) return nowMs;
   const { limit } = view.statements;
-  const fromMs = Math.max(nowMs, restedAtMs(state, view.statements, nowMs));
+  const fromMs = Math.max(nowMs, pauseAllowsSendAtMs(state, view.statements, nowMs));
   const perSecond = limit && limitNow(limit, nowMs);
   if (limit === undefined || perSecond === undefined) return fromMs;
-  const part = ownPart(state, view, { limit, perSecond, nowMs });
-  return Math.max(fromMs, nextSendAtMs(limit.sends, part, nowMs));
+  const share = ownShare(state, view, { limit, perSecond, nowMs });
+  return Math.max(fromMs, nextSendAtMs(limit.sends, share, nowMs));
 }
 
 /** When a rest lets this box send again. */
-function restedAtMs(state: GatewayState, life: IncarnationStatements, nowMs: number): number {
+function pauseAllowsSendAtMs(
+  state: GatewayState,
+  life: IncarnationStatements,
+  nowMs: number,
+): number {
   const { rest } = life;
   if (rest === undefined) return nowMs;
-  const untilMs = restsUntilMs(rest);
-  return untilMs > nowMs && mayProbeRest(state, { rest, life, nowMs }) ? nowMs : untilMs;
+  const untilMs = pausedUntilMs(rest);
+  return untilMs > nowMs && mayProbePause(state, { rest, life, nowMs }) ? nowMs : untilMs;
 }
 
 /** Whether a server names a limit, or did so a moment ago. */
@@ -40,13 +44,13 @@
 }
 
 /** Whether a server that names a limit has not answered for a while. */
-export function isAnswerWanted({ statements }: ServerView, nowMs: number): boolean {
+export function isLimitRefreshDue({ statements }: ServerView, nowMs: number): boolean {
   const limit = statements?.limit;
-  return limit?.perSecond !== undefined && nowMs - limit.receivedAtMs >= ANSWER_WANTED_MS;
+  return limit?.perSecond !== undefined && nowMs - limit.receivedAtMs >= LIMIT_REFRESH_MS;
 }
 
 /** Notes a send to a server, for what it has said. */
-export function noteSendToStating({ statements }: ServerView, nowMs: number): void {
+export function recordSendForStatements({ statements }: ServerView, nowMs: number): void {
   if (statements?.limit !== undefined) noteLimitedSend(statements.limit.sends, nowMs);
-  if (statements?.rest !== undefined) noteSendInRest(statements.rest, nowMs);
+  if (statements?.rest !== undefined) recordSendDuringPause(statements.rest, nowMs);
 }
--- a/packages/reedlug-gateway/src/slices/statements/lifeStatements.ts
+++ b/packages/reedlug-gateway/src/slices/statements/incarnationStatements.ts
@@ -8,21 +8,21 @@
 import { isLaterIncarnation, type ServerIncarnation } from '../../types/server.js';
 import type { IncarnationStatements, ServerDraining } from '../../types/serverStatement.js';
 import type { ServerView } from '../../types/views.js';
-import { isLimitOver } from './limits.js';
+import { isLimitExpired } from './limits.js';
 
 /** Time for which statements of a life are kept that is not in the registry, in ms: well over the longest time for which entries come late. */
-const KEPT_UNLISTED_MS = 600_000;
+const UNLISTED_RETENTION_MS = 600_000;
 
 /** Time for which a refusal is known, in ms: no news of it are on their way any more. */
-const REFUSAL_KNOWN_MS = 3000;
+const REFUSAL_RETENTION_MS = 3000;
 
 /** The statements of a life, for one more; undefined for a life that is over. */
 export function statementsFor(
   state: GatewayState,
   step: Step,
-  life: ServerIncarnation,
+  incarnation: ServerIncarnation,
 ): IncarnationStatements | undefined {
-  const { serverId, bornAtMs } = life;
+  const { serverId, bornAtMs } = incarnation;
   const known = state.statements.get(serverId);
   const view = state.servers.get(serverId);
   const latestMs = view?.entry.bornAtMs ?? state.goneServers.get(serverId)?.bornAtMs;
@@ -32,18 +32,18 @@
     known.bornAtMs ??= bornAtMs;
     return known;
   }
-  const made: IncarnationStatements = {
-    ...life,
+  const created: IncarnationStatements = {
+    ...incarnation,
     limit: undefined,
     rest: undefined,
     refusal: undefined,
     leaving: undefined,
     listedAtMs: step.nowMs,
   };
-  state.statements.set(serverId, made);
+  state.statements.set(serverId, created);
   if (view !== undefined && !isLaterIncarnation(bornAtMs, view.entry.bornAtMs))
-    view.statements = made;
-  return made;
+    view.statements = created;
+  return created;
 }
 
 /** What is known of a life that the registry lists now; the statements of an earlier one are forgotten. */
@@ -62,7 +62,7 @@
 }
 
 /** Servers of a service that have said something of late and do not leave. */
-export function statingServersOf(state: GatewayState, service: string): ServerView[] {
+export function serversWithStatements(state: GatewayState, service: string): ServerView[] {
   return [...state.statements.values()].flatMap((statements) => {
     const view = viewOf(state, statements);
     return view?.entry.service === service && !view.leaving ? [view] : [];
@@ -70,7 +70,7 @@
 }
 
 /** What servers of a service have said that leave and are still listed. */
-export function leavingServersOf(state: GatewayState, service: string): ServerDraining[] {
+export function drainingStatementsOf(state: GatewayState, service: string): ServerDraining[] {
   return [...state.statements.values()].flatMap((statements) => {
     const isOfService = viewOf(state, statements)?.entry.service === service;
     return isOfService && statements.leaving !== undefined ? [statements.leaving] : [];
@@ -78,23 +78,23 @@
 }
 
 /** Forgets what matters no more. */
-export function forgetOldStatements(state: GatewayState, { nowMs }: Step): void {
+export function pruneStatements(state: GatewayState, { nowMs }: Step): void {
   for (const statements of state.statements.values()) {
     const view = viewOf(state, statements);
     if (view !== undefined) statements.listedAtMs = nowMs;
-    const isForgotten = nowMs - statements.listedAtMs >= KEPT_UNLISTED_MS;
-    if (!isForgotten && isAnyInForce(statements, nowMs)) continue;
+    const isExpired = nowMs - statements.listedAtMs >= UNLISTED_RETENTION_MS;
+    if (!isExpired && hasActiveStatement(statements, nowMs)) continue;
     state.statements.delete(statements.serverId);
     if (view !== undefined) view.statements = undefined;
   }
 }
 
-function isAnyInForce(statements: IncarnationStatements, nowMs: number): boolean {
+function hasActiveStatement(statements: IncarnationStatements, nowMs: number): boolean {
   const { limit, rest, refusal, leaving } = statements;
   if (leaving !== undefined) return true;
-  if (refusal !== undefined && nowMs - refusal.atMs < REFUSAL_KNOWN_MS) return true;
+  if (refusal !== undefined && nowMs - refusal.atMs < REFUSAL_RETENTION_MS) return true;
   if (rest !== undefined && rest.untilMs > nowMs) return true;
-  return limit !== undefined && !isLimitOver(limit, nowMs);
+  return limit !== undefined && !isLimitExpired(limit, nowMs);
 }
 
 function viewOf(state: GatewayState, statements: IncarnationStatements): ServerView | undefined {
--- a/packages/reedlug-gateway/src/slices/statements/limits.ts
+++ b/packages/reedlug-gateway/src/slices/statements/limits.ts
@@ -8,23 +8,23 @@
 } from '../../types/serverStatement.js';
 
 /** Time for which an end of a limit is known, in ms: no news of it are on their way any more. */
-const END_KNOWN_MS = 60_000;
+const ENDED_LIMIT_RETENTION_MS = 60_000;
 
 /** Merges what a server said of its limit; `source` names the request, or the box that told it. */
 export function mergeLimit(
   step: Step,
   {
     statements,
-    fact,
+    observation,
     source,
-  }: { statements: IncarnationStatements; fact: LimitObservation; source: string },
+  }: { statements: IncarnationStatements; observation: LimitObservation; source: string },
 ): void {
   const { limit } = statements;
-  if (!isNewerLimit(fact, limit)) return;
+  if (!isNewerLimit(observation, limit)) return;
   const before = limit?.perSecond;
-  const known = limit ?? createLimit(fact, step.nowMs);
+  const known = limit ?? createLimit(observation, step.nowMs);
   statements.limit = known;
-  const { perSecond, sentAtMs, receivedAtMs } = fact;
+  const { perSecond, sentAtMs, receivedAtMs } = observation;
   known.perSecond = perSecond;
   known.sentAtMs = sentAtMs;
   known.receivedAtMs = receivedAtMs;
@@ -42,14 +42,14 @@
 }
 
 /** Whether a limit has ended so long ago that nothing of it matters any more. */
-export function isLimitOver({ perSecond, receivedAtMs }: ServerLimit, nowMs: number): boolean {
-  return perSecond === undefined && nowMs - receivedAtMs >= END_KNOWN_MS;
+export function isLimitExpired({ perSecond, receivedAtMs }: ServerLimit, nowMs: number): boolean {
+  return perSecond === undefined && nowMs - receivedAtMs >= ENDED_LIMIT_RETENTION_MS;
 }
 
-function createLimit(fact: LimitObservation, nowMs: number): ServerLimit {
+function createLimit(observation: LimitObservation, nowMs: number): ServerLimit {
   return {
-    ...fact,
-    lastPerSecond: fact.perSecond ?? 0,
+    ...observation,
+    lastPerSecond: observation.perSecond ?? 0,
     knownSinceMs: nowMs,
     announcement: { changedAtMs: nowMs, announcedAtMs: undefined },
     rank: undefined,
--- a/packages/reedlug-gateway/src/slices/statements/missingEngines.ts
+++ b/packages/reedlug-gateway/src/slices/statements/missingEngines.ts
@@ -5,8 +5,8 @@
 import type { GatewayState, Step } from '../../state.js';
 import type { ServiceSpec } from '../../types/configuration.js';
 import type { IncarnationStatements } from '../../types/serverStatement.js';
-import { statingServersOf } from './lifeStatements.js';
-import { restsUntilMs } from './rests.js';
+import { serversWithStatements } from './incarnationStatements.js';
+import { pausedUntilMs } from './pauses.js';
 
 const SECOND_MS = 1000;
 
@@ -18,27 +18,27 @@
 ): EngineNeed {
   const { spec, load, model, need } = params;
   const { bootMs = Infinity } = spec.scaling ?? {};
-  const taken = statingServersOf(state, spec.name)
-    .map(({ statements }) => statements && takenPerSecond(statements, { nowMs, bootMs }))
+  const acceptedRates = serversWithStatements(state, spec.name)
+    .map(({ statements }) => statements && acceptedPerSecond(statements, { nowMs, bootMs }))
     .filter((perSecond) => perSecond !== undefined);
-  if (taken.length === 0) return need;
-  const asked = (load.openRequests * SECOND_MS) / model.stayMs;
-  const missing = (engines: number): number => {
-    const share = asked / Math.max(1, engines);
+  if (acceptedRates.length === 0) return need;
+  const arrivalsPerSecond = (load.openRequests * SECOND_MS) / model.stayMs;
+  const missingEngines = (engines: number): number => {
+    const share = arrivalsPerSecond / Math.max(1, engines);
     if (share <= 0) return 0;
-    return taken.reduce((sum, perSecond) => sum + Math.max(0, 1 - perSecond / share), 0);
+    return acceptedRates.reduce((sum, perSecond) => sum + Math.max(0, 1 - perSecond / share), 0);
   };
   return {
-    usual: need.usual + Math.ceil(missing(need.usual)),
-    least: need.least + Math.ceil(missing(need.least)),
+    usual: need.usual + Math.ceil(missingEngines(need.usual)),
+    least: need.least + Math.ceil(missingEngines(need.least)),
   };
 }
 
 /** Requests a second that a server takes by what it said; undefined for as many as come. A rest that is over before another engine is there counts for nothing. */
-function takenPerSecond(
+function acceptedPerSecond(
   { limit, rest }: IncarnationStatements,
   { nowMs, bootMs }: { nowMs: number; bootMs: number },
 ): number | undefined {
-  if (rest !== undefined && restsUntilMs(rest) - nowMs > bootMs) return 0;
+  if (rest !== undefined && pausedUntilMs(rest) - nowMs > bootMs) return 0;
   return limit && limitNow(limit, nowMs);
 }
--- a/packages/reedlug-gateway/src/slices/statements/rests.ts
+++ b/packages/reedlug-gateway/src/slices/statements/pauses.ts
@@ -12,114 +12,114 @@
   ServerPause,
   ServerStatement,
 } from '../../types/serverStatement.js';
-import { rankOf } from './senderPart.js';
+import { rankOf } from './senderShare.js';
 
 /** Two tellings of one rest differ by less, in ms: each comes a way later. A shorter rest is over before others hear of it. */
-export const SAME_REST_MS = 300;
+export const PAUSE_TOLERANCE_MS = 300;
 /** Time in a rest from which on one request of the fleet may be sent, in ms: few servers mean to rest for longer. */
 const PROBE_AFTER_MS = 60_000;
 /** Time after which the next box by rank may send it, in ms: the first may have no callers, or be gone. */
-const NEXT_PROBE_MS = 10_000;
+const PROBE_RANK_DELAY_MS = 10_000;
 
-type RestStatement = Extract<ServerStatement, { kind: 'rest' }>;
+type PauseStatement = Extract<ServerStatement, { kind: 'rest' }>;
 
 /** Merges a rest that a server asked this box for. */
-export function mergeOwnRest(
+export function mergeOwnPause(
   step: Step,
-  params: { statements: IncarnationStatements; restMs: number; source: string },
+  params: { statements: IncarnationStatements; pauseMs: number; source: string },
 ): void {
-  const { statements, restMs, source } = params;
-  const rest = mergeRest(step, {
+  const { statements, pauseMs, source } = params;
+  const pause = mergePause(step, {
     statements,
-    told: {
+    reported: {
       kind: 'rest',
-      leftMs: restMs,
+      leftMs: pauseMs,
       askedAgeMs: 0,
       probeAgeMs: undefined,
       servedAgeMs: undefined,
     },
     source,
   });
-  rest.ownUntilMs = Math.max(rest.ownUntilMs, step.nowMs + restMs);
+  pause.ownUntilMs = Math.max(pause.ownUntilMs, step.nowMs + pauseMs);
 }
 
 /** Merges a rest of which this box or another one knows. */
-export function mergeRest(
+export function mergePause(
   step: Step,
   {
     statements,
-    told,
+    reported,
     source,
-  }: { statements: IncarnationStatements; told: RestStatement; source: string },
+  }: { statements: IncarnationStatements; reported: PauseStatement; source: string },
 ): ServerPause {
   const { nowMs } = step;
   const known = statements.rest;
-  const rest = known ?? createRest(nowMs);
-  statements.rest = rest;
-  const before = { ...rest, wasLifted: isLifted(rest) };
-  rest.untilMs = Math.max(rest.untilMs, nowMs + told.leftMs);
-  rest.requestedAtMs = Math.max(rest.requestedAtMs, nowMs - told.askedAgeMs);
-  rest.probeAtMs = Math.max(rest.probeAtMs, timeOf(told.probeAgeMs, nowMs));
-  rest.servedAtMs = Math.max(rest.servedAtMs, timeOf(told.servedAgeMs, nowMs));
-  const isNews =
+  const pause = known ?? createPause(nowMs);
+  statements.rest = pause;
+  const before = { ...pause, wasLifted: isLifted(pause) };
+  pause.untilMs = Math.max(pause.untilMs, nowMs + reported.leftMs);
+  pause.requestedAtMs = Math.max(pause.requestedAtMs, nowMs - reported.askedAgeMs);
+  pause.probeAtMs = Math.max(pause.probeAtMs, timeOf(reported.probeAgeMs, nowMs));
+  pause.servedAtMs = Math.max(pause.servedAtMs, timeOf(reported.servedAgeMs, nowMs));
+  const isChanged =
     known === undefined ||
-    rest.untilMs > before.untilMs + SAME_REST_MS ||
-    rest.probeAtMs > before.probeAtMs + SAME_REST_MS ||
-    isLifted(rest) !== before.wasLifted;
-  if (!isNews) return rest;
-  rest.announcement = { changedAtMs: nowMs, announcedAtMs: undefined };
+    pause.untilMs > before.untilMs + PAUSE_TOLERANCE_MS ||
+    pause.probeAtMs > before.probeAtMs + PAUSE_TOLERANCE_MS ||
+    isLifted(pause) !== before.wasLifted;
+  if (!isChanged) return pause;
+  pause.announcement = { changedAtMs: nowMs, announcedAtMs: undefined };
   log(step, 'serverRests', {
     server: statements.serverId,
     bornAtMs: statements.bornAtMs ?? 0,
     source,
-    leftMs: Math.round(told.leftMs),
-    isLifted: isLifted(rest),
+    leftMs: Math.round(reported.leftMs),
+    isLifted: isLifted(pause),
   });
-  return rest;
+  return pause;
 }
 
 /** A rest as others are told. */
-export function restStatement(rest: ServerPause, nowMs: number): RestStatement {
+export function pauseStatement(pause: ServerPause, nowMs: number): PauseStatement {
   return {
     kind: 'rest',
-    leftMs: Math.round(rest.untilMs - nowMs),
-    askedAgeMs: Math.round(nowMs - rest.requestedAtMs),
-    probeAgeMs: ageOf(rest.probeAtMs, nowMs),
-    servedAgeMs: ageOf(rest.servedAtMs, nowMs),
+    leftMs: Math.round(pause.untilMs - nowMs),
+    askedAgeMs: Math.round(nowMs - pause.requestedAtMs),
+    probeAgeMs: ageOf(pause.probeAtMs, nowMs),
+    servedAgeMs: ageOf(pause.servedAtMs, nowMs),
   };
 }
 
 /** Until when this box keeps a rest. */
-export function restsUntilMs(rest: ServerPause): number {
-  return isLifted(rest) ? rest.ownUntilMs : rest.untilMs;
+export function pausedUntilMs(pause: ServerPause): number {
+  return isLifted(pause) ? pause.ownUntilMs : pause.untilMs;
 }
 
 /** Whether this box may send the one request of the fleet by which it shows whether a long rest stands. */
-export function mayProbeRest(
+export function mayProbePause(
   state: GatewayState,
   { rest, life, nowMs }: { rest: ServerPause; life: IncarnationStatements; nowMs: number },
 ): boolean {
-  const restedMs = nowMs - rest.requestedAtMs;
-  if (restedMs < PROBE_AFTER_MS || rest.probeAtMs >= rest.requestedAtMs) return false;
+  const elapsedMs = nowMs - rest.requestedAtMs;
+  if (elapsedMs < PROBE_AFTER_MS || rest.probeAtMs >= rest.requestedAtMs) return false;
   const rank = rankOf(state, { life, ranked: rest, nowMs });
-  return restedMs >= PROBE_AFTER_MS + rank * NEXT_PROBE_MS;
+  return elapsedMs >= PROBE_AFTER_MS + rank * PROBE_RANK_DELAY_MS;
 }
 
 /** Notes a send to a server that rests. */
-export function noteSendInRest(rest: ServerPause, nowMs: number): void {
-  if (restsUntilMs(rest) <= nowMs) return;
-  rest.probeAtMs = nowMs;
-  rest.announcement = { changedAtMs: nowMs, announcedAtMs: undefined };
+export function recordSendDuringPause(pause: ServerPause, nowMs: number): void {
+  if (pausedUntilMs(pause) <= nowMs) return;
+  pause.probeAtMs = nowMs;
+  pause.announcement = { changedAtMs: nowMs, announcedAtMs: undefined };
 }
 
 /** A server has served a request: where that was the probe of a rest, the rest is over for boxes that were not asked. */
-export function noteServed(state: GatewayState, step: Step, attempt: Attempt): void {
+export function recordServedProbe(state: GatewayState, step: Step, attempt: Attempt): void {
   const statements = state.statements.get(attempt.serverId);
-  const rest = statements?.rest;
-  if (statements?.bornAtMs !== attempt.bornAtMs || rest === undefined) return;
-  if (attempt.sentAtMs !== rest.probeAtMs || isLifted(rest)) return;
-  rest.servedAtMs = step.nowMs;
-  rest.announcement = { changedAtMs: step.nowMs, announcedAtMs: undefined };
+  const pause = statements?.rest;
+  if (statements?.bornAtMs !== attempt.bornAtMs || pause === undefined) return;
+  if (attempt.sentAtMs !== pause.probeAtMs || isLifted(pause)) return;
+  pause.servedAtMs = step.nowMs;
+  pause.announcement = { changedAtMs: step.nowMs, announcedAtMs: undefined };
   log(step, 'serverRestLifted', { server: attempt.serverId });
 }
 
@@ -135,7 +135,7 @@
   return atMs === Number.NEGATIVE_INFINITY ? undefined : Math.round(nowMs - atMs);
 }
 
-function createRest(nowMs: number): ServerPause {
+function createPause(nowMs: number): ServerPause {
   return {
     untilMs: nowMs,
     requestedAtMs: Number.NEGATIVE_INFINITY,
--- a/packages/reedlug-gateway/src/slices/statements/senderPart.ts
+++ b/packages/reedlug-gateway/src/slices/statements/senderShare.ts
@@ -23,39 +23,43 @@
 } from '../fleet.js';
 
 /** Pause between looks which boxes are heard, in ms: as often as their news come. */
-const LOOK_EVERY_MS = 200;
+const REACHABILITY_REFRESH_MS = 200;
 /** Pause between looks at a list of boxes that changes seldom, in ms: hundreds of boxes, for each of many limited servers. */
-const LOOK_AT_LIST_EVERY_MS = 5000;
+const LISTED_RANK_REFRESH_MS = 5000;
 /** Time from its start after which a box is taken to have heard of the limits that stood before, in ms. */
-const SETTLED_MS = 3000;
+const LIMITS_KNOWN_AFTER_MS = 3000;
 
 /** Requests a second that this box may send of a server's limit. */
-export function ownPart(
+export function ownShare(
   state: GatewayState,
   view: ServerView,
   { limit, perSecond, nowMs }: { limit: ServerLimit; perSecond: number; nowMs: number },
 ): number {
-  const isFirstLook = limit.rank === undefined;
+  const isFirstRanking = limit.rank === undefined;
   const rank = rankOf(state, { life: incarnationOf(view.entry), ranked: limit, nowMs });
   const senders = sendersOf(perSecond, nowMs - limit.receivedAtMs);
   // The callers of a box that stops go to others.
   const isSender = rank < senders && state.stoppingSinceMs === undefined;
-  noteSender(state, limit, { isSender, isFirstLook, nowMs });
+  recordSender(state, limit, { isSender, isFirstRanking, nowMs });
   if (!isSender) return 0;
-  const { boxes, share } = reachedFleet(state, nowMs);
+  const { boxes, share } = reachableFleet(state, nowMs);
   return (perSecond * share) / Math.min(senders, boxes);
 }
 
 /** Notes whether this box is one of those that send to a server. */
-function noteSender(
+function recordSender(
   { startedAtMs }: GatewayState,
   { sends, knownSinceMs }: ServerLimit,
-  { isSender, isFirstLook, nowMs }: { isSender: boolean; isFirstLook: boolean; nowMs: number },
+  {
+    isSender,
+    isFirstRanking,
+    nowMs,
+  }: { isSender: boolean; isFirstRanking: boolean; nowMs: number },
 ): void {
   if (!isSender) sends.sharingSinceMs = undefined;
   if (!isSender || sends.sharingSinceMs !== undefined) return;
   sends.sharingSinceMs = nowMs;
-  sends.replacedAnotherBox = !isFirstLook || knownSinceMs - startedAtMs < SETTLED_MS;
+  sends.replacedAnotherBox = !isFirstRanking || knownSinceMs - startedAtMs < LIMITS_KNOWN_AFTER_MS;
 }
 
 /** How many boxes come before this one among those that may send to a server; kept in what is ranked. */
@@ -65,28 +69,28 @@
 ): number {
   const { life, ranked, nowMs } = params;
   const known = ranked.rank;
-  const { viaHubs } = reachedFleet(state, nowMs);
-  const lookEveryMs = viaHubs ? LOOK_AT_LIST_EVERY_MS : LOOK_EVERY_MS;
-  if (known !== undefined && nowMs - known.checkedAtMs < lookEveryMs) return known.rank;
-  const lifeHash = hashString(`${life.serverId} ${life.bornAtMs ?? ''}`);
-  const rank = boxesBefore(state, lifeHash, (peer) => mayBeSender(peer, viaHubs, nowMs));
+  const { viaHubs } = reachableFleet(state, nowMs);
+  const refreshMs = viaHubs ? LISTED_RANK_REFRESH_MS : REACHABILITY_REFRESH_MS;
+  if (known !== undefined && nowMs - known.checkedAtMs < refreshMs) return known.rank;
+  const incarnationHash = hashString(`${life.serverId} ${life.bornAtMs ?? ''}`);
+  const rank = boxesBefore(state, incarnationHash, (peer) => mayBeSender(peer, viaHubs, nowMs));
   ranked.rank = { rank, checkedAtMs: nowMs };
   return rank;
 }
 
 /** In a fleet with hubs a box does not hear which of the others are there: all that are listed count. */
-function mayBeSender(peer: PeerView, byHubs: boolean, nowMs: number): boolean {
+function mayBeSender(peer: PeerView, viaHubs: boolean, nowMs: number): boolean {
   if (peer.message?.leaving === true) return false;
-  return byHubs || (peer.message !== undefined && countsFreshly(peer, nowMs));
+  return viaHubs || (peer.message !== undefined && countsFreshly(peer, nowMs));
 }
 
 /** The fleet as this box hears it: each send may look at hundreds of limited servers. */
-function reachedFleet(state: GatewayState, nowMs: number): ReachableFleet {
+function reachableFleet(state: GatewayState, nowMs: number): ReachableFleet {
   const known = state.reachableFleet;
-  if (known !== undefined && nowMs - known.checkedAtMs < LOOK_EVERY_MS) return known;
-  const heard = countedPeers(state, nowMs).filter((peer) => countsFreshly(peer, nowMs));
+  if (known !== undefined && nowMs - known.checkedAtMs < REACHABILITY_REFRESH_MS) return known;
+  const reachable = countedPeers(state, nowMs).filter((peer) => countsFreshly(peer, nowMs));
   const boxes = fleetSize(state);
-  const share = Math.min(1, boxesCovered(heard) / boxes);
+  const share = Math.min(1, boxesCovered(reachable) / boxes);
   state.reachableFleet = { boxes, share, viaHubs: usesHubs(state), checkedAtMs: nowMs };
   return state.reachableFleet;
 }
--- a/packages/reedlug-gateway/src/slices/statements/statementNews.ts
+++ b/packages/reedlug-gateway/src/slices/statements/statementGossip.ts
@@ -20,59 +20,60 @@
 import { handsOn, SILENT_AFTER_MS } from '../fleet.js';
 import { neighbours } from '../spreadNews.js';
 import { tellDecisions } from '../usageDecisions.js';
-import { asTold, isNews } from './announcement.js';
-import { mergeLeaving } from './leaving.js';
-import { forgetOldStatements, statementsFor } from './lifeStatements.js';
+import { asAnnounced, isAnnouncementDue } from './announcement.js';
+import { mergeDraining } from './draining.js';
+import { pruneStatements, statementsFor } from './incarnationStatements.js';
 import { mergeLimit } from './limits.js';
 import { mergeRefusal } from './refusals.js';
-import { mergeRest, restStatement, SAME_REST_MS } from './rests.js';
+import { mergePause, pauseStatement, PAUSE_TOLERANCE_MS } from './pauses.js';
 
 /** Statements in one datagram, so that they fill half of what it holds at most. */
-const MOST_STATEMENTS = 800;
+const MAX_STATEMENTS_PER_DATAGRAM = 800;
 /** Pause after which a limit that is heard again is told again, in ms: half of the time after which another box tries. */
-const RENEW_MS = 8000;
+const LIMIT_RENEWAL_MS = 8000;
 
 /** Tells what is new, and boxes that are new everything. */
 export function statementsTick(state: GatewayState, step: Step): void {
-  forgetOldStatements(state, step);
+  pruneStatements(state, step);
   const { nowMs } = step;
-  const hasNewcomers = state.peersNeedingStatements.size > 0;
+  const isAnyPeerUninformed = state.peersNeedingStatements.size > 0;
   const due: IncarnationStatement[] = [];
   const all: IncarnationStatement[] = [];
   for (const known of state.statements.values()) {
-    if (!hasNewcomers && !isAnyDue(known, nowMs)) continue;
-    for (const { statement, announcement, isDue } of standing(known, nowMs)) {
+    if (!isAnyPeerUninformed && !isAnyStatementDue(known, nowMs)) continue;
+    for (const { statement, announcement, isDue } of currentStatements(known, nowMs)) {
       const { serverId, bornAtMs } = known;
-      if (hasNewcomers) all.push({ serverId, bornAtMs, statement });
+      if (isAnyPeerUninformed) all.push({ serverId, bornAtMs, statement });
       if (!isDue) continue;
       due.push({ serverId, bornAtMs, statement });
       announcement.announcedAtMs = nowMs;
     }
   }
-  if (due.length > 0) tell(state, step, due, neighbours(state, nowMs));
-  if (all.length > 0) tell(state, step, all, addressesOf(state, state.peersNeedingStatements));
+  if (due.length > 0) sendStatements(state, step, due, neighbours(state, nowMs));
+  if (all.length > 0)
+    sendStatements(state, step, all, addressesOf(state, state.peersNeedingStatements));
   state.peersNeedingStatements.clear();
 }
 
 /** Whether others are to be told something now; thousands of servers may have said something that they know. */
-function isAnyDue(statements: IncarnationStatements, nowMs: number): boolean {
+function isAnyStatementDue(statements: IncarnationStatements, nowMs: number): boolean {
   const { limit, rest, refusal, leaving } = statements;
   if (refusal !== undefined && refusal.announcement.announcedAtMs === undefined) return true;
   if (limit !== undefined && isLimitDue(limit, nowMs)) return true;
-  if (rest !== undefined && isNews(rest.announcement, nowMs)) return true;
-  return leaving !== undefined && isNews(leaving.announcement, nowMs);
+  if (rest !== undefined && isAnnouncementDue(rest.announcement, nowMs)) return true;
+  return leaving !== undefined && isAnnouncementDue(leaving.announcement, nowMs);
 }
 
 /** A statement that stands, and whether others are to be told now. */
-interface Standing {
+interface CurrentStatement {
   statement: ServerStatement;
   announcement: Announcement;
   isDue: boolean;
 }
 
-function standing(statements: IncarnationStatements, nowMs: number): Standing[] {
+function currentStatements(statements: IncarnationStatements, nowMs: number): CurrentStatement[] {
   const { limit, rest, refusal, leaving } = statements;
-  const found: Standing[] = [];
+  const found: CurrentStatement[] = [];
   if (limit !== undefined) {
     const { perSecond, sentAtMs, receivedAtMs, announcement } = limit;
     const sentAgeMs = Math.round(nowMs - sentAtMs);
@@ -86,9 +87,9 @@
   if (rest !== undefined && rest.untilMs > nowMs) {
     const { announcement } = rest;
     found.push({
-      statement: restStatement(rest, nowMs),
+      statement: pauseStatement(rest, nowMs),
       announcement,
-      isDue: isNews(announcement, nowMs),
+      isDue: isAnnouncementDue(announcement, nowMs),
     });
   }
   if (refusal !== undefined) {
@@ -104,47 +105,47 @@
     found.push({
       statement: { kind: 'leaving' },
       announcement,
-      isDue: isNews(announcement, nowMs),
+      isDue: isAnnouncementDue(announcement, nowMs),
     });
   }
   return found;
 }
 
 function isLimitDue({ announcement, receivedAtMs }: ServerLimit, nowMs: number): boolean {
-  if (isNews(announcement, nowMs)) return true;
+  if (isAnnouncementDue(announcement, nowMs)) return true;
   const { announcedAtMs = nowMs } = announcement;
-  return receivedAtMs > announcedAtMs && nowMs - announcedAtMs >= RENEW_MS;
+  return receivedAtMs > announcedAtMs && nowMs - announcedAtMs >= LIMIT_RENEWAL_MS;
 }
 
 function addressesOf(state: GatewayState, boxIds: ReadonlySet<string>): PeerAddress[] {
   return [...boxIds].flatMap((boxId) => state.peers.get(boxId)?.address ?? []);
 }
 
-function tell(
+function sendStatements(
   state: GatewayState,
   step: Step,
-  news: readonly IncarnationStatement[],
+  toSend: readonly IncarnationStatement[],
   to: readonly PeerAddress[],
 ): void {
   if (to.length === 0) return;
   const boxId = state.settings.box.id;
-  for (let first = 0; first < news.length; first += MOST_STATEMENTS) {
-    const statements = news.slice(first, first + MOST_STATEMENTS);
+  for (let first = 0; first < toSend.length; first += MAX_STATEMENTS_PER_DATAGRAM) {
+    const statements = toSend.slice(first, first + MAX_STATEMENTS_PER_DATAGRAM);
     const message = { kind: 'serverStatements' as const, boxId, statements };
     step.effects.push({ type: 'sendPeers', message, to });
   }
 }
 
 /** Notes a peer that has begun a life or was silent: it may lack what was told meanwhile. */
-export function noteNewcomer(
+export function recordIfUninformed(
   state: GatewayState,
   step: Step,
   peer: PeerView,
   incarnation: number,
 ): void {
-  const isNewLife = peer.message?.incarnation !== incarnation;
+  const isNewIncarnation = peer.message?.incarnation !== incarnation;
   const wasSilent = step.nowMs - peer.lastReceivedAtMs > SILENT_AFTER_MS;
-  if (!isNewLife && !wasSilent) return;
+  if (!isNewIncarnation && !wasSilent) return;
   state.peersNeedingStatements.add(peer.boxId);
   tellDecisions(state, step);
 }
@@ -156,46 +157,51 @@
   event: EventOf<'serverStatements'>,
 ): void {
   const { boxId, statements } = event.message;
-  for (const news of statements) take(state, step, news, boxId);
+  for (const received of statements) applyStatement(state, step, received, boxId);
 }
 
-function take(state: GatewayState, step: Step, news: IncarnationStatement, source: string): void {
-  const { statement } = news;
-  if (statement.kind === 'rest' && statement.leftMs < SAME_REST_MS) return;
+function applyStatement(
+  state: GatewayState,
+  step: Step,
+  received: IncarnationStatement,
+  source: string,
+): void {
+  const { statement } = received;
+  if (statement.kind === 'rest' && statement.leftMs < PAUSE_TOLERANCE_MS) return;
   if (statement.kind === 'leaving')
-    mergeLeaving(state, step, { life: news, source, isListed: false });
-  const statements = statementsFor(state, step, news);
+    mergeDraining(state, step, { life: received, source, isListed: false });
+  const statements = statementsFor(state, step, received);
   if (statements === undefined) return;
   switch (statement.kind) {
     case 'limit': {
       const { perSecond, sentAgeMs, receivedAgeMs } = statement;
       const sentAtMs = step.nowMs - sentAgeMs;
       const receivedAtMs = step.nowMs - receivedAgeMs;
-      mergeLimit(step, { statements, fact: { perSecond, sentAtMs, receivedAtMs }, source });
+      mergeLimit(step, { statements, observation: { perSecond, sentAtMs, receivedAtMs }, source });
       const { limit } = statements;
-      if (limit?.perSecond === perSecond) leaveTelling(state, step, limit?.announcement);
+      if (limit?.perSecond === perSecond) markAnnouncedByOthers(state, step, limit?.announcement);
       return;
     }
     case 'rest':
-      return leaveTelling(
+      return markAnnouncedByOthers(
         state,
         step,
-        mergeRest(step, { statements, told: statement, source }).announcement,
+        mergePause(step, { statements, reported: statement, source }).announcement,
       );
     case 'refusal':
       mergeRefusal(state, step, { statements, ageMs: statement.ageMs });
-      return leaveTelling(state, step, statements.refusal?.announcement);
+      return markAnnouncedByOthers(state, step, statements.refusal?.announcement);
     case 'leaving':
-      return leaveTelling(state, step, statements.leaving?.announcement);
+      return markAnnouncedByOthers(state, step, statements.leaving?.announcement);
   }
 }
 
 /** Whoever told a statement tells all others, and once more; hubs hand it on. */
-function leaveTelling(
+function markAnnouncedByOthers(
   state: GatewayState,
   { nowMs }: Step,
   announcement: Announcement | undefined,
 ): void {
   if (announcement === undefined || handsOn(state)) return;
-  announcement.announcedAtMs = Math.max(nowMs, asTold(announcement).announcedAtMs);
+  announcement.announcedAtMs = Math.max(nowMs, asAnnounced(announcement).announcedAtMs);
 }
