--- a/packages/reedlug-gateway/src/slices/statements/__tests__/draining.test.ts
+++ b/packages/reedlug-gateway/src/slices/statements/__tests__/draining.test.ts
@@ -16,7 +16,7 @@
 
 const DRAINING = { ...NOTHING_SAID, isDraining: true };
 
-/** Sends a request; gives the server that was chosen, which says that it leaves in its answer. */
+/** Sends a request whose answer says that its server is draining, and returns the id of that server. */
 function sendToDrainingServer(
   box: Pick<TestBox, 'take'>,
   exchangeId: number,
@@ -56,7 +56,7 @@
 }
 
 for (const verdict of ['success', 'failure', 'notRun'] as const) {
-  test(`a server whose answer said that it leaves gets nothing more: ${verdict}`, () => {
+  test(`a server whose answer says that it is draining gets no more requests: ${verdict}`, () => {
     const box = createServingBox();
     const drainingId = sendToDrainingServer(box, 1, verdict);
     for (let exchangeId = 2; exchangeId < 40; exchangeId += 1) {
@@ -65,7 +65,7 @@
   });
 }
 
-test('when all engines leave, callers are told when the next one comes', () => {
+test('when all engines are draining, callers get the start of the next one as Retry-After', () => {
   const box = createServingBox();
   for (const serverId of ['engine-1', 'engine-2']) {
     box.take(statementNews({ serverId, bornAtMs: undefined, statement: { kind: 'leaving' } }));
@@ -76,7 +76,7 @@
   expect(only(effects, 'refuse').retryAfterMs).to.be.within(3000, 3750);
 });
 
-test('all boxes hear that a server leaves, also through hubs and boxes that start', () => {
+test('all boxes learn that a server is draining, also through hubs and after a restart', () => {
   for (const boxes of [6, 24, 69]) {
     const fleet = createFleet({ boxes, zones: ['zone-a', 'zone-b', 'zone-c'] });
     fleet.pass(4000);
@@ -92,7 +92,7 @@
   }
 });
 
-test('an entry that says ready, comes late or anew does not undo that its server leaves', () => {
+test('an entry that says ready, arrives late or is listed again does not undo draining', () => {
   const box = createServingBox();
   read(box, 'records-1', 5, ServerState.ready);
   box.take(statementNews({ serverId: 'records-1', bornAtMs: 5, statement: { kind: 'leaving' } }));
@@ -105,7 +105,7 @@
   expect(isDraining(box, 'records-1')).to.equal(true);
 });
 
-test('a server leaves that said so before its entry was known', () => {
+test('a draining statement that comes before the entry of its server is applied', () => {
   const box = createServingBox();
   box.take(statementNews({ serverId: 'records-9', bornAtMs: 5, statement: { kind: 'leaving' } }));
   box.pass(1000);
@@ -113,7 +113,7 @@
   expect(isDraining(box, 'records-9')).to.equal(true);
 });
 
-test('the next life of a server that left begins clean', () => {
+test('the next incarnation of a drained server is not draining', () => {
   const box = createServingBox();
   const news = statementNews({
     serverId: 'records-1',
@@ -128,7 +128,7 @@
   expect(isDraining(box, 'records-1')).to.equal(false);
 });
 
-test('an entry that says leaving counts beside news of a later life', () => {
+test('an entry that says leaving is applied alongside a statement of a later incarnation', () => {
   const box = createServingBox();
   read(box, 'records-1', 5, ServerState.ready);
   const statement = limitStatement(2);
@@ -137,7 +137,7 @@
   expect(isDraining(box, 'records-1')).to.equal(true);
 });
 
-test('what the registry says of a server that leaves is kept as its own word is', () => {
+test('draining reported by the registry is kept like the statement of the server', () => {
   const box = createServingBox();
   read(box, 'records-1', 5, ServerState.leaving);
   remove(box, 'records-1');
@@ -145,7 +145,7 @@
   expect(isDraining(box, 'records-1')).to.equal(true);
 });
 
-test('statements of a server that is not listed are forgotten after ten minutes', () => {
+test('statements of an unlisted server are deleted after ten minutes', () => {
   const box = createServingBox();
   read(box, 'records-1', 5, ServerState.leaving);
   remove(box, 'records-1');
--- a/packages/reedlug-gateway/src/slices/statements/__tests__/limits.test.ts
+++ b/packages/reedlug-gateway/src/slices/statements/__tests__/limits.test.ts
@@ -48,7 +48,7 @@
 
 const NONE: LimitStatement = { kind: 'none' };
 
-/** A box with two servers of look-ups, of which it sends one request and takes the answer. */
+/** Sends one look-up request and answers it with the limit of the chosen server; returns the id of that server. */
 function sendAndAnswer(
   box: TestBox,
   limits: Readonly<Record<string, LimitStatement>>,
@@ -59,7 +59,7 @@
   return sent.serverId;
 }
 
-/** All servers of look-ups name a limit until told otherwise; a caller comes to a box each few ms. */
+/** Simulates look-up requests to all boxes every few ms, with servers that name the given limit in each answer. */
 function simulate(
   fleet: TestFleet,
   params: { forMs: number; everyMs: number; limit: () => LimitStatement },
@@ -92,7 +92,7 @@
   return Math.max(0, ...windows);
 }
 
-test('a limit that one box hears is known to all at once, also through hubs', () => {
+test('a limit that one box receives is soon known to all, also through hubs', () => {
   for (const boxes of [6, 24, 69]) {
     const fleet = createFleet({ boxes, zones: ['zone-a', 'zone-b', 'zone-c'] });
     fleet.pass(4000);
@@ -106,7 +106,7 @@
   }
 });
 
-test('all boxes together keep to a limit over each four seconds, and use it', () => {
+test('all boxes together keep to a limit in each four seconds, and use most of it', () => {
   for (const boxes of [6, 24, 69]) {
     for (const perSecond of [0.4, 1, 8, 50]) {
       const fleet = createFleet({ boxes, zones: ['zone-a', 'zone-b', 'zone-c'] });
@@ -121,7 +121,7 @@
   }
 });
 
-test('a box that ends, comes back or stops hands its part on without a second one', () => {
+test('the share of a box that is lost, restarts or shuts down passes on without being used twice', () => {
   const fleet = createFleet({ boxes: 6, zones: ['zone-a', 'zone-b', 'zone-c'] });
   fleet.pass(4000);
   const limit = (): LimitStatement => ({ kind: 'limit', perSecond: 1 });
@@ -146,7 +146,7 @@
   expect(sentAtMs.filter((atMs) => atMs > 12_000).length).to.be.at.least(2);
 });
 
-test('a box that starts is told of limits that stand, and sends within them', () => {
+test('a box that starts receives the limits in force and keeps to them', () => {
   const fleet = createFleet({ boxes: 6, zones: ['zone-a', 'zone-b', 'zone-c'] });
   fleet.pass(4000);
   simulate(fleet, { forMs: 2000, everyMs: 10, limit: () => ({ kind: 'limit', perSecond: 1 }) });
@@ -157,7 +157,7 @@
   ).to.equal(1);
 });
 
-test('when a limit ends all boxes use the server again, more and more', () => {
+test('when a limit ends all boxes use the server again, at a growing rate', () => {
   const fleet = createFleet({ boxes: 6, zones: ['zone-a', 'zone-b', 'zone-c'] });
   fleet.pass(4000);
   let limit: LimitStatement = { kind: 'limit', perSecond: 1 };
@@ -170,7 +170,7 @@
   expect(sentIn(6000, 7000)).to.equal(40);
 });
 
-test('what no server may take is refused at once, truly, and comes back at different times', () => {
+test('a request that no server accepts is refused at once, with accurate and distinct retry times', () => {
   const box = createServingBox();
   const limited: LimitStatement = { kind: 'limit', perSecond: 0.5 };
   const limits = { 'records-1': limited, 'records-2': limited };
@@ -186,7 +186,7 @@
   for (const ms of times) expect(ms).to.be.within(100, 6250);
 });
 
-test('while another server takes requests, none waits for a limited one', () => {
+test('no request waits for a limited server while another server accepts requests', () => {
   const box = createServingBox();
   box.pass(4000);
   const limits = { 'records-1': { kind: 'limit', perSecond: 0.4 } } as const;
@@ -195,7 +195,7 @@
   expect(asked.filter((id) => id === 'records-2').length).to.be.at.least(38);
 });
 
-test('odd values change nothing and are logged', () => {
+test('malformed limits change nothing and are logged', () => {
   const box = createServingBox();
   const odd: LimitStatement = { kind: 'odd', value: 'x'.repeat(500) };
   const sent = sentOf(box.take(requestOf())) as Sent;
@@ -205,7 +205,7 @@
   expect(box.state.servers.get(sent.serverId)?.statements?.limit).to.equal(undefined);
 });
 
-test('an odd value does not end a limit that stands', () => {
+test('a malformed limit does not end a limit in force', () => {
   const box = createServingBox();
   box.pass(4000);
   const limits: Record<string, LimitStatement> = { 'records-1': { kind: 'limit', perSecond: 50 } };
@@ -216,7 +216,7 @@
   expect(box.state.servers.get('records-1')?.statements?.limit?.perSecond).to.equal(50);
 });
 
-test('a limit belongs to one life of its server', () => {
+test('a limit belongs to one incarnation of its server', () => {
   const box = createServingBox();
   const entry = server('records-1', { bornAtMs: 1 });
   const change = (bornAtMs: number) => ({ id: entry.id, entry: { ...entry, bornAtMs } });
@@ -232,7 +232,7 @@
   expect(box.state.servers.get('records-1')?.statements?.limit).to.equal(undefined);
 });
 
-test('news that are none change nothing', () => {
+test('malformed statements in a datagram change nothing', () => {
   const box = createServingBox();
   const odd: unknown[] = [
     undefined,
@@ -250,7 +250,7 @@
   expect(box.state.statements.size).to.equal(0);
 });
 
-test('a server that refuses and asks for a pause gets nothing from any box until then', () => {
+test('a server that refuses and asks for a pause gets no request from any box until its end', () => {
   const fleet = createFleet({ boxes: 24, zones: ['zone-a', 'zone-b', 'zone-c'] });
   fleet.pass(4000);
   const { exchangeId, attemptId } = sentOf(fleet.take('box-3', requestOf())) as Sent;
@@ -278,7 +278,7 @@
   expect(box.state.servers.get(serverId)?.statements?.rest).to.equal(undefined);
 });
 
-test('a change is told by the box that heard it, twice, and by no other one of a small fleet', () => {
+test('in a small fleet only the box that received a change sends it, twice', () => {
   const fleet = createFleet({ boxes: 6, zones: ['zone-a', 'zone-b', 'zone-c'] });
   fleet.pass(4000);
   const sent = sentOf(fleet.take('box-4', requestOf())) as Sent;
--- a/packages/reedlug-gateway/src/slices/statements/__tests__/pauses.test.ts
+++ b/packages/reedlug-gateway/src/slices/statements/__tests__/pauses.test.ts
@@ -54,7 +54,7 @@
   return fleet;
 }
 
-/** Sends while nothing may be: gives how many sends were made in a time, from all boxes. */
+/** Attempts sends from all boxes for a time and returns how many were made. */
 function sendsIn(fleet: TestFleet, ms: number): number {
   let sends = 0;
   for (let passedMs = 0; passedMs < ms; passedMs += 500) {
@@ -64,27 +64,27 @@
   return sends;
 }
 
-for (const restS of [3, 10, 55]) {
-  test(`a rest of ${restS} s is kept to its end by all boxes`, () => {
+for (const pauseS of [3, 10, 55]) {
+  test(`a pause of ${pauseS} s is kept to its end by all boxes`, () => {
     const fleet = createStableFleet(6);
-    refuse(boxOf(fleet, 'box-3'), send(boxOf(fleet, 'box-3')) as Sent, restS * 1000);
-    expect(sendsIn(fleet, (restS - 1) * 1000)).to.equal(0);
+    refuse(boxOf(fleet, 'box-3'), send(boxOf(fleet, 'box-3')) as Sent, pauseS * 1000);
+    expect(sendsIn(fleet, (pauseS - 1) * 1000)).to.equal(0);
     fleet.pass(1500);
     expect(send(boxOf(fleet, 'box-3'))?.serverId).to.equal('records-1');
     expect(send(boxOf(fleet, 'box-1'))?.serverId).to.equal('records-1');
   });
 }
 
-for (const restS of [3600, 1e9]) {
-  test(`in a rest of ${restS} s the fleet sends one request to learn whether it stands`, () => {
+for (const pauseS of [3600, 1e9]) {
+  test(`in a pause of ${pauseS} s the fleet sends one probe`, () => {
     const fleet = createStableFleet(6);
-    refuse(boxOf(fleet, 'box-3'), send(boxOf(fleet, 'box-3')) as Sent, restS * 1000);
+    refuse(boxOf(fleet, 'box-3'), send(boxOf(fleet, 'box-3')) as Sent, pauseS * 1000);
     expect(sendsIn(fleet, 59_000)).to.equal(0);
     expect(sendsIn(fleet, 120_000)).to.equal(1);
   });
 }
 
-test('boxes that were not asked use a server again that served the probe of a long rest', () => {
+test('a served probe lifts a long pause for the boxes that were not asked for it', () => {
   const fleet = createStableFleet(6);
   refuse(boxOf(fleet, 'box-3'), send(boxOf(fleet, 'box-3')) as Sent, 3_600_000);
   let probe: { boxId: string; sent: Sent } | undefined;
@@ -104,7 +104,7 @@
   }
 });
 
-test('a box that starts is told of a rest that stands', () => {
+test('a box that starts receives a pause in force', () => {
   const fleet = createStableFleet(6);
   refuse(boxOf(fleet, 'box-3'), send(boxOf(fleet, 'box-3')) as Sent, 20_000);
   fleet.pass(2000);
@@ -113,7 +113,7 @@
   expect(send(boxOf(fleet, 'box-5'))).to.equal(undefined);
 });
 
-test('a rest outlives a view of its server that is made anew, and ends with its life', () => {
+test('a pause survives a relisting of its server and ends with its incarnation', () => {
   const box = createServingBox();
   const entry = server('records-1', { bornAtMs: 5 });
   const read = (changed: typeof entry | undefined): void => {
@@ -121,25 +121,25 @@
     const changes = [{ id: 'records-1', entry: changed }];
     box.take({ type: 'serversRead', whole: false, changes, revision, source: 'store' });
   };
-  const rests = (): boolean =>
+  const isPaused = (): boolean =>
     (box.state.servers.get('records-1')?.statements?.rest?.untilMs ?? 0) > box.nowMs;
   read(entry);
   box.take(statementNews({ serverId: 'records-1', bornAtMs: 5, statement: restStatement(9000) }));
-  expect(rests()).to.equal(true);
+  expect(isPaused()).to.equal(true);
   read(undefined);
   read({ ...entry, state: ServerState.ready });
-  expect(rests()).to.equal(true);
+  expect(isPaused()).to.equal(true);
   read({ ...entry, bornAtMs: 6 });
-  expect(rests()).to.equal(false);
+  expect(isPaused()).to.equal(false);
 });
 
-test('whichever rest comes first, boxes keep them all to the last end', () => {
-  const rests = fc.array(fc.record({ leftMs: fc.integer({ min: 400, max: 90_000 }) }), {
+test('pauses received in any order are kept to the latest end', () => {
+  const pausesArbitrary = fc.array(fc.record({ leftMs: fc.integer({ min: 400, max: 90_000 }) }), {
     minLength: 1,
     maxLength: 6,
   });
   fc.assert(
-    fc.property(rests, (pauses) => {
+    fc.property(pausesArbitrary, (pauses) => {
       const ends = [pauses, [...pauses].reverse()].map((order) => {
         const box = createServingBox();
         for (const { leftMs } of order) {
@@ -155,7 +155,7 @@
   );
 });
 
-test('a request that all servers rest from is refused with the time of the first that comes back', () => {
+test('a request for which all servers are paused is refused with the earliest end as its retry time', () => {
   const box = createServingBox();
   for (const [serverId, leftMs] of [
     ['records-1', 30_000] as const,
@@ -170,7 +170,7 @@
   expect(retryAfterMs).to.be.within(20_000, 25_000);
 });
 
-test('all boxes hear that a server refuses without a time, and send to others', () => {
+test('a box that learns of a refusal without a pause sends to other servers', () => {
   const box = createServingBox();
   const refusals = [900, 300].map((ageMs) => ({ kind: 'refusal' as const, ageMs }));
   for (const statement of refusals) {
@@ -183,7 +183,7 @@
   }
 });
 
-test('refusals of a server within half a second are told as one', () => {
+test('refusals of a server within half a second count as one', () => {
   const box = createServingBox();
   for (const ageMs of [900, 800, 700]) {
     const statement = { kind: 'refusal' as const, ageMs };
--- a/packages/reedlug-gateway/src/slices/statements/announcement.ts
+++ b/packages/reedlug-gateway/src/slices/statements/announcement.ts
@@ -1,10 +1,10 @@
-/** When a statement is told to other boxes. */
+/** Decides when a server statement is sent to other boxes. */
 import type { Announcement } from '../../types/serverStatement.js';
 
-/** Pause after which a change is told once more, in ms: longer than a loss of several datagrams in a row. */
+/** Delay after which a change is sent a second time, in ms; longer than a burst of several lost datagrams. */
 const REPEAT_AFTER_MS = 1000;
 
-/** Whether others are to be told of a change now. */
+/** Returns whether a change is due to be sent now: at once, and a second time after the delay. */
 export function isAnnouncementDue(
   { changedAtMs, announcedAtMs }: Announcement,
   nowMs: number,
@@ -13,7 +13,7 @@
   return announcedAtMs < changedAtMs + REPEAT_AFTER_MS && nowMs >= changedAtMs + REPEAT_AFTER_MS;
 }
 
-/** The announcement of a change that others tell, and tell again. */
+/** Returns the announcement of a change that another box sends, both times, so that this box need not. */
 export function asAnnounced({ changedAtMs }: Announcement): {
   changedAtMs: number;
   announcedAtMs: number;
--- a/packages/reedlug-gateway/src/slices/statements/answerStatements.ts
+++ b/packages/reedlug-gateway/src/slices/statements/answerStatements.ts
@@ -1,4 +1,4 @@
-/** Takes what the heads of answers say of their servers. */
+/** Applies the server statements in the headers of answers. */
 import { log, type GatewayState, type Step } from '../../state.js';
 import type { Attempt, RequestRecord } from '../../types/request.js';
 import type {
@@ -12,10 +12,10 @@
 import { mergeRefusal } from './refusals.js';
 import { mergeOwnPause } from './pauses.js';
 
-/** Characters of an odd value that are logged. */
+/** Maximum number of characters of a malformed limit that are logged. */
 const MAX_LOGGED_CHARACTERS = 40;
 
-/** Takes what an answer says of its server. */
+/** Records the statements that an answer carries about its server. */
 export function applyAnswerStatements(
   state: GatewayState,
   step: Step,
@@ -33,7 +33,11 @@
     mergeDraining(state, step, { life: attempt, source, isListed: false });
 }
 
-/** A server that refuses has little open and would be the cheapest choice again; one that asked for rest is not chosen. */
+/**
+ * Records that a server refused a request, unless it asked this box for a pause, which already keeps it
+ * from being chosen. Without the record it would be chosen again, since a server that refuses has few
+ * open requests and looks cheapest.
+ */
 export function applyRefusal(state: GatewayState, step: Step, attempt: Attempt): void {
   const statements = statementsFor(state, step, attempt);
   if (statements === undefined) return;
@@ -64,7 +68,10 @@
   }
 }
 
-/** Most answers name no limit, of servers that never did: nothing is kept for them. */
+/**
+ * Returns the statements to merge a limit into; undefined if the answer names no limit and its server has
+ * no statements, so that most answers create no record.
+ */
 function statementsForLimit(
   state: GatewayState,
   step: Step,
--- a/packages/reedlug-gateway/src/slices/statements/draining.ts
+++ b/packages/reedlug-gateway/src/slices/statements/draining.ts
@@ -1,10 +1,10 @@
-/** Servers that say they leave: for the rest of that life they get nothing, whatever else says they are ready. */
+/** Draining servers. A server that says so gets no more requests in that incarnation, even if other sources list it as ready. */
 import { log, type GatewayState, type Step } from '../../state.js';
 import type { ServerIncarnation } from '../../types/server.js';
 import { asAnnounced } from './announcement.js';
 import { statementsFor } from './incarnationStatements.js';
 
-/** Merges that a server leaves; `source` names the request, the box or the feed of the registry that told it. */
+/** Records that a server is draining. `source` names the request, the box or the registry feed that reported it. */
 export function mergeDraining(
   state: GatewayState,
   step: Step,
@@ -14,7 +14,7 @@
   const statements = statementsFor(state, step, life);
   if (statements === undefined || statements.leaving !== undefined) return;
   const announcement = { changedAtMs: step.nowMs, announcedAtMs: undefined };
-  // The registry tells all boxes itself.
+  // All boxes read the registry, so its entries need no announcement.
   statements.leaving = { announcement: isListed ? asAnnounced(announcement) : announcement };
   const view = state.servers.get(life.serverId);
   if (view?.statements === statements) view.leaving = true;
--- a/packages/reedlug-gateway/src/slices/statements/eligibility.ts
+++ b/packages/reedlug-gateway/src/slices/statements/eligibility.ts
@@ -1,4 +1,4 @@
-/** Whether a server may be sent a request by what it has said: the one gate of all sends. */
+/** Decides whether the statements of a server allow a send to it. Every send passes this check. */
 import { limitNow, nextSendAtMs, noteLimitedSend } from '../../policy/serverLimit.js';
 import type { GatewayState } from '../../state.js';
 import type { IncarnationStatements } from '../../types/serverStatement.js';
@@ -6,15 +6,18 @@
 import { mayProbePause, recordSendDuringPause, pausedUntilMs } from './pauses.js';
 import { ownShare } from './senderShare.js';
 
-/** Time since its last answer for which a limited server is sent something where it can be, in ms: the end of its need shows in its next answer alone. */
+/**
+ * Time since the last answer of a limited server after which it is preferred for the next request, in ms.
+ * Only its next answer shows that its limit has ended.
+ */
 const LIMIT_REFRESH_MS = 1500;
 
-/** Whether this box may send to a server now; each send must pass it, whatever it is for. */
+/** Returns whether this box may send to a server now. Every send is checked, whatever its purpose. */
 export function isEligible(state: GatewayState, view: ServerView, nowMs: number): boolean {
   return eligibleAtMs(state, view, nowMs) <= nowMs;
 }
 
-/** When this box may next send to a server by what the server has said; never where only others send. */
+/** Returns when the statements of a server next allow this box to send to it; infinity where only other boxes may send. */
 export function eligibleAtMs(state: GatewayState, view: ServerView, nowMs: number): number {
   if (view.leaving) return Number.POSITIVE_INFINITY;
   if (view.statements === undefined) return nowMs;
@@ -26,7 +29,7 @@
   return Math.max(fromMs, nextSendAtMs(limit.sends, share, nowMs));
 }
 
-/** When a rest lets this box send again. */
+/** Returns when the pause of a server next allows this box to send to it. */
 function pauseAllowsSendAtMs(
   state: GatewayState,
   life: IncarnationStatements,
@@ -38,18 +41,18 @@
   return untilMs > nowMs && mayProbePause(state, { rest, life, nowMs }) ? nowMs : untilMs;
 }
 
-/** Whether a server names a limit, or did so a moment ago. */
+/** Returns whether a server names a limit, or its limit ended so recently that the ramp-up is not over. */
 export function isLimited({ statements }: ServerView, nowMs: number): boolean {
   return statements?.limit !== undefined && limitNow(statements.limit, nowMs) !== undefined;
 }
 
-/** Whether a server that names a limit has not answered for a while. */
+/** Returns whether a server that names a limit has not answered for long enough to be asked again. */
 export function isLimitRefreshDue({ statements }: ServerView, nowMs: number): boolean {
   const limit = statements?.limit;
   return limit?.perSecond !== undefined && nowMs - limit.receivedAtMs >= LIMIT_REFRESH_MS;
 }
 
-/** Notes a send to a server, for what it has said. */
+/** Records a send to a server for its limit and its pause. */
 export function recordSendForStatements({ statements }: ServerView, nowMs: number): void {
   if (statements?.limit !== undefined) noteLimitedSend(statements.limit.sends, nowMs);
   if (statements?.rest !== undefined) recordSendDuringPause(statements.rest, nowMs);
--- a/packages/reedlug-gateway/src/slices/statements/incarnationStatements.ts
+++ b/packages/reedlug-gateway/src/slices/statements/incarnationStatements.ts
@@ -1,8 +1,8 @@
 /**
- * The table of what servers have said, by life.
+ * The table of server statements, by incarnation of the server.
  *
- * It is kept apart from the registry: an entry that lapses, comes late or is read anew
- * undoes no statement, and a next life begins without any.
+ * It is kept separate from the registry: an entry that lapses, arrives late or is read again
+ * undoes no statement, and a new incarnation starts without any.
  */
 import type { GatewayState, Step } from '../../state.js';
 import { isLaterIncarnation, type ServerIncarnation } from '../../types/server.js';
@@ -10,13 +10,13 @@
 import type { ServerView } from '../../types/views.js';
 import { isLimitExpired } from './limits.js';
 
-/** Time for which statements of a life are kept that is not in the registry, in ms: well over the longest time for which entries come late. */
+/** Time for which statements are kept while their incarnation is not in the registry, in ms; well over the longest delay of an entry. */
 const UNLISTED_RETENTION_MS = 600_000;
 
-/** Time for which a refusal is known, in ms: no news of it are on their way any more. */
+/** Time for which a refusal is kept, in ms; longer than gossip about it can be under way. */
 const REFUSAL_RETENTION_MS = 3000;
 
-/** The statements of a life, for one more; undefined for a life that is over. */
+/** Returns the statements of an incarnation to add one to, creating them if needed; undefined if the incarnation is over. */
 export function statementsFor(
   state: GatewayState,
   step: Step,
@@ -46,7 +46,7 @@
   return created;
 }
 
-/** What is known of a life that the registry lists now; the statements of an earlier one are forgotten. */
+/** Returns the statements of an incarnation that the registry lists now, and deletes those of an earlier one. */
 export function findStatements(
   state: GatewayState,
   { serverId, bornAtMs }: ServerIncarnation,
@@ -61,7 +61,7 @@
   return known;
 }
 
-/** Servers of a service that have said something of late and do not leave. */
+/** Returns the servers of a service that have statements in force and are not draining. */
 export function serversWithStatements(state: GatewayState, service: string): ServerView[] {
   return [...state.statements.values()].flatMap((statements) => {
     const view = viewOf(state, statements);
@@ -69,7 +69,7 @@
   });
 }
 
-/** What servers of a service have said that leave and are still listed. */
+/** Returns the draining statements of the servers of a service that are still listed. */
 export function drainingStatementsOf(state: GatewayState, service: string): ServerDraining[] {
   return [...state.statements.values()].flatMap((statements) => {
     const isOfService = viewOf(state, statements)?.entry.service === service;
@@ -77,7 +77,7 @@
   });
 }
 
-/** Forgets what matters no more. */
+/** Deletes statements that are no longer in force, or whose incarnation has been unlisted for too long. */
 export function pruneStatements(state: GatewayState, { nowMs }: Step): void {
   for (const statements of state.statements.values()) {
     const view = viewOf(state, statements);
--- a/packages/reedlug-gateway/src/slices/statements/limits.ts
+++ b/packages/reedlug-gateway/src/slices/statements/limits.ts
@@ -1,4 +1,4 @@
-/** Limits of servers as this box merges them, from its own answers and from other boxes. */
+/** Merges the limits that servers name, from the answers to this box and from other boxes. */
 import { isNewerLimit } from '../../policy/serverLimit.js';
 import { log, type Step } from '../../state.js';
 import type {
@@ -7,10 +7,10 @@
   ServerLimit,
 } from '../../types/serverStatement.js';
 
-/** Time for which an end of a limit is known, in ms: no news of it are on their way any more. */
+/** Time for which the end of a limit is kept, in ms; longer than gossip about it can be under way. */
 const ENDED_LIMIT_RETENTION_MS = 60_000;
 
-/** Merges what a server said of its limit; `source` names the request, or the box that told it. */
+/** Merges an observation of a server's limit. `source` names the request, or the box that sent it. */
 export function mergeLimit(
   step: Step,
   {
@@ -41,7 +41,7 @@
   });
 }
 
-/** Whether a limit has ended so long ago that nothing of it matters any more. */
+/** Returns whether a limit ended so long ago that its record can be deleted. */
 export function isLimitExpired({ perSecond, receivedAtMs }: ServerLimit, nowMs: number): boolean {
   return perSecond === undefined && nowMs - receivedAtMs >= ENDED_LIMIT_RETENTION_MS;
 }
--- a/packages/reedlug-gateway/src/slices/statements/missingEngines.ts
+++ b/packages/reedlug-gateway/src/slices/statements/missingEngines.ts
@@ -1,4 +1,4 @@
-/** Engines that limits and rests leave missing: one in need counts for what it takes. */
+/** Adds engines to make up for limited and paused ones, which count only for the requests that they accept. */
 import { limitNow } from '../../policy/serverLimit.js';
 import type { EngineModel } from '../../policy/engineModel.js';
 import type { EngineNeed, ServiceLoad } from '../../policy/engineTarget.js';
@@ -10,7 +10,7 @@
 
 const SECOND_MS = 1000;
 
-/** Adds to a need the engines that stand in for those that take less than their share, or nothing. */
+/** Adds to a need the engines that replace those that accept less than their share of the requests, or none. */
 export function withMissingEngines(
   state: GatewayState,
   { nowMs }: Step,
@@ -34,7 +34,10 @@
   };
 }
 
-/** Requests a second that a server takes by what it said; undefined for as many as come. A rest that is over before another engine is there counts for nothing. */
+/**
+ * Returns how many requests a second the statements of a server allow; undefined if they set no bound.
+ * A pause that ends before a new engine could start is ignored.
+ */
 function acceptedPerSecond(
   { limit, rest }: IncarnationStatements,
   { nowMs, bootMs }: { nowMs: number; bootMs: number },
--- a/packages/reedlug-gateway/src/slices/statements/pauses.ts
+++ b/packages/reedlug-gateway/src/slices/statements/pauses.ts
@@ -1,9 +1,9 @@
 /**
- * Rests that servers ask for as they refuse.
+ * Pauses that servers ask for when they refuse a request.
  *
- * Whatever the order in which boxes learn of several, each rest is kept to its end. So that
- * a mistake does not lose a server for all, one box of the fleet sends one request late in a
- * long rest: where it is served, boxes that were not asked themselves use the server again.
+ * Every pause is kept until its end, in whatever order boxes learn of several. So that a server is not
+ * lost to the whole fleet by a mistake, one box sends one probe request during a long pause. If the
+ * server serves it, the pause is lifted for the boxes that were not asked for it themselves.
  */
 import { log, type GatewayState, type Step } from '../../state.js';
 import type { Attempt } from '../../types/request.js';
@@ -14,16 +14,19 @@
 } from '../../types/serverStatement.js';
 import { rankOf } from './senderShare.js';
 
-/** Two tellings of one rest differ by less, in ms: each comes a way later. A shorter rest is over before others hear of it. */
+/**
+ * Difference within which two reports count as the same pause, in ms; each is late by its network delay.
+ * A shorter pause is over before other boxes receive it.
+ */
 export const PAUSE_TOLERANCE_MS = 300;
-/** Time in a rest from which on one request of the fleet may be sent, in ms: few servers mean to rest for longer. */
+/** Time into a pause after which the fleet may send one probe, in ms. Few servers mean to pause for longer. */
 const PROBE_AFTER_MS = 60_000;
-/** Time after which the next box by rank may send it, in ms: the first may have no callers, or be gone. */
+/** Time after which the next box by rank may send the probe, in ms. The one before may have no callers, or be gone. */
 const PROBE_RANK_DELAY_MS = 10_000;
 
 type PauseStatement = Extract<ServerStatement, { kind: 'rest' }>;
 
-/** Merges a rest that a server asked this box for. */
+/** Merges a pause that a server asked this box for. */
 export function mergeOwnPause(
   step: Step,
   params: { statements: IncarnationStatements; pauseMs: number; source: string },
@@ -43,7 +46,7 @@
   pause.ownUntilMs = Math.max(pause.ownUntilMs, step.nowMs + pauseMs);
 }
 
-/** Merges a rest of which this box or another one knows. */
+/** Merges a pause that a server asked this box for, or that another box reported; returns the merged pause. */
 export function mergePause(
   step: Step,
   {
@@ -78,7 +81,7 @@
   return pause;
 }
 
-/** A rest as others are told. */
+/** Returns the statement that tells other boxes of a pause. */
 export function pauseStatement(pause: ServerPause, nowMs: number): PauseStatement {
   return {
     kind: 'rest',
@@ -89,12 +92,12 @@
   };
 }
 
-/** Until when this box keeps a rest. */
+/** Returns until when this box sends nothing to a paused server. */
 export function pausedUntilMs(pause: ServerPause): number {
   return isLifted(pause) ? pause.ownUntilMs : pause.untilMs;
 }
 
-/** Whether this box may send the one request of the fleet by which it shows whether a long rest stands. */
+/** Returns whether this box may send the one probe of the fleet that shows whether a long pause still holds. */
 export function mayProbePause(
   state: GatewayState,
   { rest, life, nowMs }: { rest: ServerPause; life: IncarnationStatements; nowMs: number },
@@ -105,14 +108,14 @@
   return elapsedMs >= PROBE_AFTER_MS + rank * PROBE_RANK_DELAY_MS;
 }
 
-/** Notes a send to a server that rests. */
+/** Records a send to a server during its pause, which is the probe. */
 export function recordSendDuringPause(pause: ServerPause, nowMs: number): void {
   if (pausedUntilMs(pause) <= nowMs) return;
   pause.probeAtMs = nowMs;
   pause.announcement = { changedAtMs: nowMs, announcedAtMs: undefined };
 }
 
-/** A server has served a request: where that was the probe of a rest, the rest is over for boxes that were not asked. */
+/** Lifts the pause of a server for the boxes that were not asked for it, if the request that it served was the probe. */
 export function recordServedProbe(state: GatewayState, step: Step, attempt: Attempt): void {
   const statements = state.statements.get(attempt.serverId);
   const pause = statements?.rest;
--- a/packages/reedlug-gateway/src/slices/statements/refusals.ts
+++ b/packages/reedlug-gateway/src/slices/statements/refusals.ts
@@ -1,12 +1,15 @@
-/** Refusals without a time, of which all boxes hear: else each of them learns alone that a server refuses. */
+/**
+ * Refusals that name no pause. They are sent to all boxes, as otherwise each box would have to be refused
+ * itself before it avoids the server.
+ */
 import { noteFailure } from '../../policy/serverHealth.js';
 import type { GatewayState, Step } from '../../state.js';
 import type { IncarnationStatements } from '../../types/serverStatement.js';
 
-/** Time within which several refusals of a server are told as one, in ms: a server that is full refuses many at once. */
+/** Time within which several refusals of a server are merged into one, in ms. A full server refuses many requests at once. */
 const REFUSAL_MERGE_MS = 500;
 
-/** Merges a refusal that this box or another one had; it counts in the choice as a failure does. */
+/** Merges a refusal that this box or another one received. It counts as a failure in the choice of servers. */
 export function mergeRefusal(
   state: GatewayState,
   { nowMs }: Step,
--- a/packages/reedlug-gateway/src/slices/statements/retryAfterTimes.ts
+++ b/packages/reedlug-gateway/src/slices/statements/retryAfterTimes.ts
@@ -1,9 +1,8 @@
 /**
- * When callers may come back whom no server takes, since those that are there name limits,
- * rest or leave.
+ * Retry-After times of requests that no server accepts because all are limited, paused or draining.
  *
- * Each is told the next moment that is not told to another one, as fast as the servers will
- * take requests. An urgent one goes before those that are less so.
+ * Each caller gets the next time that no other caller was given, spaced by the rate at which the
+ * servers accept requests. More urgent requests are placed before less urgent ones.
  */
 import { limitNow } from '../../policy/serverLimit.js';
 import { spreadRetryMs } from '../../policy/retrySpread.js';
@@ -15,14 +14,17 @@
 import { drainingStatementsOf, serversWithStatements } from './incarnationStatements.js';
 import { pausedUntilMs } from './pauses.js';
 
-/** Why such a request is refused. */
+/** Reason given in the refusal of such a request. */
 export const SERVERS_LIMITED = 'serversLimited';
-/** Share of a server's places that callers come back to after its rest: it has work of its own left, and others come too. */
+/**
+ * Share of a server's slots that is offered to returning callers after its pause. The rest is needed for
+ * its unfinished work and for new callers.
+ */
 const SHARE_AFTER_PAUSE = 0.25;
-/** Longest time to come back that is told where limits change within seconds, or engines can be ordered, in ms. */
+/** Maximum Retry-After time where limits change within seconds or engines can be ordered, in ms. */
 const MAX_RETRY_AFTER_MS = 5000;
 
-/** Books the time at which a request may come back, in ms from now; undefined where no statement keeps it from its servers. */
+/** Reserves the time after which a refused request may be retried, in ms from now; undefined if no statement blocks its servers. */
 export function reserveRetryAfterMs(
   state: GatewayState,
   record: RequestRecord,
@@ -32,7 +34,7 @@
   if (accepted === undefined) return replacementRetryAfterMs(state, record, nowMs);
   const { perSecond, nextAtMs, maxRetryAfterMs } = accepted;
   const { service, urgency, facts } = record;
-  // Others refuse callers as well, and all of them come back to the same servers.
+  // Other boxes refuse callers as well, and all of these return to the same servers.
   const intervalMs = (1000 * fleetSize(state)) / perSecond;
   const assigned = state.retryAfterTimes.get(service) ?? new Map<number, number>();
   const earlier = [...assigned].filter(([other]) => other <= urgency).map(([, atMs]) => atMs);
@@ -44,10 +46,10 @@
   return spreadRetryMs(waitMs, facts.requestId);
 }
 
-/** What servers that name limits or rest will take. */
+/** Rate at which limited and paused servers will accept requests. */
 interface AcceptedRate {
   perSecond: number;
-  /** When the first of them takes the next request. */
+  /** When the first of them accepts the next request. */
   nextAtMs: number;
   maxRetryAfterMs: number;
 }
@@ -72,13 +74,13 @@
   }
   const perSecond = limitedPerSecond + pausedPerSecond;
   if (perSecond === 0) return undefined;
-  // Where this box may not send to a limited server, another one may.
+  // Another box may be allowed to send to a limited server while this one is not.
   if (limitedPerSecond > 0) nextAtMs = Math.min(nextAtMs, nowMs + 1000 / limitedPerSecond);
   const isShort = limitedPerSecond > 0 || bootMsOf(state, service) !== undefined;
   return { perSecond, nextAtMs, maxRetryAfterMs: isShort ? MAX_RETRY_AFTER_MS : Infinity };
 }
 
-/** Time until an engine comes that stands in for the one that left last; undefined where none is to come. */
+/** Returns the time until an engine replaces the one that started draining last, in ms; undefined if none is expected. */
 function replacementRetryAfterMs(
   state: GatewayState,
   { service, facts }: RequestRecord,
--- a/packages/reedlug-gateway/src/slices/statements/senderShare.ts
+++ b/packages/reedlug-gateway/src/slices/statements/senderShare.ts
@@ -1,11 +1,11 @@
 /**
- * This box's part of a limit that a server names.
+ * This box's share of a limit that a server names.
  *
- * A limit is meant for all boxes together, so one box's own count keeps nothing: eight that
- * each keep to it send eight times as much. For each life of a server all boxes agree by
- * rank on the few that send to it, each with its part. A box that hears only some of the
- * others takes that share of its part alone, so that both sides of a cut together stay
- * within the limit.
+ * A limit applies to all boxes together: eight boxes that each send up to the limit send eight times
+ * as much. For each incarnation of a server all boxes rank themselves in the same order, and only the
+ * first few send to it, each within its share. A box that reaches only a fraction of the others uses
+ * only that fraction of its share, so that both sides of a network partition together stay within
+ * the limit.
  */
 import { hashString } from 'reedlug-coordination';
 import { sendersOf } from '../../policy/serverLimit.js';
@@ -22,14 +22,17 @@
   usesHubs,
 } from '../fleet.js';
 
-/** Pause between looks which boxes are heard, in ms: as often as their news come. */
+/** Interval at which the reachable boxes are determined again, in ms; equal to the interval of their gossip. */
 const REACHABILITY_REFRESH_MS = 200;
-/** Pause between looks at a list of boxes that changes seldom, in ms: hundreds of boxes, for each of many limited servers. */
+/**
+ * Interval at which ranks among listed boxes are computed again, in ms. The list changes seldom, and
+ * ranking hundreds of boxes for each of many limited servers is costly.
+ */
 const LISTED_RANK_REFRESH_MS = 5000;
-/** Time from its start after which a box is taken to have heard of the limits that stood before, in ms. */
+/** Time after its start by which a box has received the limits that were already in force, in ms. */
 const LIMITS_KNOWN_AFTER_MS = 3000;
 
-/** Requests a second that this box may send of a server's limit. */
+/** Returns how many requests a second of a server's limit this box may send. */
 export function ownShare(
   state: GatewayState,
   view: ServerView,
@@ -38,7 +41,7 @@
   const isFirstRanking = limit.rank === undefined;
   const rank = rankOf(state, { life: incarnationOf(view.entry), ranked: limit, nowMs });
   const senders = sendersOf(perSecond, nowMs - limit.receivedAtMs);
-  // The callers of a box that stops go to others.
+  // The callers of a box that shuts down move to other boxes.
   const isSender = rank < senders && state.stoppingSinceMs === undefined;
   recordSender(state, limit, { isSender, isFirstRanking, nowMs });
   if (!isSender) return 0;
@@ -46,7 +49,7 @@
   return (perSecond * share) / Math.min(senders, boxes);
 }
 
-/** Notes whether this box is one of those that send to a server. */
+/** Records whether this box is one of those that send to a server. */
 function recordSender(
   { startedAtMs }: GatewayState,
   { sends, knownSinceMs }: ServerLimit,
@@ -62,7 +65,7 @@
   sends.replacedAnotherBox = !isFirstRanking || knownSinceMs - startedAtMs < LIMITS_KNOWN_AFTER_MS;
 }
 
-/** How many boxes come before this one among those that may send to a server; kept in what is ranked. */
+/** Returns how many boxes rank before this one among those that may send to a server; cached in `ranked`. */
 export function rankOf(
   state: GatewayState,
   params: { life: ServerIncarnation; ranked: { rank: SenderRank | undefined }; nowMs: number },
@@ -78,13 +81,13 @@
   return rank;
 }
 
-/** In a fleet with hubs a box does not hear which of the others are there: all that are listed count. */
+/** Returns whether a peer is ranked as a sender. With hubs a box does not know which boxes are alive, so all listed ones count. */
 function mayBeSender(peer: PeerView, viaHubs: boolean, nowMs: number): boolean {
   if (peer.message?.leaving === true) return false;
   return viaHubs || (peer.message !== undefined && countsFreshly(peer, nowMs));
 }
 
-/** The fleet as this box hears it: each send may look at hundreds of limited servers. */
+/** Returns the fleet as this box reaches it, cached since one send may check hundreds of limited servers. */
 function reachableFleet(state: GatewayState, nowMs: number): ReachableFleet {
   const known = state.reachableFleet;
   if (known !== undefined && nowMs - known.checkedAtMs < REACHABILITY_REFRESH_MS) return known;
--- a/packages/reedlug-gateway/src/slices/statements/statementGossip.ts
+++ b/packages/reedlug-gateway/src/slices/statements/statementGossip.ts
@@ -1,10 +1,10 @@
 /**
- * News of what servers say to one box and mean for all.
+ * Gossip of server statements, which a server makes to one box but which apply to all.
  *
- * What is new goes out with the next tick, by way of the hubs in a large fleet, and once
- * more a moment later, as a datagram may be lost. A limit that stands is told again now and
- * then, so that others know that it is still heard. A box that is heard for the first time,
- * or again, is told everything.
+ * A change is sent with the next tick, through hubs in a large fleet (a hub is a box that forwards
+ * gossip for a group of boxes), and once more a moment later, since a datagram may be lost. A limit in
+ * force is sent again from time to time, so that other boxes know that the server still names it. A box
+ * that is new, or was silent, is sent all statements.
  */
 import type { GatewayState, Step } from '../../state.js';
 import type { EventOf } from '../../types/event.js';
@@ -27,12 +27,12 @@
 import { mergeRefusal } from './refusals.js';
 import { mergePause, pauseStatement, PAUSE_TOLERANCE_MS } from './pauses.js';
 
-/** Statements in one datagram, so that they fill half of what it holds at most. */
+/** Maximum number of statements in one datagram; they fill at most half of it. */
 const MAX_STATEMENTS_PER_DATAGRAM = 800;
-/** Pause after which a limit that is heard again is told again, in ms: half of the time after which another box tries. */
+/** Interval at which a limit that is still being received is sent again, in ms; half of the silence after which one more box may send. */
 const LIMIT_RENEWAL_MS = 8000;
 
-/** Tells what is new, and boxes that are new everything. */
+/** Sends changes to neighbours, and all statements to boxes that may lack them. */
 export function statementsTick(state: GatewayState, step: Step): void {
   pruneStatements(state, step);
   const { nowMs } = step;
@@ -55,7 +55,7 @@
   state.peersNeedingStatements.clear();
 }
 
-/** Whether others are to be told something now; thousands of servers may have said something that they know. */
+/** Returns whether any statement is due to be sent; checked first, as thousands of servers may have statements that are not due. */
 function isAnyStatementDue(statements: IncarnationStatements, nowMs: number): boolean {
   const { limit, rest, refusal, leaving } = statements;
   if (refusal !== undefined && refusal.announcement.announcedAtMs === undefined) return true;
@@ -64,7 +64,7 @@
   return leaving !== undefined && isAnnouncementDue(leaving.announcement, nowMs);
 }
 
-/** A statement that stands, and whether others are to be told now. */
+/** A statement in force, and whether it is due to be sent. */
 interface CurrentStatement {
   statement: ServerStatement;
   announcement: Announcement;
@@ -136,7 +136,7 @@
   }
 }
 
-/** Notes a peer that has begun a life or was silent: it may lack what was told meanwhile. */
+/** Records a peer that has restarted or was silent, since it may lack what was sent meanwhile. */
 export function recordIfUninformed(
   state: GatewayState,
   step: Step,
@@ -150,7 +150,7 @@
   tellDecisions(state, step);
 }
 
-/** Takes what another box was told by servers. */
+/** Applies the statements that servers made to another box. */
 export function onServerStatements(
   state: GatewayState,
   step: Step,
@@ -196,7 +196,7 @@
   }
 }
 
-/** Whoever told a statement tells all others, and once more; hubs hand it on. */
+/** Marks a statement as sent, as the box that received it sends it to all others itself; hubs still forward it. */
 function markAnnouncedByOthers(
   state: GatewayState,
   { nowMs }: Step,
