--- a/packages/reedlug-gateway/src/reduce.ts
+++ b/packages/reedlug-gateway/src/reduce.ts
@@ -22,7 +22,7 @@
 import { onOrderAnswered } from './slices/engineOrders.js';
 import { clockTick, onClockRow, onStoreClock } from './slices/clock.js';
 import { dutiesTick, onLeaseRow } from './slices/duties.js';
-import { fleetPartTick } from './slices/fleetPart.js';
+import { limitShareTick } from './slices/limitShare.js';
 import { lostServersTick, onServerProbed } from './slices/lostServers.js';
 import { onPeerMessage, onPeersListed, onPeerUsage } from './slices/peers.js';
 import { awaitingTick, onCallerGone, onRequestArrived, requestsTick } from './slices/requests.js';
@@ -119,7 +119,7 @@
   lostServersTick(state, step);
   clockTick(state, step);
   waitingSendsTick(state, step);
-  fleetPartTick(state, step);
+  limitShareTick(state, step);
   dutiesTick(state, step);
   usageTick(state, step);
   rolloutsTick(state, step);
--- a/packages/reedlug-gateway/src/slices/__tests__/fleetPart.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/limitShare.test.ts
@@ -23,7 +23,7 @@
 const TICK_MS = 50;
 
 /** A box that the store lists as a newcomer beside another one, which holds its part. */
-function createNewcomer(): TestBox {
+function createJoiningBox(): TestBox {
   const box = createBox(settings({ limitOverShare: 0 }));
   box.take({ type: 'configurationRead', configuration: configuration(), source: 'store' });
   const changes = [{ id: 'records-1', entry: server('records-1') }];
@@ -48,14 +48,14 @@
 /** Passes time while the other box tells of its part. */
 function passWith(box: TestBox, ms: number, part: Partial<LimitShareGossip> | undefined): void {
   for (let passedMs = 0; passedMs < ms; passedMs += TICK_MS) {
-    if (part !== undefined) tell(box, part);
+    if (part !== undefined) announceShare(box, part);
     box.pass(TICK_MS);
   }
 }
 
-function tell(box: TestBox, part: Partial<LimitShareGossip>): void {
-  const news: LimitShareGossip = { boxes: 1, listRevision: 5, dividedForMs: undefined, ...part };
-  const changes: Partial<PeerMessage> = { sequence: Math.round(box.nowMs) + 1, part: news };
+function announceShare(box: TestBox, part: Partial<LimitShareGossip>): void {
+  const gossip: LimitShareGossip = { boxes: 1, listRevision: 5, dividedForMs: undefined, ...part };
+  const changes: Partial<PeerMessage> = { sequence: Math.round(box.nowMs) + 1, part: gossip };
   box.take({ type: 'peerMessage', message: peerMessage(changes) });
 }
 
@@ -67,7 +67,7 @@
 }
 
 test('a box that joins holds no part before all others have read a list with it', () => {
-  const box = createNewcomer();
+  const box = createJoiningBox();
   passWith(box, 4000, { listRevision: 4 });
   expect(isSent(box, 1)).to.equal(false);
   passWith(box, 100, { listRevision: 5 });
@@ -75,13 +75,13 @@
 });
 
 test('a box that joins holds no part while a listed one is silent', () => {
-  const box = createNewcomer();
+  const box = createJoiningBox();
   passWith(box, 20_000, undefined);
   expect(isSent(box, 1)).to.equal(false);
 });
 
 test('a box that joins sends nothing until others have divided by it for a window', () => {
-  const box = createNewcomer();
+  const box = createJoiningBox();
   passWith(box, 4000, { dividedForMs: 1000 });
   expect(box.state.part.opening?.kind).to.equal('joined');
   expect(isSent(box, 1)).to.equal(false);
@@ -92,7 +92,7 @@
 });
 
 test('a box that holds its part has its entry say so until the list does', () => {
-  const box = createNewcomer();
+  const box = createJoiningBox();
   passWith(box, 3000, {});
   const entered = [box.pass(TICK_MS), box.pass(2500)].flatMap((done) => ofType(done, 'enterBox'));
   expect(entered.length).to.be.within(1, 2);
@@ -102,7 +102,7 @@
 });
 
 test('the next life of a box holds its part from the list on, whoever is silent', () => {
-  const box = createNewcomer();
+  const box = createJoiningBox();
   list(box, { ownRevision: 6, holdsPart: true });
   expect(box.state.part.opening?.kind).to.equal('earlierLife');
   box.pass(2000);
@@ -110,20 +110,20 @@
 });
 
 test('a box that divides among more tells others since when', () => {
-  const box = createNewcomer();
+  const box = createJoiningBox();
   list(box, { ownRevision: 6, holdsPart: true });
   box.pass(2000);
   const more = { ...OTHER, boxId: 'box-3', host: '127.0.0.3' };
   const changes = [{ boxId: 'box-3', address: more, holdsPart: false, revision: 7 }];
   box.take({ type: 'peersListed', changes, whole: false, revision: 7 });
-  const told = ofType(box.pass(300), 'sendPeers').flatMap(({ message }) =>
+  const announced = ofType(box.pass(300), 'sendPeers').flatMap(({ message }) =>
     message.kind === 'news' ? [message.part] : [],
   );
-  expect(told[0]).to.deep.equal({ boxes: 1, listRevision: 7, dividedForMs: 300 });
+  expect(announced[0]).to.deep.equal({ boxes: 1, listRevision: 7, dividedForMs: 300 });
 });
 
 test('a box that is off the list gives its part up', () => {
-  const box = createNewcomer();
+  const box = createJoiningBox();
   list(box, { ownRevision: 6, holdsPart: true });
   box.pass(500);
   list(box, { ownRevision: undefined });
@@ -131,7 +131,7 @@
 });
 
 test('a box without the store that does not hear all others gives its part up after five minutes', () => {
-  const box = createNewcomer();
+  const box = createJoiningBox();
   listBoxes(box, [OTHER]);
   passWith(box, 1000, {});
   box.pass(290_000);
@@ -141,16 +141,16 @@
 });
 
 test('a box that hears all others keeps its part without the store', () => {
-  const box = createNewcomer();
+  const box = createJoiningBox();
   listBoxes(box, [OTHER]);
   box.pass(310_000 - TICK_MS);
-  tell(box, {});
+  announceShare(box, {});
   box.pass(TICK_MS);
   expect(box.state.part.opening).not.to.equal(undefined);
 });
 
 test('the holder of the lease takes a box off the list that is silent for ten minutes', () => {
-  const box = createNewcomer();
+  const box = createJoiningBox();
   const passAsHolder = (atMs: number) => {
     box.state.lease.held = { fence: 1, sinceMs: 0, grantedAtMs: atMs, unfencedFromMs: atMs };
     box.state.lease.pending = { sentAtMs: atMs, kind: 'write' };
@@ -163,25 +163,25 @@
 });
 
 test('a box that a copy of the store lacks keeps its part, and no other gets more', () => {
-  const box = createNewcomer();
+  const box = createJoiningBox();
   box.take({ type: 'storeEra', era: 1 });
   passWith(box, 4000, { listRevision: 5 });
   list(box, { ownRevision: 5, holdsPart: true });
   const before = { divisor: box.state.part.divisor, opening: box.state.part.opening };
   box.take({ type: 'storeEra', era: 2 });
-  const nobody = { type: 'peersListed' as const, changes: [], whole: true, revision: 2 ** 42 };
-  box.take(nobody);
+  const emptyList = { type: 'peersListed' as const, changes: [], whole: true, revision: 2 ** 42 };
+  box.take(emptyList);
   expect({ divisor: box.state.part.divisor, opening: box.state.part.opening }).to.deep.equal(
     before,
   );
   expect(box.state.part.isRegistered).to.equal(false);
   passWith(box, 6000, { listRevision: 5 });
-  box.take(nobody);
+  box.take(emptyList);
   expect(box.state.part.opening).to.equal(undefined);
 });
 
 test('a box that joins waits to be listed again after the store came back without it', () => {
-  const box = createNewcomer();
+  const box = createJoiningBox();
   box.take({ type: 'storeEra', era: 1 });
   box.take({ type: 'storeEra', era: 2 });
   list(box, { ownRevision: undefined });
--- a/packages/reedlug-gateway/src/slices/__tests__/limitsOverBoxes.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/limitsAcrossBoxes.test.ts
@@ -28,7 +28,7 @@
 const DURATION_MS = 22_000;
 
 /** What happens to a box, or to the link of its half of the fleet. */
-type Trouble =
+type Fault =
   | { kind: 'restart'; box: number; atMs: number }
   /** All boxes at once; they are away for `forMs`. */
   | { kind: 'restartAll'; atMs: number; forMs: number }
@@ -41,14 +41,14 @@
   boxes: number;
   /** What callers ask for, as a multiple of the rate, by second. */
   demand: readonly number[];
-  troubles: readonly Trouble[];
+  troubles: readonly Fault[];
   /** How long after its start the store tells a box the list of boxes. */
   storeAnswersAfterMs: number;
   seed: number;
 }
 
 /** A few pseudo-random numbers between 0 and 1, for sizes and losses. */
-function createDraw(seed: number): () => number {
+function createRandom(seed: number): () => number {
   let state = seed % 2147483647 || 1;
   return () => {
     state = (state * 48271) % 2147483647;
@@ -121,13 +121,13 @@
 }
 
 /** Plays a scene; returns the admissions in the order of time, and the refused units. */
-function play(scene: Scene): {
+function simulate(scene: Scene): {
   admitted: { atMs: number; units: number }[];
   refusedUnits: number;
   lastRefusedAtMs: number;
   askedUnits: number;
 } {
-  const draw = createDraw(scene.seed);
+  const random = createRandom(scene.seed);
   let version = 1;
   let rate = RATE_PER_SECOND;
   let life = 1;
@@ -141,31 +141,31 @@
   let refusedUnits = 0;
   let lastRefusedAtMs = 0;
   let askedUnits = 0;
-  let wanted = 0;
-  let awayUntilMs = 0;
+  let pendingUnits = 0;
+  let downUntilMs = 0;
   let exchangeId = 0;
   let inFlight: { to: number; message: PeerDatagram }[] = [];
   const due = [...scene.troubles];
-  const isOn = (trouble: { atMs: number; forMs: number }, nowMs: number): boolean =>
-    nowMs >= trouble.atMs && nowMs < trouble.atMs + trouble.forMs;
-  const passes = (from: number, to: number, nowMs: number): boolean =>
-    scene.troubles.every((trouble) => {
-      if (trouble.kind === 'cut' && isOn(trouble, nowMs))
-        return from < trouble.below === to < trouble.below;
-      if (trouble.kind === 'lossy' && isOn(trouble, nowMs)) return draw() >= trouble.share;
+  const isActive = (fault: { atMs: number; forMs: number }, nowMs: number): boolean =>
+    nowMs >= fault.atMs && nowMs < fault.atMs + fault.forMs;
+  const isDelivered = (from: number, to: number, nowMs: number): boolean =>
+    scene.troubles.every((fault) => {
+      if (fault.kind === 'cut' && isActive(fault, nowMs))
+        return from < fault.below === to < fault.below;
+      if (fault.kind === 'lossy' && isActive(fault, nowMs)) return random() >= fault.share;
       return true;
     });
-  const post = (from: number, effects: readonly Effect[], nowMs: number): void => {
+  const send = (from: number, effects: readonly Effect[], nowMs: number): void => {
     for (const { message, to } of ofType(effects, 'sendPeers')) {
       for (const { host } of to) {
         const toBox = Number(host.split('.').at(-1));
-        if (passes(from, toBox, nowMs)) inFlight.push({ to: toBox, message });
+        if (isDelivered(from, toBox, nowMs)) inFlight.push({ to: toBox, message });
       }
     }
   };
   /** Requests by number that were asked and not answered yet; a request may wait for units of others. */
   const open = new Map<number, number>();
-  const note = (effects: readonly Effect[], nowMs: number): void => {
+  const record = (effects: readonly Effect[], nowMs: number): void => {
     for (const effect of effects) {
       if (effect.type !== 'send' && effect.type !== 'refuse') continue;
       const units = open.get(effect.exchangeId);
@@ -179,17 +179,17 @@
     }
   };
   for (let nowMs = TICK_MS; nowMs <= DURATION_MS; nowMs += TICK_MS) {
-    for (const trouble of due.filter(({ atMs }) => atMs <= nowMs)) {
-      due.splice(due.indexOf(trouble), 1);
-      if (trouble.kind === 'restart')
-        fleet[trouble.box % scene.boxes] = start(trouble.box % scene.boxes, nowMs);
-      if (trouble.kind === 'restartAll') {
-        awayUntilMs = nowMs + trouble.forMs;
+    for (const fault of due.filter(({ atMs }) => atMs <= nowMs)) {
+      due.splice(due.indexOf(fault), 1);
+      if (fault.kind === 'restart')
+        fleet[fault.box % scene.boxes] = start(fault.box % scene.boxes, nowMs);
+      if (fault.kind === 'restartAll') {
+        downUntilMs = nowMs + fault.forMs;
         inFlight = [];
       }
-      if (trouble.kind === 'limit') {
+      if (fault.kind === 'limit') {
         version += 1;
-        rate = RATE_PER_SECOND * trouble.factor;
+        rate = RATE_PER_SECOND * fault.factor;
         for (const box of fleet)
           box.take({
             type: 'configurationRead',
@@ -198,9 +198,9 @@
           });
       }
     }
-    if (nowMs < awayUntilMs) continue;
-    if (awayUntilMs > 0) {
-      awayUntilMs = 0;
+    if (nowMs < downUntilMs) continue;
+    if (downUntilMs > 0) {
+      downUntilMs = 0;
       fleet.forEach((_, index) => (fleet[index] = start(index, nowMs)));
     }
     const arrived = inFlight;
@@ -210,14 +210,15 @@
       if (box === undefined) continue;
       box.nowMs = nowMs;
       const effects = box.take(eventOfDatagram(message));
-      note(effects, nowMs);
-      post(to, effects, nowMs);
+      record(effects, nowMs);
+      send(to, effects, nowMs);
     }
-    wanted += ((scene.demand[Math.floor(nowMs / 1000)] ?? 0) * RATE_PER_SECOND * TICK_MS) / 1000;
-    while (wanted > 0) {
-      const promptTokens = Math.ceil(200 + draw() ** 4 * 20_000);
-      wanted -= promptTokens;
-      const box = fleet[Math.floor(draw() * scene.boxes)] as TestBox;
+    pendingUnits +=
+      ((scene.demand[Math.floor(nowMs / 1000)] ?? 0) * RATE_PER_SECOND * TICK_MS) / 1000;
+    while (pendingUnits > 0) {
+      const promptTokens = Math.ceil(200 + random() ** 4 * 20_000);
+      pendingUnits -= promptTokens;
+      const box = fleet[Math.floor(random() * scene.boxes)] as TestBox;
       exchangeId += 1;
       askedUnits += promptTokens;
       const request = facts({
@@ -230,14 +231,14 @@
       open.set(exchangeId, promptTokens);
       box.nowMs = nowMs;
       const effects = box.take({ type: 'requestArrived', exchangeId, facts: request });
-      note(effects, nowMs);
-      post(fleet.indexOf(box), effects, nowMs);
+      record(effects, nowMs);
+      send(fleet.indexOf(box), effects, nowMs);
     }
     fleet.forEach((box, from) => {
       box.nowMs = nowMs - TICK_MS;
       const effects = box.pass(TICK_MS);
-      note(effects, nowMs);
-      post(from, effects, nowMs);
+      record(effects, nowMs);
+      send(from, effects, nowMs);
       const isListed = box.state.part.listRevision > 0;
       const sinceMs = nowMs - box.state.startedAtMs;
       if (!isListed && sinceMs >= scene.storeAnswersAfterMs) {
@@ -249,7 +250,7 @@
 }
 
 /** The most units in any window. */
-function mostInWindow(admitted: readonly { atMs: number; units: number }[]): number {
+function maxInWindow(admitted: readonly { atMs: number; units: number }[]): number {
   let most = 0;
   let sum = 0;
   let first = 0;
@@ -269,7 +270,7 @@
   return ((RATE_PER_SECOND * WINDOW_MS) / 1000 + BURST) * factor * (1 + OVER_SHARE) + SLACK;
 }
 
-const calm = (demand: number): Scene => ({
+const steadyDemand = (demand: number): Scene => ({
   boxes: 7,
   demand: Array<number>(22).fill(demand),
   troubles: [],
@@ -277,7 +278,7 @@
   seed: 5,
 });
 
-const troubleArbitrary: fc.Arbitrary<Trouble> = fc.oneof(
+const faultArbitrary: fc.Arbitrary<Fault> = fc.oneof(
   fc.record({
     kind: fc.constant('restart' as const),
     box: fc.nat(6),
@@ -302,8 +303,8 @@
   }),
 );
 
-function cutMs(troubles: readonly Trouble[]): number {
-  return troubles.reduce((sum, trouble) => sum + (trouble.kind === 'cut' ? trouble.forMs : 0), 0);
+function partitionMs(troubles: readonly Fault[]): number {
+  return troubles.reduce((sum, fault) => sum + (fault.kind === 'cut' ? fault.forMs : 0), 0);
 }
 
 const sceneArbitrary: fc.Arbitrary<Scene> = fc.record({
@@ -311,8 +312,8 @@
   demand: fc.array(fc.double({ min: 0, max: 5, noNaN: true }), { minLength: 22, maxLength: 22 }),
   // Boxes that are silent for over ten seconds are taken for lost: cuts in a row stay below it.
   troubles: fc
-    .array(troubleArbitrary, { maxLength: 2 })
-    .filter((troubles) => cutMs(troubles) < 9500),
+    .array(faultArbitrary, { maxLength: 2 })
+    .filter((troubles) => partitionMs(troubles) < 9500),
   storeAnswersAfterMs: fc.integer({ min: 0, max: 300 }),
   seed: fc.integer({ min: 1, max: 1_000_000 }),
 });
@@ -320,7 +321,7 @@
 test('no window holds more than the users allow, through restarts, cuts and lost news', () => {
   fc.assert(
     fc.property(sceneArbitrary, (scene) => {
-      const most = mostInWindow(play(scene).admitted);
+      const most = maxInWindow(simulate(scene).admitted);
       expect(most).to.be.at.most(boundOf());
     }),
     {
@@ -331,67 +332,70 @@
 });
 
 test('a limit that is lowered binds one window later, and not before', () => {
-  const troubles: Trouble[] = [{ kind: 'limit', factor: 0.4, atMs: 9000 }];
-  const { admitted } = play({ ...calm(3), troubles });
-  expect(mostInWindow(admitted)).to.be.at.most(boundOf());
+  const troubles: Fault[] = [{ kind: 'limit', factor: 0.4, atMs: 9000 }];
+  const { admitted } = simulate({ ...steadyDemand(3), troubles });
+  expect(maxInWindow(admitted)).to.be.at.most(boundOf());
   const later = admitted.filter(({ atMs }) => atMs > 9000 + WINDOW_MS);
-  expect(mostInWindow(later)).to.be.at.most(boundOf(0.4));
+  expect(maxInWindow(later)).to.be.at.most(boundOf(0.4));
   const between = admitted.filter(({ atMs }) => atMs > 9000 && atMs <= 9000 + WINDOW_MS / 2);
   expect(between.length).to.be.greaterThan(10);
 });
 
 test('a workspace that asks for its rate is refused nothing', () => {
-  expect(play(calm(1)).refusedUnits).to.equal(0);
+  expect(simulate(steadyDemand(1)).refusedUnits).to.equal(0);
 });
 
 test('a workspace that asks for more gets nine tenths of what is allowed', () => {
-  const { admitted } = play(calm(3));
-  expect(mostInWindow(admitted) / boundOf()).to.be.within(0.85, 1);
+  const { admitted } = simulate(steadyDemand(3));
+  expect(maxInWindow(admitted) / boundOf()).to.be.within(0.85, 1);
 });
 
 test('a workspace that fills its limit right before all boxes are lost gets no second one', () => {
   // Idle until 5 s, then five times its rate; all boxes are away from 7.5 to 8.5 s.
   const demand = Array.from({ length: 22 }, (_, second) => (second < 5 ? 0.2 : 5));
-  const troubles: Trouble[] = [{ kind: 'restartAll', atMs: 7500, forMs: 1000 }];
+  const troubles: Fault[] = [{ kind: 'restartAll', atMs: 7500, forMs: 1000 }];
   for (const boxes of [3, 7, 12]) {
-    const { admitted } = play({ ...calm(1), boxes, demand, troubles });
-    expect(mostInWindow(admitted), `${boxes} boxes`).to.be.at.most(boundOf());
+    const { admitted } = simulate({ ...steadyDemand(1), boxes, demand, troubles });
+    expect(maxInWindow(admitted), `${boxes} boxes`).to.be.at.most(boundOf());
   }
 });
 
 test('a loss of all boxes but one gives a workspace no second limit', () => {
   const demand = Array<number>(22).fill(5);
   for (const boxes of [4, 7, 12]) {
-    const troubles = Array.from({ length: boxes - 1 }, (_, index): Trouble => {
+    const troubles = Array.from({ length: boxes - 1 }, (_, index): Fault => {
       return { kind: 'restart', box: index + 1, atMs: 9000 };
     });
-    const { admitted } = play({ ...calm(1), boxes, demand, troubles });
-    expect(mostInWindow(admitted), `${boxes} boxes`).to.be.at.most(boundOf());
+    const { admitted } = simulate({ ...steadyDemand(1), boxes, demand, troubles });
+    expect(maxInWindow(admitted), `${boxes} boxes`).to.be.at.most(boundOf());
   }
 });
 
 test('two losses of all boxes in a row give a workspace no second limit', () => {
   const demand = Array<number>(22).fill(5);
-  const troubles: Trouble[] = [
+  const troubles: Fault[] = [
     { kind: 'restartAll', atMs: 9000, forMs: 800 },
     { kind: 'restartAll', atMs: 13_000, forMs: 800 },
   ];
   for (const boxes of [3, 6, 12]) {
-    const { admitted } = play({ ...calm(1), boxes, demand, troubles });
-    expect(mostInWindow(admitted), `${boxes} boxes`).to.be.at.most(boundOf());
+    const { admitted } = simulate({ ...steadyDemand(1), boxes, demand, troubles });
+    expect(maxInWindow(admitted), `${boxes} boxes`).to.be.at.most(boundOf());
   }
 });
 
 // What the boxes sent before they were lost is known to nobody, and may have been all
 // that a moment allows: their next lives begin with the flow alone.
 test('after a loss of all boxes a workspace within its limit goes on with the flow, and soon whole', () => {
-  const troubles: Trouble[] = [{ kind: 'restartAll', atMs: 10_000, forMs: 1000 }];
-  const { refusedUnits, lastRefusedAtMs, askedUnits } = play({ ...calm(0.55), troubles });
+  const troubles: Fault[] = [{ kind: 'restartAll', atMs: 10_000, forMs: 1000 }];
+  const { refusedUnits, lastRefusedAtMs, askedUnits } = simulate({
+    ...steadyDemand(0.55),
+    troubles,
+  });
   expect(refusedUnits / askedUnits).to.be.lessThan(0.1);
   expect(lastRefusedAtMs).to.be.lessThan(14_000);
 });
 
 test('a restart of one box refuses a workspace within its limit nothing', () => {
-  const troubles: Trouble[] = [{ kind: 'restart', box: 3, atMs: 10_000 }];
-  expect(play({ ...calm(0.55), troubles }).refusedUnits).to.equal(0);
+  const troubles: Fault[] = [{ kind: 'restart', box: 3, atMs: 10_000 }];
+  expect(simulate({ ...steadyDemand(0.55), troubles }).refusedUnits).to.equal(0);
 });
--- a/packages/reedlug-gateway/src/slices/__tests__/usage.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/usage.test.ts
@@ -11,7 +11,7 @@
 import { callsOf, passAsHolder, takeLease } from '../../__tests__/__fixtures__/lease.js';
 
 /** Time in which all boxes hear of a decision, and a tick, in ms. */
-const TOLD_BEFORE_MS = 1050;
+const ANNOUNCED_BEFORE_REPORT_MS = 1050;
 
 /** Serves one request of workspace tiger. */
 function serve(box: TestBox, exchangeId: number): void {
@@ -65,7 +65,7 @@
     answer: { kind: 'refused', reason: 'conflict', rows: [entered] },
     sentAtMs: row.sentAtMs,
   });
-  const [report] = callsOf(passAsHolder(box, TOLD_BEFORE_MS), 'reportUsage');
+  const [report] = callsOf(passAsHolder(box, ANNOUNCED_BEFORE_REPORT_MS), 'reportUsage');
   expect(report?.call).to.deep.equal({ kind: 'reportUsage', window, counts: { tiger: 7 } });
 });
 
@@ -77,7 +77,7 @@
   const rows = row.op.writes.map(({ key, value }) => ({ key, version: 9, value }));
   const { purpose, sentAtMs } = row;
   box.take({ type: 'tableAnswered', purpose, answer: { kind: 'done', rows }, sentAtMs });
-  const [first] = callsOf(passAsHolder(box, TOLD_BEFORE_MS), 'reportUsage');
+  const [first] = callsOf(passAsHolder(box, ANNOUNCED_BEFORE_REPORT_MS), 'reportUsage');
   expect(first?.call).to.deep.include({ kind: 'reportUsage', counts: { tiger: 1 } });
   box.take({ type: 'cloudAnswered', callId: first?.callId ?? 0, outcome: 'unknown' });
   const [second] = callsOf(passAsHolder(box, 700), 'reportUsage');
@@ -138,7 +138,7 @@
 });
 
 /** Enters the window that comes due next with the row as it is asked for; returns it. */
-function enterWindow(box: TestBox): { window: number; counts: unknown } {
+function decideWindow(box: TestBox): { window: number; counts: unknown } {
   const [row] = usageRows(box, 7000);
   if (row?.op.kind !== 'transact' || row.purpose.kind !== 'usage') throw new Error('no row');
   const rows = row.op.writes.map(({ key, value }) => ({ key, version: 9, value }));
@@ -149,27 +149,27 @@
 
 /** Decisions that peers are told while time passes, and when the first report is sent. */
 function watchDecisions(box: TestBox, ms: number) {
-  const told: UsageDecisionGossip[] = [];
-  let toldFirst: boolean | undefined;
+  const announced: UsageDecisionGossip[] = [];
+  let announcedFirst: boolean | undefined;
   for (const effect of passAsHolder(box, ms)) {
     if (effect.type === 'sendPeers' && effect.message.kind === 'news') {
-      told.push(...(effect.message.decisions ?? []));
+      announced.push(...(effect.message.decisions ?? []));
     }
     const isReport = effect.type === 'callCloud' && effect.call.kind === 'reportUsage';
-    if (isReport) toldFirst ??= told.length > 0;
+    if (isReport) announcedFirst ??= announced.length > 0;
   }
-  return { told, toldFirst };
+  return { announced, announcedFirst };
 }
 
 test('peers hear what is to be reported several times before it is reported', () => {
   const box = createHolder();
   serve(box, 1);
-  const { window, counts } = enterWindow(box);
+  const { window, counts } = decideWindow(box);
   box.take({ type: 'peerMessage', message: peerMessage({ sequence: 2 }) });
-  const { told, toldFirst } = watchDecisions(box, TOLD_BEFORE_MS);
-  expect(toldFirst).to.equal(true);
-  expect(told.length).to.be.at.least(4);
-  expect(told[0]).to.deep.equal({ window, counts, isReported: false });
+  const { announced, announcedFirst } = watchDecisions(box, ANNOUNCED_BEFORE_REPORT_MS);
+  expect(announcedFirst).to.equal(true);
+  expect(announced.length).to.be.at.least(4);
+  expect(announced[0]).to.deep.equal({ window, counts, isReported: false });
 });
 
 test('a holder reports what a peer knew, and no sum of its own', () => {
--- a/packages/reedlug-gateway/src/slices/attempts.ts
+++ b/packages/reedlug-gateway/src/slices/attempts.ts
@@ -16,7 +16,7 @@
 import { afterLoss, mayRepeat, tryAgain, type RequestAttempt } from './repeats.js';
 import { AnswerEnd, noteAnswer, noteLost } from './rolloutEvidence.js';
 import { removeServer } from './servers.js';
-import { countBegun } from './usage.js';
+import { countStarted } from './usage.js';
 import { chargeFurtherSend } from './quotas.js';
 import { offer } from './sending.js';
 
@@ -148,7 +148,7 @@
     if (view !== undefined) noteRead(view, attempt);
   }
   attempt.reach = Reach.answered;
-  countBegun(state, step, record);
+  countStarted(state, step, record);
 }
 
 function finish(state: GatewayState, step: Step, found: RequestAttempt, outcome: string): void {
--- a/packages/reedlug-gateway/src/slices/fleetPart.ts
+++ b/packages/reedlug-gateway/src/slices/limitShare.ts
@@ -18,16 +18,16 @@
 /** Time from its start before a box that joins looks whether all know it, in ms: boxes that start together are all listed by then. */
 const JOIN_AFTER_MS = 3000;
 /** Pause before the store is asked again to enter that this box holds its part, in ms: as long as a poll of the list is held. Each write wakes all boxes, and nothing waits for it. */
-const ENTER_AGAIN_MS = 30_000;
+const REGISTRATION_RETRY_MS = 30_000;
 /** Silence of a listed box after which it is taken off the list, in ms: its part is lost to all others until then. */
 const UNLISTED_AFTER_MS = 600_000;
 /** Pause between looks for boxes that are gone, in ms. */
-const LOOK_FOR_GONE_MS = 60_000;
+const GONE_CHECK_INTERVAL_MS = 60_000;
 /** Time without the store after which a box that does not hear all others gives its part up, in ms: it may be off the list soon. */
-const PART_LAPSES_MS = 300_000;
+const SHARE_LAPSES_MS = 300_000;
 
 /** Takes the store's list of boxes, after the peers have been taken from it. */
-export function noteBoxesListed(
+export function recordBoxesListed(
   state: GatewayState,
   step: Step,
   { changes, whole, revision }: EventOf<'peersListed'>,
@@ -43,13 +43,13 @@
       own === undefined && part.opening !== undefined && mayShowCopy(state, step.nowMs);
     if (!isKept) part.ownRevision = own?.address === undefined ? undefined : own.revision;
   }
-  if (part.ownRevision === undefined) dropPart(state, step, 'notListed');
-  noteDivisor(state, step);
-  const isNextLife = part.isRegistered && part.opening === undefined;
-  if (isNextLife) holdPart(state, step, { kind: 'earlierLife', atMs: state.processStartedAtMs });
+  if (part.ownRevision === undefined) dropShare(state, step, 'notListed');
+  updateDivisor(state, step);
+  const isRestart = part.isRegistered && part.opening === undefined;
+  if (isRestart) acquireShare(state, step, { kind: 'earlierLife', atMs: state.processStartedAtMs });
 }
 
-function noteDivisor(state: GatewayState, step: Step): void {
+function updateDivisor(state: GatewayState, step: Step): void {
   const { part } = state;
   let listed = 1;
   for (const peer of state.peers.values()) if (peer.listed) listed += 1;
@@ -57,7 +57,7 @@
   part.divisor = listed;
 }
 
-function holdPart(
+function acquireShare(
   state: GatewayState,
   step: Step,
   opening: NonNullable<LimitShare['opening']>,
@@ -74,41 +74,41 @@
   });
 }
 
-function dropPart(state: GatewayState, step: Step, reason: string): void {
+function dropShare(state: GatewayState, step: Step, reason: string): void {
   if (state.part.opening === undefined) return;
   state.part.opening = undefined;
   log(step, 'partDropped', { reason });
 }
 
 /** Joins once all others know this box, and keeps the list true. */
-export function fleetPartTick(state: GatewayState, step: Step): void {
-  unlistGone(state, step);
-  if (state.part.opening === undefined) tryJoin(state, step);
-  else if (mayBeUnlisted(state, step.nowMs)) dropPart(state, step, 'noContact');
-  else enter(state, step);
+export function limitShareTick(state: GatewayState, step: Step): void {
+  unlistGoneBoxes(state, step);
+  if (state.part.opening === undefined) tryAcquireShare(state, step);
+  else if (mayBeUnlisted(state, step.nowMs)) dropShare(state, step, 'noContact');
+  else registerShare(state, step);
 }
 
-function tryJoin(state: GatewayState, step: Step): void {
+function tryAcquireShare(state: GatewayState, step: Step): void {
   const { part } = state;
   if (part.ownRevision === undefined || step.nowMs - state.startedAtMs < JOIN_AFTER_MS) return;
-  const { boxes, listRevision, dividedForMs } = otherParts(state, step.nowMs);
+  const { boxes, listRevision, dividedForMs } = otherShares(state, step.nowMs);
   if (boxes < part.divisor - 1 || listRevision < part.ownRevision) return;
-  if (dividedForMs === undefined) return holdPart(state, step, { kind: 'unused' });
-  holdPart(state, step, { kind: 'joined', atMs: step.nowMs - dividedForMs });
+  if (dividedForMs === undefined) return acquireShare(state, step, { kind: 'unused' });
+  acquireShare(state, step, { kind: 'joined', atMs: step.nowMs - dividedForMs });
 }
 
 /** What listed boxes that are heard now tell of their parts, summed up. */
-function otherParts(state: GatewayState, nowMs: number): LimitShareGossip {
+function otherShares(state: GatewayState, nowMs: number): LimitShareGossip {
   const isMember = state.hubId !== undefined;
-  const heard = countedPeers(state, nowMs).filter(
+  const reachable = countedPeers(state, nowMs).filter(
     (peer) => countsFreshly(peer, nowMs) && (isMember || peer.listed),
   );
-  return sumParts(heard.map(({ message }) => message));
+  return sumShares(reachable.map(({ message }) => message));
 }
 
-function enter(state: GatewayState, step: Step): void {
+function registerShare(state: GatewayState, step: Step): void {
   const { part } = state;
-  if (part.isRegistered || step.nowMs - part.registrationSentAtMs < ENTER_AGAIN_MS) return;
+  if (part.isRegistered || step.nowMs - part.registrationSentAtMs < REGISTRATION_RETRY_MS) return;
   part.registrationSentAtMs = step.nowMs;
   const address = ownAddress(state);
   step.effects.push({ type: 'enterBox', boxId: address.boxId, address, holdsPart: true });
@@ -120,16 +120,16 @@
     state.storeContactAtMs ?? state.startedAtMs,
     state.storeContactByPeerAtMs,
   );
-  if (nowMs - contactAtMs < PART_LAPSES_MS) return false;
-  return otherParts(state, nowMs).boxes < state.part.divisor - 1;
+  if (nowMs - contactAtMs < SHARE_LAPSES_MS) return false;
+  return otherShares(state, nowMs).boxes < state.part.divisor - 1;
 }
 
 /** Takes boxes off the list that were silent for long to the one box that hears them in any case. */
-function unlistGone(state: GatewayState, step: Step): void {
+function unlistGoneBoxes(state: GatewayState, step: Step): void {
   const { part } = state;
-  if (step.nowMs - part.goneBoxesCheckedAtMs < LOOK_FOR_GONE_MS) return;
+  if (step.nowMs - part.goneBoxesCheckedAtMs < GONE_CHECK_INTERVAL_MS) return;
   part.goneBoxesCheckedAtMs = step.nowMs;
-  for (const boxId of watchedBoxes(state, step.nowMs)) {
+  for (const boxId of monitoredBoxes(state, step.nowMs)) {
     const peer = state.peers.get(boxId);
     if (peer?.listed !== true || step.nowMs - peer.lastReceivedAtMs < UNLISTED_AFTER_MS) continue;
     log(step, 'boxUnlisted', { peer: boxId });
@@ -138,14 +138,14 @@
 }
 
 /** Boxes that tell this one their news: all tell the holder of the lease, in a large fleet those of a group tell its hub. */
-function watchedBoxes(state: GatewayState, nowMs: number): string[] {
+function monitoredBoxes(state: GatewayState, nowMs: number): string[] {
   if (!usesHubs(state)) return dutyFence(state, nowMs) === undefined ? [] : [...state.peers.keys()];
   if (state.hubId !== undefined) return [];
   return knownGroups(state).own.map(({ boxId }) => boxId);
 }
 
 /** What this box tells of its own part. */
-export function ownPartNews({ part }: GatewayState, nowMs: number): LimitShareGossip {
+export function ownShareGossip({ part }: GatewayState, nowMs: number): LimitShareGossip {
   const { dividedSinceMs } = part;
   return {
     boxes: part.ownRevision === undefined ? 0 : 1,
@@ -158,17 +158,17 @@
 }
 
 /** Sums the parts of several messages up. */
-export function sumParts(messages: readonly PeerMessage[]): LimitShareGossip {
-  const parts = messages.map(partOf);
-  const ages = parts.map(({ dividedForMs }) => dividedForMs).filter((ms) => ms !== undefined);
+export function sumShares(messages: readonly PeerMessage[]): LimitShareGossip {
+  const shares = messages.map(shareOf);
+  const ages = shares.map(({ dividedForMs }) => dividedForMs).filter((ms) => ms !== undefined);
   return {
-    boxes: parts.reduce((sum, { boxes }) => sum + boxes, 0),
-    listRevision: Math.min(...parts.map(({ listRevision }) => listRevision)),
+    boxes: shares.reduce((sum, { boxes }) => sum + boxes, 0),
+    listRevision: Math.min(...shares.map(({ listRevision }) => listRevision)),
     dividedForMs: ages.length === 0 ? undefined : Math.min(...ages),
   };
 }
 
 /** A box of an earlier version tells nothing and holds up nobody. */
-function partOf({ part, boxes }: PeerMessage): LimitShareGossip {
+function shareOf({ part, boxes }: PeerMessage): LimitShareGossip {
   return part ?? { boxes, listRevision: Number.MAX_SAFE_INTEGER, dividedForMs: 0 };
 }
--- a/packages/reedlug-gateway/src/slices/limitWindow.ts
+++ b/packages/reedlug-gateway/src/slices/limitWindow.ts
@@ -8,12 +8,12 @@
 const USED_SHARE = 0.98;
 
 /** Length of the windows in which boxes charge their parts, in ms. */
-export function chargedLengthMs(state: GatewayState): number {
+export function chargeWindowMs(state: GatewayState): number {
   return state.settings.bounds.limitWindowMs + WINDOW_MARGIN_MS;
 }
 
 /** What spans of a window that ends now may hold over all boxes, if they begin at a time or later. */
-export interface WindowUnits {
+export interface WindowAllowance {
   units: number;
   sinceMs: number;
 }
@@ -29,17 +29,17 @@
   state: GatewayState,
   { limits }: QuotaView,
   nowMs: number,
-): WindowUnits[] {
+): WindowAllowance[] {
   const windowStartMs = nowMs - state.settings.bounds.limitWindowMs;
   while (limits.length > 1 && (limits[1] as LimitInForce).fromMs <= windowStartMs) limits.shift();
   return limits.map(({ fromMs }, index) => {
     const sinceMs = index === 0 ? Number.NEGATIVE_INFINITY : fromMs;
-    return { units: unitsUnder(state, limits.slice(index), nowMs), sinceMs };
+    return { units: unitsAllowed(state, limits.slice(index), nowMs), sinceMs };
   });
 }
 
 /** Units of a window under limits one after another, the first from the window's begin on. */
-function unitsUnder(state: GatewayState, limits: readonly LimitInForce[], nowMs: number): number {
+function unitsAllowed(state: GatewayState, limits: readonly LimitInForce[], nowMs: number): number {
   const { limitWindowMs, limitOverShare, limitSlackUnits } = state.settings.bounds;
   const windowStartMs = nowMs - limitWindowMs;
   let units = 0;
--- a/packages/reedlug-gateway/src/slices/peerNews.ts
+++ b/packages/reedlug-gateway/src/slices/peerNews.ts
@@ -7,12 +7,12 @@
 import { boxesCovered, countedPeers, countsFreshly, type HeardPeer } from './fleet.js';
 import { addSendSums, type SendSums } from '../policy/engineModel.js';
 import { ownSendSums } from './engineModels.js';
-import { ownPartNews, sumParts } from './fleetPart.js';
+import { ownShareGossip, sumShares } from './limitShare.js';
 import { rolloutNews } from './rollouts.js';
 import { registryNews } from './registryNews.js';
-import { ownRoom } from './unitLoans.js';
+import { ownSpareUnits } from './unitLoans.js';
 import { ownUsage } from './usage.js';
-import { decisionNews } from './usageDecisions.js';
+import { decisionGossip } from './usageDecisions.js';
 
 /** The news of one tick; messages to several peers differ only in what they sum up. */
 export interface News {
@@ -68,9 +68,9 @@
     admitted: Object.fromEntries([...state.quotas].map(([name, quota]) => [name, quota.admitted])),
     usage: state.hubId === undefined ? ownUsage(state, step) : {},
     workTokens: state.workTokens,
-    decisions: decisionNews(state, step.nowMs),
-    room: ownRoom(state, step.nowMs),
-    part: ownPartNews(state, step.nowMs),
+    decisions: decisionGossip(state, step.nowMs),
+    room: ownSpareUnits(state, step.nowMs),
+    part: ownShareGossip(state, step.nowMs),
     rollouts: rolloutNews(state, step.nowMs, []),
     clockOffsetMs: state.agreedClockOffsetMs,
   };
@@ -118,7 +118,7 @@
     loads: sumLoads([own, ...of.map(({ message }) => message)]),
     sendSums: sumSends([own, ...of.map(({ message }) => message)]),
     room: sumRoom([own, ...of.map(({ message }) => message)]),
-    part: sumParts([own, ...of.map(({ message }) => message)]),
+    part: sumShares([own, ...of.map(({ message }) => message)]),
     rollouts: rolloutNews(state, step.nowMs, of),
     admitted: sumAdmitted(own, parts, except),
     usage: {},
--- a/packages/reedlug-gateway/src/slices/peers.ts
+++ b/packages/reedlug-gateway/src/slices/peers.ts
@@ -5,7 +5,7 @@
 import type { PeerView } from '../types/views.js';
 import { agreeOnClock } from './clock.js';
 import { countsFreshly, isCounted, PEER_GONE_AFTER_MS, type HeardPeer } from './fleet.js';
-import { noteBoxesListed } from './fleetPart.js';
+import { recordBoxesListed } from './limitShare.js';
 import { takeRolloutNews } from './rollouts.js';
 import { nextRegistryStep } from './registryNews.js';
 import { recordIfUninformed } from './statements/statementGossip.js';
@@ -184,7 +184,7 @@
     const isSeedOfKnown = boxId === address.host && knowsHost(state, address.host);
     if (!isSeedOfKnown) peerOf(state, step, address).listed = boxId !== address.host;
   }
-  noteBoxesListed(state, step, event);
+  recordBoxesListed(state, step, event);
 }
 
 function knowsHost(state: GatewayState, host: string): boolean {
--- a/packages/reedlug-gateway/src/slices/quotas.ts
+++ b/packages/reedlug-gateway/src/slices/quotas.ts
@@ -20,14 +20,14 @@
 } from '../policy/unitWindow.js';
 import type { GatewayState } from '../state.js';
 import type { QuotaView } from '../types/views.js';
-import { chargedLengthMs, windowBounds } from './limitWindow.js';
+import { chargeWindowMs, windowBounds } from './limitWindow.js';
 
 /** Time for which lent units may be sent, in ms: twice the longest wait for them. A next life sends nothing of a limit for as long. */
 export const LOAN_MS = 300;
 /** Time after a send that did not run in which another send of the request is not charged again, in ms: half of the margin that the window has. */
-const CHARGE_HOLDS_MS = 100;
+const CHARGE_VALID_MS = 100;
 /** Differences of units below this are rounding. */
-const ROUNDING_UNITS = 1e-6;
+const ROUNDING_TOLERANCE_UNITS = 1e-6;
 
 /** What a request counts against its workspace's limit. */
 export function unitsOf(workspace: WorkspaceSpec, facts: RequestFacts): number {
@@ -50,7 +50,7 @@
 ): boolean {
   const { units } = record;
   const quota = quotaOf(state, workspace, nowMs);
-  const ownUnits = workspace.ratePerSecond > 0 ? takeUnits(state, quota, units, nowMs) : 0;
+  const ownUnits = workspace.ratePerSecond > 0 ? consumeUnits(state, quota, units, nowMs) : 0;
   if (ownUnits === undefined) return false;
   record.chargedAtMs = nowMs;
   record.chargedToShare = ownUnits;
@@ -59,33 +59,33 @@
 }
 
 /** Takes units, lent ones first; returns how many its part was charged, undefined when there are too few. */
-function takeUnits(
+function consumeUnits(
   state: GatewayState,
   quota: QuotaView,
   units: number,
   nowMs: number,
 ): number | undefined {
-  const lent = lentUnits(quota, nowMs);
-  const ownUnits = units - Math.min(units, lent);
-  const room = roomOfPart(state, quota, nowMs);
-  if (ownUnits > Math.max(0, room) + ROUNDING_UNITS) return undefined;
-  useLoans(quota, units - ownUnits);
+  const borrowed = borrowedUnits(quota, nowMs);
+  const ownUnits = units - Math.min(units, borrowed);
+  const spare = spareUnitsOfShare(state, quota, nowMs);
+  if (ownUnits > Math.max(0, spare) + ROUNDING_TOLERANCE_UNITS) return undefined;
+  spendLoans(quota, units - ownUnits);
   if (ownUnits > 0) addUnits(quota.charged, ownUnits, nowMs);
   return ownUnits;
 }
 
-function useLoans(quota: QuotaView, units: number): void {
-  let left = units;
+function spendLoans(quota: QuotaView, units: number): void {
+  let remaining = units;
   for (const loan of quota.loans) {
-    const used = Math.min(loan.units, left);
+    const used = Math.min(loan.units, remaining);
     loan.units -= used;
-    left -= used;
+    remaining -= used;
   }
   quota.loans = quota.loans.filter((loan) => loan.units > 0);
 }
 
 /** Units lent to this box that it may still send. */
-export function lentUnits(quota: QuotaView, nowMs: number): number {
+export function borrowedUnits(quota: QuotaView, nowMs: number): number {
   quota.loans = quota.loans.filter(({ untilMs }) => untilMs >= nowMs);
   return quota.loans.reduce((sum, { units }) => sum + units, 0);
 }
@@ -101,8 +101,8 @@
   if (record.attempts.some(({ reach }) => mayHaveRun(reach))) {
     return chargeSend(state, record, workspace, nowMs);
   }
-  if (nowMs - record.chargedAtMs <= CHARGE_HOLDS_MS) return true;
-  giveBackCharge(state, record, workspace, nowMs);
+  if (nowMs - record.chargedAtMs <= CHARGE_VALID_MS) return true;
+  refundCharge(state, record, workspace, nowMs);
   return chargeSend(state, record, workspace, nowMs);
 }
 
@@ -110,7 +110,7 @@
  * Takes back the charge of a send that did not run: a request whose first server was not
  * reached would count twice, at callers of a zone that is cut off above all.
  */
-function giveBackCharge(
+function refundCharge(
   state: GatewayState,
   record: RequestRecord,
   workspace: WorkspaceSpec,
@@ -124,8 +124,8 @@
 }
 
 /** Units that this box could send or lend of its own part now. */
-export function roomOf(state: GatewayState, workspace: WorkspaceSpec, nowMs: number): number {
-  return Math.max(0, roomOfPart(state, quotaOf(state, workspace, nowMs), nowMs));
+export function spareUnits(state: GatewayState, workspace: WorkspaceSpec, nowMs: number): number {
+  return Math.max(0, spareUnitsOfShare(state, quotaOf(state, workspace, nowMs), nowMs));
 }
 
 /** Charges units that another box may send until the loan ends; returns how many there were. */
@@ -135,20 +135,20 @@
   units: number,
   nowMs: number,
 ): number {
-  const lent = Math.min(units, roomOf(state, workspace, nowMs));
+  const lent = Math.min(units, spareUnits(state, workspace, nowMs));
   if (lent > 0) addUnits(quotaOf(state, workspace, nowMs).charged, lent, nowMs + LOAN_MS);
   return lent;
 }
 
 /** When this box's part is expected to hold so many units, in ms; more than its burst never fit and come from others. */
-export function timeToUnits(
+export function timeUntilUnits(
   state: GatewayState,
   workspace: WorkspaceSpec,
   units: number,
   nowMs: number,
 ): number {
   const quota = quotaOf(state, workspace, nowMs);
-  const bounds = partOf(state, quota, nowMs);
+  const bounds = shareBounds(state, quota, nowMs);
   const burst = Math.min(...bounds.map((bound) => bound.burst));
   if (bounds.length === 0) return LOAN_MS;
   return timeToRoom(quota.charged, bounds, { units: Math.min(units, burst), nowMs });
@@ -161,31 +161,31 @@
   nowMs: number,
 ): { used: number; allowed: number } {
   const quota = quotaOf(state, workspace, nowMs);
-  openPart(state, quota, nowMs);
+  chargePriorUse(state, quota, nowMs);
   const used = unitsWithin(quota.charged, nowMs);
   const units = windowBounds(state, quota, nowMs)[0]?.units ?? 0;
   return { used, allowed: units / state.part.divisor };
 }
 
-function roomOfPart(state: GatewayState, quota: QuotaView, nowMs: number): number {
-  const bounds = partOf(state, quota, nowMs);
+function spareUnitsOfShare(state: GatewayState, quota: QuotaView, nowMs: number): number {
+  const bounds = shareBounds(state, quota, nowMs);
   unitsWithin(quota.charged, nowMs);
-  const rooms = bounds.map((bound) => roomIn(quota.charged, bound, nowMs));
-  return rooms.length === 0 ? 0 : Math.min(...rooms);
+  const spareByBound = bounds.map((bound) => roomIn(quota.charged, bound, nowMs));
+  return spareByBound.length === 0 ? 0 : Math.min(...spareByBound);
 }
 
 /** This box's part of a limit, all of its bounds; none while it holds no part. */
-function partOf(state: GatewayState, quota: QuotaView, nowMs: number): WindowBound[] {
+function shareBounds(state: GatewayState, quota: QuotaView, nowMs: number): WindowBound[] {
   if (state.part.opening === undefined) return [];
-  openPart(state, quota, nowMs);
-  const lengthMs = chargedLengthMs(state);
+  chargePriorUse(state, quota, nowMs);
+  const lengthMs = chargeWindowMs(state);
   return windowBounds(state, quota, nowMs).map(({ units, sinceMs }) =>
     limitPart({ units: units / state.part.divisor, lengthMs, sinceMs }),
   );
 }
 
 /** Charges what may have been sent before this box held its part: unknown, so the most that it allows. */
-function openPart(state: GatewayState, quota: QuotaView, nowMs: number): void {
+function chargePriorUse(state: GatewayState, quota: QuotaView, nowMs: number): void {
   const { opening, divisor } = state.part;
   if (quota.isPriorUseCharged || opening === undefined) return;
   quota.isPriorUseCharged = true;
@@ -194,25 +194,25 @@
     case 'unused':
       return;
     case 'earlierLife':
-      return chargeEarlier(quota, burstOf(state, units), opening.atMs, nowMs);
+      return chargePriorUnits(quota, burstOf(state, units), opening.atMs, nowMs);
     case 'joined':
-      return chargeEarlier(quota, units, opening.atMs, nowMs);
+      return chargePriorUnits(quota, units, opening.atMs, nowMs);
   }
 }
 
 function burstOf(state: GatewayState, units: number): number {
-  return limitPart({ units, lengthMs: chargedLengthMs(state), sinceMs: 0 }).burst;
+  return limitPart({ units, lengthMs: chargeWindowMs(state), sinceMs: 0 }).burst;
 }
 
 /** What an earlier life lent may have been sent until its loans ended. */
-function chargeEarlier(quota: QuotaView, units: number, atMs: number, nowMs: number): void {
+function chargePriorUnits(quota: QuotaView, units: number, atMs: number, nowMs: number): void {
   const countsFromMs = atMs + LOAN_MS;
   if (nowMs - countsFromMs < quota.charged.lengthMs) addUnits(quota.charged, units, countsFromMs);
 }
 
 /** A box's account of a workspace's limit. */
 export function quotaOf(state: GatewayState, workspace: WorkspaceSpec, nowMs: number): QuotaView {
-  const known = state.quotas.get(workspace.name) ?? freshQuota(state, workspace, nowMs);
+  const known = state.quotas.get(workspace.name) ?? createQuota(state, workspace, nowMs);
   const inForce = known.limits.at(-1);
   const { ratePerSecond, burst } = workspace;
   if (inForce?.ratePerSecond !== ratePerSecond || inForce.burst !== burst) {
@@ -221,10 +221,10 @@
   return known;
 }
 
-function freshQuota(state: GatewayState, workspace: WorkspaceSpec, nowMs: number): QuotaView {
+function createQuota(state: GatewayState, workspace: WorkspaceSpec, nowMs: number): QuotaView {
   const { ratePerSecond, burst } = workspace;
   const quota: QuotaView = {
-    charged: createUnitWindow(chargedLengthMs(state)),
+    charged: createUnitWindow(chargeWindowMs(state)),
     isPriorUseCharged: false,
     loans: [],
     limits: [{ fromMs: nowMs, ratePerSecond, burst }],
--- a/packages/reedlug-gateway/src/slices/requests.ts
+++ b/packages/reedlug-gateway/src/slices/requests.ts
@@ -15,7 +15,7 @@
 import { noteLeft } from './rolloutEvidence.js';
 import { chooseFor, offer } from './sending.js';
 import { isTooLateToTake } from './stopping.js';
-import { refuseOverLimit, sendOrAwaitUnits } from './waitingSends.js';
+import { refuseOverLimit, requestAndAwaitUnits } from './waitingSends.js';
 
 /** When to come back to another box after this one's planned stop refused, in ms. */
 const STOPPING_RETRY_MS = 100;
@@ -64,7 +64,7 @@
   if (limitedMs !== undefined) return refuseNow(503, SERVERS_LIMITED, limitedMs);
   state.requests.set(exchangeId, record);
   if (workspace !== undefined && !chargeSend(state, record, workspace, step.nowMs)) {
-    if (!sendOrAwaitUnits(state, step, record, workspace)) refuseOverLimit(state, step, record);
+    if (!requestAndAwaitUnits(state, step, record, workspace)) refuseOverLimit(state, step, record);
     return;
   }
   countFirstSend(state, record.service);
--- a/packages/reedlug-gateway/src/slices/statements/statementGossip.ts
+++ b/packages/reedlug-gateway/src/slices/statements/statementGossip.ts
@@ -19,7 +19,7 @@
 import type { PeerView } from '../../types/views.js';
 import { handsOn, SILENT_AFTER_MS } from '../fleet.js';
 import { neighbours } from '../spreadNews.js';
-import { tellDecisions } from '../usageDecisions.js';
+import { announceDecisions } from '../usageDecisions.js';
 import { asAnnounced, isAnnouncementDue } from './announcement.js';
 import { mergeDraining } from './draining.js';
 import { pruneStatements, statementsFor } from './incarnationStatements.js';
@@ -147,7 +147,7 @@
   const wasSilent = step.nowMs - peer.lastReceivedAtMs > SILENT_AFTER_MS;
   if (!isNewIncarnation && !wasSilent) return;
   state.peersNeedingStatements.add(peer.boxId);
-  tellDecisions(state, step);
+  announceDecisions(state, step);
 }
 
 /** Applies the statements that servers made to another box. */
--- a/packages/reedlug-gateway/src/slices/storeEra.ts
+++ b/packages/reedlug-gateway/src/slices/storeEra.ts
@@ -6,7 +6,7 @@
 import { forgetCrashRow } from './crashRecord.js';
 import { forgetRecord } from './rollouts.js';
 import { forgetCheckpoint } from './usage.js';
-import { tellDecisions } from './usageDecisions.js';
+import { announceDecisions } from './usageDecisions.js';
 import { log, type GatewayState, type Step } from '../state.js';
 
 /** Time from the store's return in which a whole collection may be that of the copy, in ms: what was lost is written again within 2 s, and the list of boxes is read a second later. */
@@ -39,7 +39,7 @@
   for (const view of state.rollouts.values()) forgetRecord(view);
   forgetCrashRow(state, step);
   state.clockRowIsLost = true;
-  tellDecisions(state, step);
+  announceDecisions(state, step);
 }
 
 /** Whether a whole collection that is read now may lack what was there, and show what is gone. */
--- a/packages/reedlug-gateway/src/slices/unitLoans.ts
+++ b/packages/reedlug-gateway/src/slices/unitLoans.ts
@@ -12,30 +12,30 @@
 import { log, type GatewayState, type Step } from '../state.js';
 import type { WorkspaceSpec } from '../types/configuration.js';
 import { countedPeers, countsFreshly, handsOn, ownAddress, type HeardPeer } from './fleet.js';
-import { findWorkspace, lendUnits, LOAN_MS, quotaOf, roomOf } from './quotas.js';
+import { findWorkspace, lendUnits, LOAN_MS, quotaOf, spareUnits } from './quotas.js';
 
 /** Boxes asked for the units of one request at most: a large request over small parts takes dozens. */
-const MOST_ASKED = 48;
+const MAX_LENDERS = 48;
 /** Hubs that hand one question on: the asker's own, and those of other groups. */
-const MOST_HOPS = 2;
+const MAX_HOPS = 2;
 
 /** Asks others for units; false when they did not tell of that many. */
-export function askForUnits(
+export function requestUnits(
   state: GatewayState,
   step: Step,
   { name: workspace }: WorkspaceSpec,
   units: number,
 ): boolean {
   const lenders = lendersOf(state, workspace, step.nowMs);
-  const told = lenders.reduce((sum, { room }) => sum + room, 0);
-  if (told < units) return false;
+  const announced = lenders.reduce((sum, { room }) => sum + room, 0);
+  if (announced < units) return false;
   const { boxId, host, port } = ownAddress(state);
   const askId = state.nextAskId;
   state.nextAskId += 1;
   state.unitRequests.set(askId, { sentAtMs: step.nowMs, workspace });
   const { incarnation } = state;
-  const asked = { kind: 'unitsAsked' as const, boxId, incarnation, host, port, askId, hops: 0 };
-  askEach(step, lenders, { ...asked, workspace, units });
+  const request = { kind: 'unitsAsked' as const, boxId, incarnation, host, port, askId, hops: 0 };
+  requestFromEach(step, lenders, { ...request, workspace, units });
   return true;
 }
 
@@ -49,20 +49,20 @@
 function lendersOf(state: GatewayState, workspace: string, nowMs: number): Lender[] {
   const lenders: Lender[] = [];
   for (const peer of countedPeers(state, nowMs)) {
-    const told = peer.message.room?.[workspace] ?? 0;
-    const room = told - (peer.requestedUnits.get(workspace) ?? 0);
+    const announced = peer.message.room?.[workspace] ?? 0;
+    const room = announced - (peer.requestedUnits.get(workspace) ?? 0);
     if (room > 0 && countsFreshly(peer, nowMs)) lenders.push({ peer, room });
   }
-  return lenders.sort((a, b) => b.room - a.room).slice(0, MOST_ASKED);
+  return lenders.sort((a, b) => b.room - a.room).slice(0, MAX_LENDERS);
 }
 
-function askEach(step: Step, lenders: readonly Lender[], message: UnitsAskedMessage): void {
+function requestFromEach(step: Step, lenders: readonly Lender[], message: UnitsAskedMessage): void {
   const { workspace } = message;
-  let left = message.units;
+  let remaining = message.units;
   for (const { peer, room } of lenders) {
-    if (left <= 0) return;
-    const units = Math.min(left, room);
-    left -= units;
+    if (remaining <= 0) return;
+    const units = Math.min(remaining, room);
+    remaining -= units;
     peer.requestedUnits.set(workspace, (peer.requestedUnits.get(workspace) ?? 0) + units);
     step.effects.push({ type: 'sendPeers', message: { ...message, units }, to: [peer.address] });
   }
@@ -82,34 +82,34 @@
     const own = ownAddress(state);
     const lender = { boxId: own.boxId, host: own.host, port: own.port };
     const answer = { kind: 'unitsLent' as const, ...lender, incarnation, askId, units };
-    noteLent(state, step, message, units);
+    recordLent(state, step, message, units);
     step.effects.push({ type: 'sendPeers', message: answer, to: [{ host, port }] });
     log(step, 'unitsLent', { peer: boxId, workspace: workspace.name, units: Math.round(units) });
   }
-  const left = message.units - units;
-  if (left > 0) handOn(state, step, { ...message, units: left, hops: hops + 1 });
+  const remaining = message.units - units;
+  if (remaining > 0) forwardRequest(state, step, { ...message, units: remaining, hops: hops + 1 });
 }
 
-function handOn(state: GatewayState, step: Step, message: UnitsAskedMessage): void {
+function forwardRequest(state: GatewayState, step: Step, message: UnitsAskedMessage): void {
   const { workspace, boxId, hops } = message;
-  if (!handsOn(state) || hops > MOST_HOPS) return;
+  if (!handsOn(state) || hops > MAX_HOPS) return;
   const lenders = lendersOf(state, workspace, step.nowMs).filter(({ peer }) => {
     const isMember = peer.message.scope === GossipScope.box;
-    return peer.boxId !== boxId && (isMember || hops < MOST_HOPS);
+    return peer.boxId !== boxId && (isMember || hops < MAX_HOPS);
   });
-  askEach(step, lenders, message);
+  requestFromEach(step, lenders, message);
 }
 
 /** Takes lent units; returns the workspace that has them, undefined when they came too late. */
-export function takeLoan(
+export function acceptLoan(
   state: GatewayState,
   step: Step,
   { message }: EventOf<'unitsLent'>,
 ): WorkspaceSpec | undefined {
-  const ask = state.unitRequests.get(message.askId);
-  if (ask === undefined || message.incarnation !== state.incarnation) return undefined;
-  const workspace = findWorkspace(state, ask.workspace);
-  const untilMs = ask.sentAtMs + LOAN_MS;
+  const request = state.unitRequests.get(message.askId);
+  if (request === undefined || message.incarnation !== state.incarnation) return undefined;
+  const workspace = findWorkspace(state, request.workspace);
+  const untilMs = request.sentAtMs + LOAN_MS;
   if (workspace === undefined || untilMs < step.nowMs) return undefined;
   const { askId, units, host, port } = message;
   const loan = { units, untilMs, askId, lender: { host, port } };
@@ -118,7 +118,7 @@
 }
 
 /** Forgets questions whose loans would have ended, and loans that nobody gives back any more. */
-export function forgetOldAsks(state: GatewayState, nowMs: number): void {
+export function pruneLoans(state: GatewayState, nowMs: number): void {
   for (const [askId, { sentAtMs }] of state.unitRequests) {
     if (nowMs - sentAtMs > LOAN_MS) state.unitRequests.delete(askId);
   }
@@ -128,7 +128,7 @@
 }
 
 /** One loan of a question can come back; of a second one, by way of another hub, nothing does. */
-function noteLent(
+function recordLent(
   state: GatewayState,
   step: Step,
   message: UnitsAskedMessage,
@@ -181,11 +181,11 @@
 }
 
 /** Room of this box's part by workspace, for its news; those without room are left out. */
-export function ownRoom(state: GatewayState, nowMs: number): Record<string, number> {
+export function ownSpareUnits(state: GatewayState, nowMs: number): Record<string, number> {
   const room: Record<string, number> = {};
   for (const workspace of state.active?.configuration.workspaces ?? []) {
     if (workspace.ratePerSecond <= 0) continue;
-    const units = Math.floor(roomOf(state, workspace, nowMs));
+    const units = Math.floor(spareUnits(state, workspace, nowMs));
     if (units > 0) room[workspace.name] = units;
   }
   return room;
--- a/packages/reedlug-gateway/src/slices/usage.ts
+++ b/packages/reedlug-gateway/src/slices/usage.ts
@@ -15,28 +15,28 @@
 import { agreedWallMs } from './clock.js';
 import { dropLease, dutyFence } from './duties.js';
 import {
-  eraSinceWallMs,
+  eraSinceWallClockMs,
   isDue,
-  isTold,
+  isAnnounced,
   mayDecide,
   mergeDecision,
-  noteDecision,
-  noteReported,
+  recordDecision,
+  recordReported,
 } from './usageDecisions.js';
 
 /** Pause before a row or a report is tried again, in ms. */
 const RETRY_MS = 700;
 /** Windows kept besides the current one: until the report is due, and one more. */
-const KEPT_WINDOWS = 4;
+const RETAINED_WINDOWS = 4;
 /** Windows told to peers: the current one and the one before. */
-const TOLD_WINDOWS = 2;
+const ANNOUNCED_WINDOWS = 2;
 /** Pause between checkpoints, in ms: a tenth of the shortest window, against the price of a call. */
-const CHECKPOINT_MS = 500;
+const CHECKPOINT_INTERVAL_MS = 500;
 /** Bytes of counts that a checkpoint holds at most: a row takes 64 KiB; limits, and the names of windows and workspaces, come on top. */
-const CHECKPOINT_BYTES = 48 * 1024;
+const MAX_CHECKPOINT_BYTES = 48 * 1024;
 
 /** Counts a request once, in the window in which it began to run. */
-export function countBegun(state: GatewayState, step: Step, record: RequestRecord): void {
+export function countStarted(state: GatewayState, step: Step, record: RequestRecord): void {
   if (record.counted || record.workspace === undefined) return;
   record.counted = true;
   const { usageWindowMs } = state.settings.bounds;
@@ -79,7 +79,7 @@
   const own: Record<string, UsageCounts> = {};
   for (const { window, byBox } of state.usage.values()) {
     const counts = byBox.get(ownKey(state));
-    if (counts !== undefined && window > current - TOLD_WINDOWS) own[window] = counts;
+    if (counts !== undefined && window > current - ANNOUNCED_WINDOWS) own[window] = counts;
   }
   return own;
 }
@@ -108,7 +108,7 @@
 ): void {
   const { usageWindowMs } = state.settings.bounds;
   if (usageWindowMs === 0) return;
-  const oldest = Math.floor(agreedWallMs(state, step) / usageWindowMs) - KEPT_WINDOWS;
+  const oldest = Math.floor(agreedWallMs(state, step) / usageWindowMs) - RETAINED_WINDOWS;
   for (const decision of decisions) {
     if (decision.window < oldest) continue;
     mergeDecision(step, windowOf(state, decision.window), decision);
@@ -123,10 +123,10 @@
 export function usageTick(state: GatewayState, step: Step): void {
   const { usageWindowMs } = state.settings.bounds;
   if (usageWindowMs === 0 || state.settings.cloud?.reportsUsage !== true) return;
-  const wallMs = agreedWallMs(state, step);
-  const current = Math.floor(wallMs / usageWindowMs);
+  const wallClockMs = agreedWallMs(state, step);
+  const current = Math.floor(wallClockMs / usageWindowMs);
   for (const window of state.usage.keys()) {
-    if (window < current - KEPT_WINDOWS) state.usage.delete(window);
+    if (window < current - RETAINED_WINDOWS) state.usage.delete(window);
   }
   const fence = dutyFence(state, step.nowMs);
   if (fence === undefined || state.agreedClockOffsetMs === undefined) return;
@@ -141,7 +141,7 @@
 function advanceWindow(state: GatewayState, step: Step, entry: UsageWindow, fence: number): void {
   if (entry.reported || step.nowMs - entry.requestedAtMs < RETRY_MS) return;
   if (entry.decided === undefined) return decide(state, step, entry);
-  if (!isTold(entry, step.nowMs)) return;
+  if (!isAnnounced(entry, step.nowMs)) return;
   entry.requestedAtMs = step.nowMs;
   entry.callId = state.nextCallId;
   state.nextCallId += 1;
@@ -194,7 +194,7 @@
   // It was asked in an era in which this box could decide, and may be written in the next one.
   if (!mayDecide(state, step, entry)) return;
   const counts = row.value as UsageCounts;
-  noteDecision(step, entry, counts);
+  recordDecision(step, entry, counts);
   entry.requestedAtMs = Number.NEGATIVE_INFINITY;
   log(step, 'usageDecided', { window, requests: total(counts), answer: answer.kind });
 }
@@ -208,7 +208,7 @@
   for (const entry of state.usage.values()) {
     if (entry.callId !== event.callId || entry.reported) continue;
     log(step, 'usageReported', { window: entry.window, outcome: event.outcome });
-    if (event.outcome === 'done') noteReported(step, entry);
+    if (event.outcome === 'done') recordReported(step, entry);
     if (event.outcome === 'fenced') dropLease(state, step);
   }
 }
@@ -216,7 +216,7 @@
 /** Writes the counts; a new holder does so at once, since a conflict brings those of the one before. */
 function writeCheckpoint(state: GatewayState, step: Step, fence: number): void {
   const isNeeded = state.usageChanged || state.checkpointFence !== fence;
-  if (!isNeeded || step.nowMs - state.checkpointAtMs < CHECKPOINT_MS) return;
+  if (!isNeeded || step.nowMs - state.checkpointAtMs < CHECKPOINT_INTERVAL_MS) return;
   state.checkpointAtMs = step.nowMs;
   state.usageChanged = false;
   const value = checkpointOf(state, step);
@@ -228,7 +228,7 @@
 function checkpointOf(state: GatewayState, step: Step): CheckpointRow {
   const workspaces = state.active?.configuration.workspaces.map(({ name }) => name) ?? [];
   const windows: Record<string, Record<string, number[]>> = {};
-  let bytesLeft = CHECKPOINT_BYTES;
+  let bytesLeft = MAX_CHECKPOINT_BYTES;
   const newestFirst = [...state.usage.values()].sort((a, b) => b.window - a.window);
   for (const { window, byBox, reported, decided } of newestFirst) {
     if (reported) continue;
@@ -240,7 +240,7 @@
     }
     windows[window] = boxes;
   }
-  const sinceWallMs = eraSinceWallMs(state, step);
+  const sinceWallMs = eraSinceWallClockMs(state, step);
   const { storeEra: number = 0 } = state;
   return { workspaces, windows, ...(number === 0 ? {} : { era: { number, sinceWallMs } }) };
 }
@@ -266,7 +266,7 @@
   if (answer.kind === 'done' || row.value === undefined) return;
   const { workspaces, windows, era } = row.value as CheckpointRow;
   if (era?.number === state.storeEra && era !== undefined) {
-    const { eraKnown: eraKnown } = state;
+    const { eraKnown } = state;
     eraKnown.reportedSinceWallClockMs = Math.min(
       eraKnown.reportedSinceWallClockMs,
       era.sinceWallMs,
--- a/packages/reedlug-gateway/src/slices/usageDecisions.ts
+++ b/packages/reedlug-gateway/src/slices/usageDecisions.ts
@@ -15,9 +15,9 @@
 /** Time after a window's end in which peers' last counts arrive, in ms: several of their messages. */
 const SETTLE_MS = 1500;
 /** Time for which a change of the decisions is told, in ms: ten messages, of which some may be lost. */
-const TOLD_FOR_MS = 2000;
+const ANNOUNCE_FOR_MS = 2000;
 /** Time from a decision until it is reported, in ms: it reaches members of other groups over two hubs. */
-const TOLD_BEFORE_MS = 1000;
+const ANNOUNCE_BEFORE_REPORT_MS = 1000;
 /** Most by which boxes differ in the agreed time, in ms: the delay of a slow answer of the store. */
 const CLOCK_SLACK_MS = 500;
 
@@ -37,60 +37,63 @@
 export function mayDecide(state: GatewayState, step: Step, { window }: UsageWindow): boolean {
   const dueMs = dueAtMs(state, window);
   const heldSinceMs = state.lease.held?.sinceMs;
-  if (heldSinceMs !== undefined && dueMs >= wallAt(state, step, heldSinceMs)) return true;
-  return dueMs > eraSinceWallMs(state, step) + CLOCK_SLACK_MS;
+  if (heldSinceMs !== undefined && dueMs >= agreedWallClockAt(state, step, heldSinceMs))
+    return true;
+  return dueMs > eraSinceWallClockMs(state, step) + CLOCK_SLACK_MS;
 }
 
 /** Time by which the store was in its present era, by the agreed clock. */
-export function eraSinceWallMs(state: GatewayState, step: Step): number {
+export function eraSinceWallClockMs(state: GatewayState, step: Step): number {
   const { sinceMs, reportedSinceWallClockMs } = state.eraKnown;
   // A store without eras loses nothing.
   if (state.storeEra === undefined || state.storeEra === 0) return Number.NEGATIVE_INFINITY;
-  return Math.min(wallAt(state, step, sinceMs), reportedSinceWallClockMs);
+  return Math.min(agreedWallClockAt(state, step, sinceMs), reportedSinceWallClockMs);
 }
 
 /** A time on this box's clock by the agreed one. */
-function wallAt(state: GatewayState, step: Step, atMs: number): number {
+function agreedWallClockAt(state: GatewayState, step: Step, atMs: number): number {
   return agreedWallMs(state, step) - (step.nowMs - atMs);
 }
 
 /** Takes what is to be reported for a window. */
-export function noteDecision(step: Step, entry: UsageWindow, counts: UsageCounts): void {
+export function recordDecision(step: Step, entry: UsageWindow, counts: UsageCounts): void {
   entry.decided = counts;
   entry.decidedAtMs = step.nowMs;
-  tell(step, entry);
+  announce(step, entry);
 }
 
 /** Takes it that the platform has a window's report. */
-export function noteReported(step: Step, entry: UsageWindow): void {
+export function recordReported(step: Step, entry: UsageWindow): void {
   entry.reported = true;
-  tell(step, entry);
+  announce(step, entry);
 }
 
 /** Whether all boxes have heard what is to be reported. */
-export function isTold({ decidedAtMs }: UsageWindow, nowMs: number): boolean {
-  return nowMs - decidedAtMs >= TOLD_BEFORE_MS;
+export function isAnnounced({ decidedAtMs }: UsageWindow, nowMs: number): boolean {
+  return nowMs - decidedAtMs >= ANNOUNCE_BEFORE_REPORT_MS;
 }
 
 /** Tells peers all decisions for a while: the store may have lost them, or a peer may not know them. */
-export function tellDecisions(state: GatewayState, step: Step): void {
-  for (const entry of state.usage.values()) tell(step, entry);
+export function announceDecisions(state: GatewayState, step: Step): void {
+  for (const entry of state.usage.values()) announce(step, entry);
 }
 
-function tell(step: Step, entry: UsageWindow): void {
-  entry.announcedUntilMs = step.nowMs + TOLD_FOR_MS;
+function announce(step: Step, entry: UsageWindow): void {
+  entry.announcedUntilMs = step.nowMs + ANNOUNCE_FOR_MS;
 }
 
 /** What peers are told now. */
-export function decisionNews(
+export function decisionGossip(
   state: GatewayState,
   nowMs: number,
 ): UsageDecisionGossip[] | undefined {
-  const told = [...state.usage.values()].filter(({ announcedUntilMs }) => nowMs < announcedUntilMs);
-  const news = told.flatMap(({ window, decided, reported }) =>
+  const announced = [...state.usage.values()].filter(
+    ({ announcedUntilMs }) => nowMs < announcedUntilMs,
+  );
+  const gossip = announced.flatMap(({ window, decided, reported }) =>
     decided === undefined ? [] : [{ window, counts: decided, isReported: reported }],
   );
-  return news.length === 0 ? undefined : news;
+  return gossip.length === 0 ? undefined : gossip;
 }
 
 /** Takes what a peer knows of a window. */
@@ -99,13 +102,13 @@
   entry: UsageWindow,
   { counts, isReported }: UsageDecisionGossip,
 ): void {
-  if (entry.decided === undefined) noteDecision(step, entry, counts);
+  if (entry.decided === undefined) recordDecision(step, entry, counts);
   else if (!areEqual(entry.decided, counts)) {
     // One of them may be reported already: the other must not be.
     if (!entry.reported) log(step, 'usageDisputed', { window: entry.window });
     entry.reported = true;
   }
-  if (isReported && !entry.reported) noteReported(step, entry);
+  if (isReported && !entry.reported) recordReported(step, entry);
 }
 
 function areEqual(a: UsageCounts, b: UsageCounts): boolean {
--- a/packages/reedlug-gateway/src/slices/waitingSends.ts
+++ b/packages/reedlug-gateway/src/slices/waitingSends.ts
@@ -16,33 +16,33 @@
   chargeSend,
   findWorkspace,
   limitUse,
-  lentUnits,
+  borrowedUnits,
   quotaOf,
-  roomOf,
-  timeToUnits,
+  spareUnits,
+  timeUntilUnits,
 } from './quotas.js';
 import { countFirstSend } from './retryBudgets.js';
 import { offer } from './sending.js';
-import { askForUnits, forgetOldAsks, returnLoans, takeLoan } from './unitLoans.js';
+import { requestUnits, pruneLoans, returnLoans, acceptLoan } from './unitLoans.js';
 
 /** Part of a route's target time for which a request may wait: with it the answer is hardly later. */
 const WAIT_SHARE = 0.125;
 /** Shortest and longest wait for units, in ms: between zones a way takes some ms, and a loan does not last. */
-const LEAST_WAIT_MS = 25;
-const MOST_WAIT_MS = 150;
+const MIN_WAIT_MS = 25;
+const MAX_WAIT_MS = 150;
 
 /** Sends a request that has its units, or asks for those that it lacks; false when nobody has them. */
-export function sendOrAwaitUnits(
+export function requestAndAwaitUnits(
   state: GatewayState,
   step: Step,
   record: RequestRecord,
   workspace: WorkspaceSpec,
 ): boolean {
   const quota = quotaOf(state, workspace, step.nowMs);
-  const own = roomOf(state, workspace, step.nowMs) + lentUnits(quota, step.nowMs);
-  if (!askForUnits(state, step, workspace, record.units - own)) return false;
+  const own = spareUnits(state, workspace, step.nowMs) + borrowedUnits(quota, step.nowMs);
+  if (!requestUnits(state, step, workspace, record.units - own)) return false;
   const waitMs = record.route.targetMs * WAIT_SHARE;
-  const untilMs = step.nowMs + Math.min(MOST_WAIT_MS, Math.max(LEAST_WAIT_MS, waitMs));
+  const untilMs = step.nowMs + Math.min(MAX_WAIT_MS, Math.max(MIN_WAIT_MS, waitMs));
   state.waitingForUnits.push({ record, untilMs });
   return true;
 }
@@ -56,13 +56,13 @@
 ): void {
   if (chargeFurtherSend(state, record, step.nowMs)) return offer(state, step, record, choice);
   const workspace = findWorkspace(state, record.workspace ?? '');
-  if (workspace !== undefined && sendOrAwaitUnits(state, step, record, workspace)) return;
+  if (workspace !== undefined && requestAndAwaitUnits(state, step, record, workspace)) return;
   refuseOverLimit(state, step, record);
 }
 
 /** Units came: requests of the workspace that have all of theirs go. */
 export function onUnitsLent(state: GatewayState, step: Step, event: EventOf<'unitsLent'>): void {
-  const workspace = takeLoan(state, step, event);
+  const workspace = acceptLoan(state, step, event);
   if (workspace === undefined) return;
   const isReady = ({ record }: WaitingSend): boolean =>
     record.workspace === workspace.name &&
@@ -70,17 +70,17 @@
     chargeSend(state, record, workspace, step.nowMs);
   const ready = state.waitingForUnits.filter(isReady);
   state.waitingForUnits = state.waitingForUnits.filter((waiting) => !ready.includes(waiting));
-  for (const { record } of ready) go(state, step, record);
-  returnUnneeded(state, step, workspace);
+  for (const { record } of ready) sendNow(state, step, record);
+  returnUnneededLoans(state, step, workspace);
 }
 
 /** Lent units that no request waits for are given back. */
-function returnUnneeded(state: GatewayState, step: Step, workspace: WorkspaceSpec): void {
+function returnUnneededLoans(state: GatewayState, step: Step, workspace: WorkspaceSpec): void {
   const isAwaited = state.waitingForUnits.some(({ record }) => record.workspace === workspace.name);
   if (!isAwaited) returnLoans(state, step, workspace);
 }
 
-function go(state: GatewayState, step: Step, record: RequestRecord): void {
+function sendNow(state: GatewayState, step: Step, record: RequestRecord): void {
   if (record.attempts.length === 0) countFirstSend(state, record.service);
   offer(state, step, record);
 }
@@ -92,14 +92,14 @@
 
 /** Refuses those that waited long enough. */
 export function waitingSendsTick(state: GatewayState, step: Step): void {
-  forgetOldAsks(state, step.nowMs);
+  pruneLoans(state, step.nowMs);
   if (state.waitingForUnits.length === 0) return;
-  const late = state.waitingForUnits.filter(({ untilMs }) => untilMs <= step.nowMs);
+  const timedOut = state.waitingForUnits.filter(({ untilMs }) => untilMs <= step.nowMs);
   state.waitingForUnits = state.waitingForUnits.filter(({ untilMs }) => untilMs > step.nowMs);
-  for (const { record } of late) {
+  for (const { record } of timedOut) {
     if (isOpen(state, record)) refuseOverLimit(state, step, record);
     const workspace = findWorkspace(state, record.workspace ?? '');
-    if (workspace !== undefined) returnUnneeded(state, step, workspace);
+    if (workspace !== undefined) returnUnneededLoans(state, step, workspace);
   }
 }
 
@@ -120,7 +120,7 @@
     allowed: Math.round(allowed),
     divisor: state.part.divisor,
   });
-  const waitMs = timeToUnits(state, workspace, units, step.nowMs);
+  const waitMs = timeUntilUnits(state, workspace, units, step.nowMs);
   const retryAfterMs = spreadRetryMs(waitMs, facts.requestId);
   refuse(step, { exchangeId, facts, status: 429, reason: 'overLimit', retryAfterMs });
 }
