--- a/packages/reedlug-gateway/src/slices/__tests__/limitShare.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/limitShare.test.ts
@@ -22,7 +22,7 @@
 };
 const TICK_MS = 50;
 
-/** A box that the store lists as a newcomer beside another one, which holds its part. */
+/** Creates a joining box that the store lists alongside another one, which holds its share. */
 function createJoiningBox(): TestBox {
   const box = createBox(settings({ limitOverShare: 0 }));
   box.take({ type: 'configurationRead', configuration: configuration(), source: 'store' });
@@ -45,7 +45,7 @@
   box.take({ type: 'peersListed', changes, whole: true, revision: ownRevision ?? 2 });
 }
 
-/** Passes time while the other box tells of its part. */
+/** Passes time while the other box reports its share. */
 function passWith(box: TestBox, ms: number, part: Partial<LimitShareGossip> | undefined): void {
   for (let passedMs = 0; passedMs < ms; passedMs += TICK_MS) {
     if (part !== undefined) announceShare(box, part);
@@ -66,7 +66,7 @@
   );
 }
 
-test('a box that joins holds no part before all others have read a list with it', () => {
+test('a joining box holds no share before all others have read a list that contains it', () => {
   const box = createJoiningBox();
   passWith(box, 4000, { listRevision: 4 });
   expect(isSent(box, 1)).to.equal(false);
@@ -74,13 +74,13 @@
   expect(isSent(box, 2)).to.equal(true);
 });
 
-test('a box that joins holds no part while a listed one is silent', () => {
+test('a joining box holds no share while a listed box is silent', () => {
   const box = createJoiningBox();
   passWith(box, 20_000, undefined);
   expect(isSent(box, 1)).to.equal(false);
 });
 
-test('a box that joins sends nothing until others have divided by it for a window', () => {
+test('a joining box sends nothing until others have divided by it for a window', () => {
   const box = createJoiningBox();
   passWith(box, 4000, { dividedForMs: 1000 });
   expect(box.state.part.opening?.kind).to.equal('joined');
@@ -91,7 +91,7 @@
   expect(isSent(box, 3)).to.equal(true);
 });
 
-test('a box that holds its part has its entry say so until the list does', () => {
+test('a box that holds a share registers it until the list shows it', () => {
   const box = createJoiningBox();
   passWith(box, 3000, {});
   const entered = [box.pass(TICK_MS), box.pass(2500)].flatMap((done) => ofType(done, 'enterBox'));
@@ -101,7 +101,7 @@
   expect(ofType(box.pass(3000), 'enterBox')).to.have.length(0);
 });
 
-test('the next life of a box holds its part from the list on, whoever is silent', () => {
+test('a restarted box holds its share once it has the list, even if others are silent', () => {
   const box = createJoiningBox();
   list(box, { ownRevision: 6, holdsPart: true });
   expect(box.state.part.opening?.kind).to.equal('earlierLife');
@@ -109,7 +109,7 @@
   expect(isSent(box, 1)).to.equal(true);
 });
 
-test('a box that divides among more tells others since when', () => {
+test('a box reports since when it has divided by more boxes', () => {
   const box = createJoiningBox();
   list(box, { ownRevision: 6, holdsPart: true });
   box.pass(2000);
@@ -122,7 +122,7 @@
   expect(announced[0]).to.deep.equal({ boxes: 1, listRevision: 7, dividedForMs: 300 });
 });
 
-test('a box that is off the list gives its part up', () => {
+test('a box that is removed from the list drops its share', () => {
   const box = createJoiningBox();
   list(box, { ownRevision: 6, holdsPart: true });
   box.pass(500);
@@ -130,7 +130,7 @@
   expect(isSent(box, 1)).to.equal(false);
 });
 
-test('a box without the store that does not hear all others gives its part up after five minutes', () => {
+test('a box without the store that does not reach all others drops its share after five minutes', () => {
   const box = createJoiningBox();
   listBoxes(box, [OTHER]);
   passWith(box, 1000, {});
@@ -140,7 +140,7 @@
   expect(box.state.part.opening).to.equal(undefined);
 });
 
-test('a box that hears all others keeps its part without the store', () => {
+test('a box that reaches all others keeps its share without the store', () => {
   const box = createJoiningBox();
   listBoxes(box, [OTHER]);
   box.pass(310_000 - TICK_MS);
@@ -149,7 +149,7 @@
   expect(box.state.part.opening).not.to.equal(undefined);
 });
 
-test('the holder of the lease takes a box off the list that is silent for ten minutes', () => {
+test('the holder of the lease removes a box from the list that is silent for ten minutes', () => {
   const box = createJoiningBox();
   const passAsHolder = (atMs: number) => {
     box.state.lease.held = { fence: 1, sinceMs: 0, grantedAtMs: atMs, unfencedFromMs: atMs };
@@ -162,7 +162,7 @@
   expect(gone.map(({ boxId, address }) => [boxId, address])).to.deep.equal([['box-2', undefined]]);
 });
 
-test('a box that a copy of the store lacks keeps its part, and no other gets more', () => {
+test('a box that is missing from a restored backup keeps its share, and no other box gets more', () => {
   const box = createJoiningBox();
   box.take({ type: 'storeEra', era: 1 });
   passWith(box, 4000, { listRevision: 5 });
@@ -180,7 +180,7 @@
   expect(box.state.part.opening).to.equal(undefined);
 });
 
-test('a box that joins waits to be listed again after the store came back without it', () => {
+test('a joining box waits to be listed again after a restore of the store that lacks it', () => {
   const box = createJoiningBox();
   box.take({ type: 'storeEra', era: 1 });
   box.take({ type: 'storeEra', era: 2 });
--- a/packages/reedlug-gateway/src/slices/__tests__/limitsAcrossBoxes.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/limitsAcrossBoxes.test.ts
@@ -1,7 +1,6 @@
 /**
- * Limits over several boxes against the users' rule: in any window, all boxes
- * together admit no more than rate, burst and tolerance allow, whatever happens
- * to their news.
+ * Tests limits over several boxes against the users' rule: in any window, all boxes together admit no
+ * more than rate, burst and tolerance allow, whatever happens to their messages.
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -27,27 +26,27 @@
 const OVER_SHARE = 0.1;
 const DURATION_MS = 22_000;
 
-/** What happens to a box, or to the link of its half of the fleet. */
+/** Fault injected into a box or into the links between boxes, or a change of the limit. */
 type Fault =
   | { kind: 'restart'; box: number; atMs: number }
-  /** All boxes at once; they are away for `forMs`. */
+  /** All boxes restart at once and are down for `forMs`. */
   | { kind: 'restartAll'; atMs: number; forMs: number }
-  /** Boxes with a lower number hear nothing of the others. */
+  /** Boxes with a number below `below` are partitioned from the others. */
   | { kind: 'cut'; below: number; atMs: number; forMs: number }
   | { kind: 'lossy'; share: number; atMs: number; forMs: number }
   | { kind: 'limit'; factor: number; atMs: number };
 
 interface Scene {
   boxes: number;
-  /** What callers ask for, as a multiple of the rate, by second. */
+  /** Units that callers ask for, as a multiple of the rate, by second. */
   demand: readonly number[];
   troubles: readonly Fault[];
-  /** How long after its start the store tells a box the list of boxes. */
+  /** Time after its start at which a box gets the list of boxes from the store. */
   storeAnswersAfterMs: number;
   seed: number;
 }
 
-/** A few pseudo-random numbers between 0 and 1, for sizes and losses. */
+/** Returns a generator of pseudo-random numbers between 0 and 1, for sizes and losses. */
 function createRandom(seed: number): () => number {
   let state = seed % 2147483647 || 1;
   return () => {
@@ -120,7 +119,7 @@
   return box;
 }
 
-/** Plays a scene; returns the admissions in the order of time, and the refused units. */
+/** Simulates a scene; returns the admissions in order of time, the refused units and the requested units. */
 function simulate(scene: Scene): {
   admitted: { atMs: number; units: number }[];
   refusedUnits: number;
@@ -163,7 +162,7 @@
       }
     }
   };
-  /** Requests by number that were asked and not answered yet; a request may wait for units of others. */
+  /** Units of the requests, by number, that are neither sent nor refused yet. A request may wait for borrowed units. */
   const open = new Map<number, number>();
   const record = (effects: readonly Effect[], nowMs: number): void => {
     for (const effect of effects) {
@@ -249,7 +248,7 @@
   return { admitted, refusedUnits, lastRefusedAtMs, askedUnits };
 }
 
-/** The most units in any window. */
+/** Returns the maximum number of units in any window. */
 function maxInWindow(admitted: readonly { atMs: number; units: number }[]): number {
   let most = 0;
   let sum = 0;
@@ -265,7 +264,7 @@
   return most;
 }
 
-/** The users' bound for a rate. */
+/** Returns the users' bound for the rate times a factor. */
 function boundOf(factor = 1): number {
   return ((RATE_PER_SECOND * WINDOW_MS) / 1000 + BURST) * factor * (1 + OVER_SHARE) + SLACK;
 }
@@ -310,7 +309,7 @@
 const sceneArbitrary: fc.Arbitrary<Scene> = fc.record({
   boxes: fc.integer({ min: 2, max: 8 }),
   demand: fc.array(fc.double({ min: 0, max: 5, noNaN: true }), { minLength: 22, maxLength: 22 }),
-  // Boxes that are silent for over ten seconds are taken for lost: cuts in a row stay below it.
+  // Boxes that are silent for over ten seconds count as lost, so consecutive partitions stay below that.
   troubles: fc
     .array(faultArbitrary, { maxLength: 2 })
     .filter((troubles) => partitionMs(troubles) < 9500),
@@ -318,7 +317,7 @@
   seed: fc.integer({ min: 1, max: 1_000_000 }),
 });
 
-test('no window holds more than the users allow, through restarts, cuts and lost news', () => {
+test('no window exceeds the limit through restarts, partitions and lost messages', () => {
   fc.assert(
     fc.property(sceneArbitrary, (scene) => {
       const most = maxInWindow(simulate(scene).admitted);
@@ -331,7 +330,7 @@
   );
 });
 
-test('a limit that is lowered binds one window later, and not before', () => {
+test('a lowered limit binds one window later, and not before', () => {
   const troubles: Fault[] = [{ kind: 'limit', factor: 0.4, atMs: 9000 }];
   const { admitted } = simulate({ ...steadyDemand(3), troubles });
   expect(maxInWindow(admitted)).to.be.at.most(boundOf());
@@ -341,17 +340,17 @@
   expect(between.length).to.be.greaterThan(10);
 });
 
-test('a workspace that asks for its rate is refused nothing', () => {
+test('a workspace that asks for its rate gets no refusal', () => {
   expect(simulate(steadyDemand(1)).refusedUnits).to.equal(0);
 });
 
-test('a workspace that asks for more gets nine tenths of what is allowed', () => {
+test('a workspace that asks for more gets nine tenths of its limit', () => {
   const { admitted } = simulate(steadyDemand(3));
   expect(maxInWindow(admitted) / boundOf()).to.be.within(0.85, 1);
 });
 
-test('a workspace that fills its limit right before all boxes are lost gets no second one', () => {
-  // Idle until 5 s, then five times its rate; all boxes are away from 7.5 to 8.5 s.
+test('a workspace that uses up its limit right before a loss of all boxes does not get it twice', () => {
+  // A fifth of the rate until 5 s, then five times the rate; all boxes are down from 7.5 to 8.5 s.
   const demand = Array.from({ length: 22 }, (_, second) => (second < 5 ? 0.2 : 5));
   const troubles: Fault[] = [{ kind: 'restartAll', atMs: 7500, forMs: 1000 }];
   for (const boxes of [3, 7, 12]) {
@@ -360,7 +359,7 @@
   }
 });
 
-test('a loss of all boxes but one gives a workspace no second limit', () => {
+test('a loss of all boxes but one does not renew a limit', () => {
   const demand = Array<number>(22).fill(5);
   for (const boxes of [4, 7, 12]) {
     const troubles = Array.from({ length: boxes - 1 }, (_, index): Fault => {
@@ -371,7 +370,7 @@
   }
 });
 
-test('two losses of all boxes in a row give a workspace no second limit', () => {
+test('two losses of all boxes in a row do not renew a limit', () => {
   const demand = Array<number>(22).fill(5);
   const troubles: Fault[] = [
     { kind: 'restartAll', atMs: 9000, forMs: 800 },
@@ -383,9 +382,9 @@
   }
 });
 
-// What the boxes sent before they were lost is known to nobody, and may have been all
-// that a moment allows: their next lives begin with the flow alone.
-test('after a loss of all boxes a workspace within its limit goes on with the flow, and soon whole', () => {
+// It is unknown what the boxes sent before they were lost. It may have been the whole burst, so their
+// next incarnations start with the steady flow alone.
+test('after a loss of all boxes a workspace within its limit is soon served without refusals', () => {
   const troubles: Fault[] = [{ kind: 'restartAll', atMs: 10_000, forMs: 1000 }];
   const { refusedUnits, lastRefusedAtMs, askedUnits } = simulate({
     ...steadyDemand(0.55),
@@ -395,7 +394,7 @@
   expect(lastRefusedAtMs).to.be.lessThan(14_000);
 });
 
-test('a restart of one box refuses a workspace within its limit nothing', () => {
+test('a restart of one box causes no refusal of a workspace within its limit', () => {
   const troubles: Fault[] = [{ kind: 'restart', box: 3, atMs: 10_000 }];
   expect(simulate({ ...steadyDemand(0.55), troubles }).refusedUnits).to.equal(0);
 });
--- a/packages/reedlug-gateway/src/slices/__tests__/quotas.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/quotas.test.ts
@@ -11,13 +11,12 @@
 } from '../../__tests__/__fixtures__/box.js';
 import type { GatewaySettings } from '../../types/settings.js';
 
-/** What users allow that is used. */
+/** Share of the users' limit that is used. */
 const USED_SHARE = 0.98;
 
 /**
- * Sends requests of so many prompt tokens at once to the only box of a fleet; returns
- * how many were admitted. In a window of 8 s, the workspace may get 90,000 tokens, half of
- * them at one moment.
+ * Sends requests of the given prompt tokens at once to the only box of a fleet; returns which were
+ * admitted. In a window of 8 s the workspace may use 90,000 tokens, half of them at one moment.
  */
 function admitted(
   tokens: readonly number[],
@@ -34,11 +33,11 @@
   return ofType(box.take(event), 'send').length === 1;
 }
 
-test('requests within the burst of the window are admitted at one moment', () => {
+test('requests within the burst of the window are admitted at once', () => {
   expect(admitted([20_000, 20_000, 4000])).to.deep.equal([true, true, true]);
 });
 
-test('the whole window is admitted over its length, and no more', () => {
+test('over the length of a window its whole limit is admitted, and no more', () => {
   const box = createServingBox(settings({ limitOverShare: 0 }));
   let units = 0;
   for (let second = 0; second < 8; second += 1) {
@@ -50,7 +49,7 @@
   expect(units).to.be.within(80_000, 90_000 * USED_SHARE);
 });
 
-test('a request larger than what is left is refused and leaves small ones their place', () => {
+test('a request larger than the spare units is refused and does not block smaller ones', () => {
   expect(admitted([40_000, 5000, 4000])).to.deep.equal([true, false, true]);
 });
 
@@ -61,7 +60,7 @@
   expect(admitted([40_000, 9000], { limitOverShare: 0.1 })).to.deep.equal([true, false]);
 });
 
-test('a refused request is told when it fits, and those refused together are spread', () => {
+test('a refused request gets the time at which it fits, spread among those refused together', () => {
   const box = createServingBox(settings({ limitOverShare: 0 }));
   box.pass(10_000);
   expect(ask(box, 1, 44_000)).to.equal(true);
@@ -76,12 +75,12 @@
     expect(refusal?.status).to.equal(429);
     return refusal?.retryAfterMs ?? 0;
   });
-  // 5,378 a second flow besides the burst of 44,100.
+  // 5,378 units a second flow in addition to the burst of 44,100.
   for (const ms of times) expect(ms).to.be.within(1800, 2100 * 1.25);
   expect(new Set(times).size).to.be.greaterThan(2);
 });
 
-test('a box that starts again has sent its burst as far as it knows, and goes on with the flow', () => {
+test('a restarted box counts its burst as sent and starts with the flow', () => {
   const box = createServingBox(settings({ limitOverShare: 0 }));
   box.state.part.opening = undefined;
   listBoxesAgain(box);
@@ -93,13 +92,13 @@
   expect(ask(box, 4, 30_000)).to.equal(true);
 });
 
-test('a box without a part sends nothing of a limit', () => {
+test('a box without a share sends no units of a limit', () => {
   const box = createServingBox();
   box.state.part.opening = undefined;
   expect(ask(box, 1, 100)).to.equal(false);
 });
 
-test('a send that may have run is charged again, one that did not is not', () => {
+test('a further send is charged again only if the earlier one may have run', () => {
   const box = createServingBox(settings({ limitOverShare: 0 }));
   const request = facts({
     requestId: 'r1',
@@ -117,7 +116,7 @@
   expect(spent()).to.equal(40_000);
 });
 
-test('a send that was not reached in time is charged once, at its later moment', () => {
+test('a send whose server was not reached in time is charged once, at the time of the later send', () => {
   const box = createServingBox(settings({ limitOverShare: 0 }));
   const ask = { path: '/draft/1', promptTokens: 20_000, maxOutputTokens: 0, deadlineMs: 8000 };
   const request = facts({ requestId: 'r1', ...ask });
@@ -133,7 +132,7 @@
   ).to.deep.equal([400]);
 });
 
-test('a further send that the limit does not hold ends the request', () => {
+test('a further send beyond the limit ends the request', () => {
   const box = createServingBox(settings({ limitOverShare: 0 }));
   const request = facts({
     requestId: 'r1',
@@ -148,7 +147,7 @@
   expect(only(lost, 'refuse').status).to.equal(502);
 });
 
-test('a failure of a server goes to the caller where the limit holds no other run', () => {
+test('a server failure goes to the caller if the limit allows no further send', () => {
   const box = createServingBox(settings({ limitOverShare: 0 }));
   const ask = { path: '/draft/1', promptTokens: 30_000, maxOutputTokens: 0, deadlineMs: 8000 };
   const request = facts({ requestId: 'r1', ...ask });
@@ -160,7 +159,7 @@
   expect(ofType(failed, 'refuse')).to.have.length(0);
 });
 
-test('a limit of nothing is none', () => {
+test('a limit of zero is no limit', () => {
   const box = createServingBox();
   const workspaces = configuration().workspaces.map((known) => ({
     ...known,
--- a/packages/reedlug-gateway/src/slices/__tests__/retryBudgets.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/retryBudgets.test.ts
@@ -1,9 +1,9 @@
 /**
- * Losses of all boxes do not renew the retry budget.
+ * Guards against a retry budget that is renewed by losses of all boxes.
  *
- * The bound is over all boxes and any window, whoever lives when. A box's next life began
- * with half of its part whatever the earlier one had used, so that after two losses within
- * a window, with servers failing, eight boxes made 72 further sends where 50 are allowed.
+ * The bound covers all boxes and any window. If each restarted box starts with half of its share, whatever
+ * its earlier incarnation used, then after two losses within a window, with servers failing, eight boxes
+ * make 72 further sends where 50 are allowed.
  */
 import { expect } from 'chai';
 import { createFleet } from '../../__tests__/__fixtures__/fleet.js';
@@ -12,14 +12,14 @@
 
 const BOXES = 8;
 
-test('two losses of all boxes within a window leave the retry budget whole', () => {
+test('two losses of all boxes within a window do not exceed the retry budget', () => {
   const fleet = createFleet({ boxes: BOXES, zones: ['zone-a', 'zone-b'] });
   let taken = 0;
   const takeAll = (): void => {
     for (const { state } of fleet.boxes.values()) while (takeRepeat(state, 'engines')) taken += 1;
   };
   fleet.pass(500);
-  // Requests of long ago have filled the budgets; in the window there are next to none.
+  // Requests before the window have filled the budgets; within it there are almost none.
   for (const { state } of fleet.boxes.values()) {
     for (let sent = 0; sent < 100; sent += 1) countFirstSend(state, 'engines');
   }
--- a/packages/reedlug-gateway/src/slices/__tests__/usage.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/usage.test.ts
@@ -10,7 +10,7 @@
 import type { UsageDecisionGossip } from '../../types/peer.js';
 import { callsOf, passAsHolder, takeLease } from '../../__tests__/__fixtures__/lease.js';
 
-/** Time in which all boxes hear of a decision, and a tick, in ms. */
+/** Time in which a decision is announced before its report, and one tick, in ms. */
 const ANNOUNCED_BEFORE_REPORT_MS = 1050;
 
 /** Serves one request of workspace tiger. */
@@ -21,7 +21,7 @@
   box.take({ type: 'attemptAnswered', exchangeId, attemptId, verdict: 'success', status: 200 });
 }
 
-/** A holder with an agreed clock that stands at the start of a window. */
+/** Creates a lease holder with an agreed clock at the start of a window. */
 function createHolder(): TestBox {
   const box = createServingBox();
   box.take({ type: 'peerMessage', message: peerMessage({ clockOffsetMs: 0 }) });
@@ -31,14 +31,14 @@
   return box;
 }
 
-/** The rows of usage that a span of time asks for. */
+/** Returns the requests for usage rows made while time passes. */
 function usageRows(box: TestBox, ms: number) {
   return ofType(passAsHolder(box, ms), 'requestTable').filter(
     ({ purpose }) => purpose.kind === 'usage',
   );
 }
 
-test('a window is entered once with the counts of all boxes', () => {
+test('a window is written once with the counts of all boxes', () => {
   const box = createHolder();
   serve(box, 1);
   serve(box, 2);
@@ -52,7 +52,7 @@
   expect(row.op.writes[0]?.expectVersion).to.equal(0);
 });
 
-test('what another holder entered is what is reported', () => {
+test('the row that another holder wrote is what is reported', () => {
   const box = createHolder();
   serve(box, 1);
   const [row] = usageRows(box, 7000);
@@ -86,7 +86,7 @@
   expect(callsOf(passAsHolder(box, 800), 'reportUsage')).to.have.length(0);
 });
 
-test('a step of this box`s wall clock does not move a request to another window', () => {
+test('a jump of a box`s wall clock does not move a request to another window', () => {
   const box = createHolder();
   const window = Math.floor(box.nowMs / 5000);
   box.wallOffsetMs += 2_400_000;
@@ -108,7 +108,7 @@
   expect(usage).to.have.length(0);
 });
 
-test('a new holder enters no window before it knows what the holder before counted', () => {
+test('a new holder writes no window before it knows the counts of the previous holder', () => {
   const box = createServingBox();
   box.take({ type: 'peerMessage', message: peerMessage({ clockOffsetMs: 0 }) });
   box.take({ type: 'storeClock', storeNowMs: 0 });
@@ -118,7 +118,7 @@
   const isUsage = ({ purpose }: { purpose: { kind: string } }): boolean => purpose.kind === 'usage';
   const asked = Array.from({ length: 200 }, () => box.pass(50)).flat();
   expect(ofType(asked, 'requestTable').filter(isUsage)).to.have.length(0);
-  // The lease has lapsed without answers; it is taken again, and then the checkpoint is in conflict.
+  // The lease has lapsed without answers. It is acquired again, and then the checkpoint conflicts.
   takeLease(box);
   const write = ofType(box.pass(600), 'requestTable').find(
     ({ purpose }) => purpose.kind === 'checkpoint',
@@ -137,7 +137,7 @@
   expect(entered.op.writes[0]?.value).to.deep.equal({ tiger: 41 });
 });
 
-/** Enters the window that comes due next with the row as it is asked for; returns it. */
+/** Answers the row of the next due window as written; returns the window and its counts. */
 function decideWindow(box: TestBox): { window: number; counts: unknown } {
   const [row] = usageRows(box, 7000);
   if (row?.op.kind !== 'transact' || row.purpose.kind !== 'usage') throw new Error('no row');
@@ -147,7 +147,7 @@
   return { window: purpose.window, counts: rows[0]?.value };
 }
 
-/** Decisions that peers are told while time passes, and when the first report is sent. */
+/** Returns the decisions announced to peers while time passes, and whether any came before the first report. */
 function watchDecisions(box: TestBox, ms: number) {
   const announced: UsageDecisionGossip[] = [];
   let announcedFirst: boolean | undefined;
@@ -161,7 +161,7 @@
   return { announced, announcedFirst };
 }
 
-test('peers hear what is to be reported several times before it is reported', () => {
+test('a decision is announced to peers several times before it is reported', () => {
   const box = createHolder();
   serve(box, 1);
   const { window, counts } = decideWindow(box);
@@ -172,7 +172,7 @@
   expect(announced[0]).to.deep.equal({ window, counts, isReported: false });
 });
 
-test('a holder reports what a peer knew, and no sum of its own', () => {
+test('a holder reports the decision that a peer knows, not its own sum', () => {
   const box = createHolder();
   serve(box, 1);
   const window = Math.floor(box.nowMs / 5000);
@@ -185,7 +185,7 @@
   expect(entered).to.deep.equal([]);
 });
 
-test('a window is not reported at all where two decisions of it are known', () => {
+test('a window with two different decisions is not reported at all', () => {
   const box = createHolder();
   const window = Math.floor(box.nowMs / 5000);
   [41, 40].forEach((count, index) => {
@@ -195,7 +195,7 @@
   expect(callsOf(passAsHolder(box, 8000), 'reportUsage')).to.deep.equal([]);
 });
 
-test('a window due before the store came back is entered only by who held the lease since', () => {
+test('a window due before a restore of the store is written only by a box that has held the lease since', () => {
   for (const heldAllTheTime of [true, false]) {
     const box = createHolder();
     box.take({ type: 'storeEra', era: 1 });
@@ -210,7 +210,7 @@
   }
 });
 
-test('a holder that starts later knows from the checkpoint since when no row was lost', () => {
+test('a holder that starts later learns from the checkpoint since when no row was lost', () => {
   const box = createServingBox();
   box.take({ type: 'peerMessage', message: peerMessage({ clockOffsetMs: 0 }) });
   box.take({ type: 'storeClock', storeNowMs: 0 });
--- a/packages/reedlug-gateway/src/slices/limitShare.ts
+++ b/packages/reedlug-gateway/src/slices/limitShare.ts
@@ -1,10 +1,10 @@
 /**
- * This box's part of all limits: one over the number of boxes that the store lists.
+ * This box's share of all limits: one divided by the number of boxes that the store lists.
  *
- * Parts may never sum to more than the whole, also while boxes join, are cut off or
- * start anew. So a box that joins holds no part until all that are listed have read a
- * list with it, and have sent with the smaller part for a window. Once it holds one, its
- * entry in the list says so, and its next lives hold it from their start, whoever is away.
+ * Shares must never sum to more than the whole, even while boxes join, restart or are partitioned from
+ * the network. So a joining box holds no share until all listed boxes have read a list that contains it
+ * and have kept to their smaller share for a window. Once it holds a share, its entry in the list says
+ * so, and its later incarnations hold the share from their start, whichever other boxes are unreachable.
  */
 import { describeRevision } from 'reedlug-coordination';
 import type { LimitShare, LimitShareGossip } from '../types/limitShare.js';
@@ -15,18 +15,21 @@
 import { mayShowCopy } from './storeEra.js';
 import { countedPeers, countsFreshly, knownGroups, ownAddress, usesHubs } from './fleet.js';
 
-/** Time from its start before a box that joins looks whether all know it, in ms: boxes that start together are all listed by then. */
+/** Time after its start before a joining box checks whether all boxes know it, in ms. Boxes that start together are all listed by then. */
 const JOIN_AFTER_MS = 3000;
-/** Pause before the store is asked again to enter that this box holds its part, in ms: as long as a poll of the list is held. Each write wakes all boxes, and nothing waits for it. */
+/**
+ * Delay before the registration of this box's share in the list is retried, in ms; as long as a poll of
+ * the list is held. Each write wakes all boxes, and nothing waits for it.
+ */
 const REGISTRATION_RETRY_MS = 30_000;
-/** Silence of a listed box after which it is taken off the list, in ms: its part is lost to all others until then. */
+/** Silence of a listed box after which it is removed from the list, in ms. Until then no other box can use its share. */
 const UNLISTED_AFTER_MS = 600_000;
-/** Pause between looks for boxes that are gone, in ms. */
+/** Interval between checks for boxes that are gone, in ms. */
 const GONE_CHECK_INTERVAL_MS = 60_000;
-/** Time without the store after which a box that does not hear all others gives its part up, in ms: it may be off the list soon. */
+/** Time without the store after which a box that does not reach all others drops its share, in ms. It may soon be removed from the list. */
 const SHARE_LAPSES_MS = 300_000;
 
-/** Takes the store's list of boxes, after the peers have been taken from it. */
+/** Applies the store's list of boxes to this box's share, after the peers have been updated from it. */
 export function recordBoxesListed(
   state: GatewayState,
   step: Step,
@@ -38,7 +41,7 @@
   const own = changes.find(({ boxId }) => boxId === state.settings.box.id);
   if (own !== undefined || whole === true) {
     part.isRegistered = own?.holdsPart === true;
-    // A copy that lacks a box takes no part from it: all others divide by it as before.
+    // A box that a restored backup lacks keeps its share, since all others still divide by it.
     const isKept =
       own === undefined && part.opening !== undefined && mayShowCopy(state, step.nowMs);
     if (!isKept) part.ownRevision = own?.address === undefined ? undefined : own.revision;
@@ -65,7 +68,7 @@
   const { part } = state;
   part.opening = opening;
   for (const quota of state.quotas.values()) quota.isPriorUseCharged = false;
-  // An earlier life may have divided among fewer boxes until it ended.
+  // An earlier incarnation may have divided by fewer boxes until it ended.
   if (opening.kind === 'earlierLife') part.dividedSinceMs = step.nowMs;
   log(step, 'partHeld', {
     opening: opening.kind,
@@ -80,7 +83,7 @@
   log(step, 'partDropped', { reason });
 }
 
-/** Joins once all others know this box, and keeps the list true. */
+/** Acquires a share once all others know this box, drops it if the box may have been removed from the list, and keeps the list up to date. */
 export function limitShareTick(state: GatewayState, step: Step): void {
   unlistGoneBoxes(state, step);
   if (state.part.opening === undefined) tryAcquireShare(state, step);
@@ -97,7 +100,7 @@
   acquireShare(state, step, { kind: 'joined', atMs: step.nowMs - dividedForMs });
 }
 
-/** What listed boxes that are heard now tell of their parts, summed up. */
+/** Returns the sum of what the listed boxes that are reachable now report of their shares. */
 function otherShares(state: GatewayState, nowMs: number): LimitShareGossip {
   const isMember = state.hubId !== undefined;
   const reachable = countedPeers(state, nowMs).filter(
@@ -114,7 +117,7 @@
   step.effects.push({ type: 'enterBox', boxId: address.boxId, address, holdsPart: true });
 }
 
-/** Whether whoever keeps the list may take this box for gone: it has not had the store for long, and some box does not hear it. */
+/** Returns whether this box may be considered gone and removed from the list: it has long been without the store and does not reach all boxes. */
 function mayBeUnlisted(state: GatewayState, nowMs: number): boolean {
   const contactAtMs = Math.max(
     state.storeContactAtMs ?? state.startedAtMs,
@@ -124,7 +127,7 @@
   return otherShares(state, nowMs).boxes < state.part.divisor - 1;
 }
 
-/** Takes boxes off the list that were silent for long to the one box that hears them in any case. */
+/** Removes boxes from the list that have long been silent towards this box, if it is the one that receives their gossip. */
 function unlistGoneBoxes(state: GatewayState, step: Step): void {
   const { part } = state;
   if (step.nowMs - part.goneBoxesCheckedAtMs < GONE_CHECK_INTERVAL_MS) return;
@@ -137,14 +140,18 @@
   }
 }
 
-/** Boxes that tell this one their news: all tell the holder of the lease, in a large fleet those of a group tell its hub. */
+/**
+ * Returns the boxes that send this one their gossip. All boxes send it to the holder of the lease (the box
+ * that acts for the fleet); in a large fleet those of a group send it to their hub (the box that forwards
+ * it).
+ */
 function monitoredBoxes(state: GatewayState, nowMs: number): string[] {
   if (!usesHubs(state)) return dutyFence(state, nowMs) === undefined ? [] : [...state.peers.keys()];
   if (state.hubId !== undefined) return [];
   return knownGroups(state).own.map(({ boxId }) => boxId);
 }
 
-/** What this box tells of its own part. */
+/** Returns what this box reports of its own share. */
 export function ownShareGossip({ part }: GatewayState, nowMs: number): LimitShareGossip {
   const { dividedSinceMs } = part;
   return {
@@ -157,7 +164,7 @@
   };
 }
 
-/** Sums the parts of several messages up. */
+/** Sums up the shares reported in several messages. */
 export function sumShares(messages: readonly PeerMessage[]): LimitShareGossip {
   const shares = messages.map(shareOf);
   const ages = shares.map(({ dividedForMs }) => dividedForMs).filter((ms) => ms !== undefined);
@@ -168,7 +175,7 @@
   };
 }
 
-/** A box of an earlier version tells nothing and holds up nobody. */
+/** Returns the share in a message. Older boxes report none and must not delay a joining box. */
 function shareOf({ part, boxes }: PeerMessage): LimitShareGossip {
   return part ?? { boxes, listRevision: Number.MAX_SAFE_INTEGER, dividedForMs: 0 };
 }
--- a/packages/reedlug-gateway/src/slices/limitWindow.ts
+++ b/packages/reedlug-gateway/src/slices/limitWindow.ts
@@ -1,29 +1,29 @@
-/** The users' window of limits, and what a workspace may send in it over all boxes. */
+/** The sliding window of limits that the users define, and what a workspace may send in it over all boxes. */
 import type { GatewayState } from '../state.js';
 import type { LimitInForce, QuotaView } from '../types/views.js';
 
-/** Kept beyond the users' window, in ms: a request arrives at its server a little after it was charged. */
+/** Margin added to the users' window, in ms. A request arrives at its server shortly after it was charged. */
 const WINDOW_MARGIN_MS = 200;
-/** Part of what the users allow that is used: the rest is for sends that a slow way brings together. */
+/** Share of the allowed units that is used. The remainder covers sends that network delays bring closer together. */
 const USED_SHARE = 0.98;
 
-/** Length of the windows in which boxes charge their parts, in ms. */
+/** Returns the length of the windows in which boxes charge their shares, in ms. */
 export function chargeWindowMs(state: GatewayState): number {
   return state.settings.bounds.limitWindowMs + WINDOW_MARGIN_MS;
 }
 
-/** What spans of a window that ends now may hold over all boxes, if they begin at a time or later. */
+/** Units that spans of a window ending now may hold over all boxes, if they begin at `sinceMs` or later. */
 export interface WindowAllowance {
   units: number;
   sinceMs: number;
 }
 
 /**
- * The bounds of a window that ends now: one for the whole of it, and one from each change
- * of the limit on. A limit that changed within it counts for its part of the window, so
- * that boxes that learn of it one after another stay between the two. What is sent after a
- * limit was lowered must fit the lower one by itself: as a part of the window alone, more
- * than that would go through in the window after it.
+ * Returns the bounds of a window that ends now: one for the whole window, and one from each change of the
+ * limit on. A limit that changed within the window counts for its fraction of it, so that boxes that
+ * learn of the change at different times stay between the two limits. What is sent after a limit was
+ * lowered must also fit the lower limit by itself. With the bound of the whole window alone, the next
+ * window would hold more than the lower limit.
  */
 export function windowBounds(
   state: GatewayState,
@@ -38,7 +38,7 @@
   });
 }
 
-/** Units of a window under limits one after another, the first from the window's begin on. */
+/** Returns the units allowed in a window under successive limits, of which the first holds from the start of the window. */
 function unitsAllowed(state: GatewayState, limits: readonly LimitInForce[], nowMs: number): number {
   const { limitWindowMs, limitOverShare, limitSlackUnits } = state.settings.bounds;
   const windowStartMs = nowMs - limitWindowMs;
--- a/packages/reedlug-gateway/src/slices/quotas.ts
+++ b/packages/reedlug-gateway/src/slices/quotas.ts
@@ -1,10 +1,11 @@
 /**
- * Limits of workspaces over all boxes together, by parts that sum to the limit.
+ * Limits of workspaces over all boxes together, divided into shares that sum to the limit.
  *
- * Each box charges what it sends to its own part of the window and sends nothing beyond
- * it, so all boxes together stay within the limit whoever is cut off, lost or late to
- * hear. An account of what all others admitted can't do that: what it lacks is room at
- * every box at once. A box whose part is used borrows from others ([unitLoans](./unitLoans.ts)).
+ * Each box charges what it sends to its own share of a sliding window and sends nothing beyond it, so
+ * all boxes together stay within the limit even if some are partitioned, lost or late to receive
+ * gossip. Counting what all others admitted cannot guarantee that: units missing from the count would
+ * appear as spare capacity at every box at once. A box whose share is used up borrows units from others
+ * ([unitLoans](./unitLoans.ts)).
  */
 import { LimitUnit, type WorkspaceSpec } from '../types/configuration.js';
 import type { RequestFacts, RequestRecord } from '../types/request.js';
@@ -22,26 +23,26 @@
 import type { QuotaView } from '../types/views.js';
 import { chargeWindowMs, windowBounds } from './limitWindow.js';
 
-/** Time for which lent units may be sent, in ms: twice the longest wait for them. A next life sends nothing of a limit for as long. */
+/** Time for which lent units may be spent, in ms; twice the longest wait for them. After a restart a box spends no units for the same time. */
 export const LOAN_MS = 300;
-/** Time after a send that did not run in which another send of the request is not charged again, in ms: half of the margin that the window has. */
+/** Time after a charge within which a further send of a request that has not run is not charged again, in ms; half of the window's margin. */
 const CHARGE_VALID_MS = 100;
-/** Differences of units below this are rounding. */
+/** Differences of units up to this size are treated as rounding errors. */
 const ROUNDING_TOLERANCE_UNITS = 1e-6;
 
-/** What a request counts against its workspace's limit. */
+/** Returns the units that a request counts against the limit of its workspace. */
 export function unitsOf(workspace: WorkspaceSpec, facts: RequestFacts): number {
   if (workspace.unit === LimitUnit.requests) return 1;
   if (facts.promptTokens === undefined) return workspace.plainTokens;
   return facts.promptTokens + (facts.maxOutputTokens ?? 0);
 }
 
-/** A workspace of the configuration in force. */
+/** Returns a workspace of the configuration in force; undefined if it has none of that name. */
 export function findWorkspace(state: GatewayState, name: string): WorkspaceSpec | undefined {
   return state.active?.configuration.workspaces.find((workspace) => workspace.name === name);
 }
 
-/** Charges a send, lent units first; false when there are too few, and then nothing is charged. */
+/** Charges a send, to borrowed units first. Returns false and charges nothing if there are too few units. */
 export function chargeSend(
   state: GatewayState,
   record: RequestRecord,
@@ -58,7 +59,7 @@
   return true;
 }
 
-/** Takes units, lent ones first; returns how many its part was charged, undefined when there are too few. */
+/** Consumes units, borrowed ones first. Returns how many were charged to the share of this box; undefined if there are too few. */
 function consumeUnits(
   state: GatewayState,
   quota: QuotaView,
@@ -84,13 +85,16 @@
   quota.loans = quota.loans.filter((loan) => loan.units > 0);
 }
 
-/** Units lent to this box that it may still send. */
+/** Returns the units lent to this box that it may still spend, and drops expired loans. */
 export function borrowedUnits(quota: QuotaView, nowMs: number): number {
   quota.loans = quota.loans.filter(({ untilMs }) => untilMs >= nowMs);
   return quota.loans.reduce((sum, { units }) => sum + units, 0);
 }
 
-/** Whether another send of a request may go: it is charged anew, unless those before did not run and the last has just been. */
+/**
+ * Charges a further send of a request and returns whether it may be made. It needs no new charge if no
+ * earlier send may have run and the last charge is recent.
+ */
 export function chargeFurtherSend(
   state: GatewayState,
   record: RequestRecord,
@@ -107,8 +111,8 @@
 }
 
 /**
- * Takes back the charge of a send that did not run: a request whose first server was not
- * reached would count twice, at callers of a zone that is cut off above all.
+ * Refunds the charge of a send that did not run. Without it a request whose first server could not be
+ * reached would count twice, which mostly affects callers of a partitioned zone.
  */
 function refundCharge(
   state: GatewayState,
@@ -123,12 +127,12 @@
   record.chargedToShare = 0;
 }
 
-/** Units that this box could send or lend of its own part now. */
+/** Returns the units of its own share that this box could spend or lend now. */
 export function spareUnits(state: GatewayState, workspace: WorkspaceSpec, nowMs: number): number {
   return Math.max(0, spareUnitsOfShare(state, quotaOf(state, workspace, nowMs), nowMs));
 }
 
-/** Charges units that another box may send until the loan ends; returns how many there were. */
+/** Charges up to the given number of units that another box may spend until the loan ends; returns how many were lent. */
 export function lendUnits(
   state: GatewayState,
   workspace: WorkspaceSpec,
@@ -140,7 +144,10 @@
   return lent;
 }
 
-/** When this box's part is expected to hold so many units, in ms; more than its burst never fit and come from others. */
+/**
+ * Returns the time until this box's share is expected to hold so many units, in ms. Units beyond its burst
+ * never fit into the share and have to be borrowed, so only the burst is waited for.
+ */
 export function timeUntilUnits(
   state: GatewayState,
   workspace: WorkspaceSpec,
@@ -154,7 +161,7 @@
   return timeToRoom(quota.charged, bounds, { units: Math.min(units, burst), nowMs });
 }
 
-/** Units of a workspace that were charged to this box's part of the window, and the part. */
+/** Returns the units of a workspace charged to this box's share of the window, and the size of the share. */
 export function limitUse(
   state: GatewayState,
   workspace: WorkspaceSpec,
@@ -174,7 +181,7 @@
   return spareByBound.length === 0 ? 0 : Math.min(...spareByBound);
 }
 
-/** This box's part of a limit, all of its bounds; none while it holds no part. */
+/** Returns all bounds of this box's share of a limit; none while it holds no share. */
 function shareBounds(state: GatewayState, quota: QuotaView, nowMs: number): WindowBound[] {
   if (state.part.opening === undefined) return [];
   chargePriorUse(state, quota, nowMs);
@@ -184,7 +191,10 @@
   );
 }
 
-/** Charges what may have been sent before this box held its part: unknown, so the most that it allows. */
+/**
+ * Charges, once, what may have been sent of this box's share before it held it. The amount is unknown, so
+ * the maximum that the share allows is charged.
+ */
 function chargePriorUse(state: GatewayState, quota: QuotaView, nowMs: number): void {
   const { opening, divisor } = state.part;
   if (quota.isPriorUseCharged || opening === undefined) return;
@@ -204,13 +214,16 @@
   return limitPart({ units, lengthMs: chargeWindowMs(state), sinceMs: 0 }).burst;
 }
 
-/** What an earlier life lent may have been sent until its loans ended. */
+/**
+ * Charges units that may have been sent up to a time. They count from LOAN_MS later, since units lent until
+ * that time may have been spent until then.
+ */
 function chargePriorUnits(quota: QuotaView, units: number, atMs: number, nowMs: number): void {
   const countsFromMs = atMs + LOAN_MS;
   if (nowMs - countsFromMs < quota.charged.lengthMs) addUnits(quota.charged, units, countsFromMs);
 }
 
-/** A box's account of a workspace's limit. */
+/** Returns this box's account of a workspace's limit, with the configured limit appended if it has changed. */
 export function quotaOf(state: GatewayState, workspace: WorkspaceSpec, nowMs: number): QuotaView {
   const known = state.quotas.get(workspace.name) ?? createQuota(state, workspace, nowMs);
   const inForce = known.limits.at(-1);
--- a/packages/reedlug-gateway/src/slices/retryBudgets.ts
+++ b/packages/reedlug-gateway/src/slices/retryBudgets.ts
@@ -1,32 +1,32 @@
 /**
  * Retry budgets by service.
  *
- * The users bound repeated sends over all boxes together. Each box keeps to an
- * even part of the fixed number and to the ratio of its own requests, so the
- * sum holds in any cut and needs no messages.
+ * The users bound repeated sends over all boxes together, by a fixed number plus a ratio of the requests.
+ * Each box keeps to an equal share of the fixed number and to the ratio of its own requests, so the sum
+ * stays within the bound in any network partition and needs no messages.
  */
 import { createRetryBudget, noteFirstTry, takeRetry, type RetryBudget } from 'reedlug-coordination';
 import type { GatewayState } from '../state.js';
 import { fleetSize } from './fleet.js';
 
-/** Part of the users' ratio that is used: windows slide, and lost answers hide some sends. */
+/** Share of the users' ratio that is used. The margin covers sliding windows and sends hidden by lost answers. */
 const USED_RATIO_SHARE = 0.75;
-/** Part of the fixed number that is used: a server that goes ends a dozen streams of a box at once. */
+/** Share of the fixed number that is used. A lost server ends a dozen streams of a box at once. */
 const USED_SLACK_SHARE = 0.8;
-/** Part of its share that a box begins with that joins: others have had the whole until it came. */
+/** Fraction of its share that a joining box starts with. The other boxes have had the whole number until then. */
 const JOINING_SHARE = 0.5;
 /**
- * Part of its share that a next life of a box begins with: the life before may have used
- * all of it in the same window, and two losses of all boxes in a row must stay within the whole.
+ * Fraction of its share that a box starts with after a restart. Its earlier incarnation may have used the
+ * whole share in the same window, and two losses of all boxes in a row must stay within the bound.
  */
 const RESTART_SHARE = 0.1;
 
-/** Counts a request's first send. */
+/** Counts the first send of a request, which earns a fraction of a retry. */
 export function countFirstSend(state: GatewayState, service: string): void {
   noteFirstTry(budgetOf(state, service));
 }
 
-/** Takes one repeated send from the budget; false when none is left. */
+/** Consumes one repeated send from the budget; returns false if none is left. */
 export function takeRepeat(state: GatewayState, service: string): boolean {
   return takeRetry(budgetOf(state, service));
 }
--- a/packages/reedlug-gateway/src/slices/unitLoans.ts
+++ b/packages/reedlug-gateway/src/slices/unitLoans.ts
@@ -1,10 +1,10 @@
 /**
  * Units of a limit that boxes lend each other.
  *
- * A box whose part does not hold a request asks those that told it of room. The lender
- * charges its own part before it answers, so a datagram that is lost, late or answered to
- * a life that is gone only makes the limit smaller. The time of a loan begins with the
- * question, which is before the lender charged it, on the clock of the box that sends.
+ * A box whose share has too few units for a request asks boxes that announced spare units. The lender
+ * charges its own share before it answers, so a datagram that is lost, late or sent to an earlier
+ * incarnation only makes the limit smaller. The time of a loan starts with the request for it, on the
+ * clock of the borrower, which is before the lender charges it.
  */
 import type { EventOf } from '../types/event.js';
 import { GossipScope, type UnitsAskedMessage, type UnitsReturnedMessage } from '../types/peer.js';
@@ -14,12 +14,12 @@
 import { countedPeers, countsFreshly, handsOn, ownAddress, type HeardPeer } from './fleet.js';
 import { findWorkspace, lendUnits, LOAN_MS, quotaOf, spareUnits } from './quotas.js';
 
-/** Boxes asked for the units of one request at most: a large request over small parts takes dozens. */
+/** Maximum number of boxes asked for the units of one request. A large request needs dozens of small shares. */
 const MAX_LENDERS = 48;
-/** Hubs that hand one question on: the asker's own, and those of other groups. */
+/** Maximum number of hubs that forward a request for units: the hub of the borrower's own group and one of another group. */
 const MAX_HOPS = 2;
 
-/** Asks others for units; false when they did not tell of that many. */
+/** Requests units from other boxes. Returns false and asks none if they have not announced enough. */
 export function requestUnits(
   state: GatewayState,
   step: Step,
@@ -41,11 +41,11 @@
 
 interface Lender {
   peer: HeardPeer;
-  /** Units that it told of, less those asked of it since. */
+  /** Units that it announced, less those requested from it since. */
   room: number;
 }
 
-/** Boxes heard that told of room, the most first. */
+/** Returns the reachable boxes that announced spare units, those with the most units first. */
 function lendersOf(state: GatewayState, workspace: string, nowMs: number): Lender[] {
   const lenders: Lender[] = [];
   for (const peer of countedPeers(state, nowMs)) {
@@ -68,7 +68,7 @@
   }
 }
 
-/** Lends what is asked for; a hub has the rest asked of its members and of other hubs. */
+/** Lends the units asked for, as far as there are spare ones. A hub forwards the remainder to its members and to other hubs. */
 export function onUnitsAsked(
   state: GatewayState,
   step: Step,
@@ -100,7 +100,7 @@
   requestFromEach(step, lenders, message);
 }
 
-/** Takes lent units; returns the workspace that has them, undefined when they came too late. */
+/** Accepts lent units. Returns the workspace that they belong to; undefined if they came too late or for an earlier incarnation. */
 export function acceptLoan(
   state: GatewayState,
   step: Step,
@@ -117,7 +117,7 @@
   return workspace;
 }
 
-/** Forgets questions whose loans would have ended, and loans that nobody gives back any more. */
+/** Deletes requests for units whose loans would have expired, and records of lent units that can no longer be returned. */
 export function pruneLoans(state: GatewayState, nowMs: number): void {
   for (const [askId, { sentAtMs }] of state.unitRequests) {
     if (nowMs - sentAtMs > LOAN_MS) state.unitRequests.delete(askId);
@@ -127,7 +127,10 @@
   }
 }
 
-/** One loan of a question can come back; of a second one, by way of another hub, nothing does. */
+/**
+ * Records a loan so that it can be returned. Only the first loan for a request is recorded; one made when the
+ * request arrives again through another hub cannot be returned.
+ */
 function recordLent(
   state: GatewayState,
   step: Step,
@@ -149,9 +152,9 @@
 }
 
 /**
- * Gives back what a workspace's requests no longer wait for. Without it, many of the units
- * that the boxes of a large fleet lend each other are never sent, and a workspace over its
- * limit gets far less than it.
+ * Returns borrowed units that no request of a workspace waits for. Otherwise many of the units that the
+ * boxes of a large fleet lend each other would never be spent, and a workspace that asks for more than
+ * its limit would get far less than the limit.
  */
 export function returnLoans(state: GatewayState, step: Step, workspace: WorkspaceSpec): void {
   const quota = quotaOf(state, workspace, step.nowMs);
@@ -165,7 +168,7 @@
   quota.loans = [];
 }
 
-/** Takes units back that were lent, once for each loan, and no more than were lent. */
+/** Takes back returned units, once for each loan and no more than were lent. */
 export function onUnitsReturned(
   state: GatewayState,
   _step: Step,
@@ -180,7 +183,7 @@
   addUnits(quota.charged, -units, lent.countsFromMs);
 }
 
-/** Room of this box's part by workspace, for its news; those without room are left out. */
+/** Returns the spare units of this box's share by workspace, for its gossip; workspaces without any are left out. */
 export function ownSpareUnits(state: GatewayState, nowMs: number): Record<string, number> {
   const room: Record<string, number> = {};
   for (const workspace of state.active?.configuration.workspaces ?? []) {
--- a/packages/reedlug-gateway/src/slices/usage.ts
+++ b/packages/reedlug-gateway/src/slices/usage.ts
@@ -1,10 +1,10 @@
 /**
- * Usage: how many requests of each workspace began in each window.
+ * Usage: how many requests of each workspace started in each window.
  *
- * Boxes tell each other their counts. The holder of the lease enters the sum of
- * a window in a row that is written once, and reports just what the row says
- * once all boxes have heard it, so two holders never report different figures.
- * A checkpoint of the counts in the store outlives a loss of all boxes.
+ * Boxes send each other their counts. The holder of the lease, which is the one box that acts for the
+ * fleet, enters the sum of a window in a row that is written once. It reports exactly what the row says
+ * after all boxes have received it, so two holders never report different figures. A checkpoint of the
+ * counts in the store survives a loss of all boxes.
  */
 import type { EventOf } from '../types/event.js';
 import { CHECKPOINT_KEY, type CheckpointRow } from '../types/checkpoint.js';
@@ -24,18 +24,18 @@
   recordReported,
 } from './usageDecisions.js';
 
-/** Pause before a row or a report is tried again, in ms. */
+/** Delay before the write of a row or a report is retried, in ms. */
 const RETRY_MS = 700;
-/** Windows kept besides the current one: until the report is due, and one more. */
+/** Number of windows kept besides the current one: until the report is due, and one more. */
 const RETAINED_WINDOWS = 4;
-/** Windows told to peers: the current one and the one before. */
+/** Number of windows whose counts are sent to peers: the current one and the one before. */
 const ANNOUNCED_WINDOWS = 2;
-/** Pause between checkpoints, in ms: a tenth of the shortest window, against the price of a call. */
+/** Minimum interval between checkpoints, in ms; a tenth of the shortest window, to limit the cost of calls. */
 const CHECKPOINT_INTERVAL_MS = 500;
-/** Bytes of counts that a checkpoint holds at most: a row takes 64 KiB; limits, and the names of windows and workspaces, come on top. */
+/** Maximum size of the counts in a checkpoint, in bytes. A row holds 64 KiB, and limits and the names of windows and workspaces need space as well. */
 const MAX_CHECKPOINT_BYTES = 48 * 1024;
 
-/** Counts a request once, in the window in which it began to run. */
+/** Counts a request once, in the window in which it started to run. */
 export function countStarted(state: GatewayState, step: Step, record: RequestRecord): void {
   if (record.counted || record.workspace === undefined) return;
   record.counted = true;
@@ -71,7 +71,7 @@
   return created;
 }
 
-/** This box's counts of the newest windows, for its peers. */
+/** Returns this box's counts of the newest windows, for its peers. */
 export function ownUsage(state: GatewayState, step: Step): Record<string, UsageCounts> {
   const { usageWindowMs } = state.settings.bounds;
   if (usageWindowMs === 0) return {};
@@ -84,7 +84,7 @@
   return own;
 }
 
-/** Takes a box's counts; counts only grow, so the greater figure is the newer. */
+/** Merges the counts of a box. Counts only grow, so the greater total is the newer one. */
 export function mergeUsage(
   state: GatewayState,
   boxKey: string,
@@ -100,7 +100,7 @@
   }
 }
 
-/** Takes what a peer knows to be decided, for the windows that are still kept. */
+/** Merges the decisions that a peer knows, for the windows that are still kept. */
 export function mergeDecisions(
   state: GatewayState,
   step: Step,
@@ -131,7 +131,7 @@
   const fence = dutyFence(state, step.nowMs);
   if (fence === undefined || state.agreedClockOffsetMs === undefined) return;
   writeCheckpoint(state, step, fence);
-  // What the holder before has counted, maybe of boxes that are gone, must be known first.
+  // The counts of the previous holder, which may include boxes that are gone, must be known first.
   if (state.checkpointFence !== fence) return;
   for (const entry of state.usage.values()) {
     if (isDue(state, step, entry)) advanceWindow(state, step, entry, fence);
@@ -179,7 +179,7 @@
   return sum;
 }
 
-/** Takes the row that fixes what is reported for a window. */
+/** Applies the row that fixes what is reported for a window. */
 export function onUsageRow(
   state: GatewayState,
   step: Step,
@@ -191,7 +191,7 @@
   if (entry === undefined || entry.decided !== undefined || answer.kind === 'unknown') return;
   const row = answer.rows.find((candidate) => candidate.key === reportKey(window));
   if (row?.value === undefined) return;
-  // It was asked in an era in which this box could decide, and may be written in the next one.
+  // If the store was restored between the request and its answer, this box may no longer be allowed to decide.
   if (!mayDecide(state, step, entry)) return;
   const counts = row.value as UsageCounts;
   recordDecision(step, entry, counts);
@@ -199,7 +199,7 @@
   log(step, 'usageDecided', { window, requests: total(counts), answer: answer.kind });
 }
 
-/** Takes the platform's answer to a report. */
+/** Handles the answer of the platform to a report. */
 export function onUsageAnswered(
   state: GatewayState,
   step: Step,
@@ -213,7 +213,7 @@
   }
 }
 
-/** Writes the counts; a new holder does so at once, since a conflict brings those of the one before. */
+/** Writes the counts. A new holder writes even without changes, since the conflict returns the counts of the previous holder. */
 function writeCheckpoint(state: GatewayState, step: Step, fence: number): void {
   const isNeeded = state.usageChanged || state.checkpointFence !== fence;
   if (!isNeeded || step.nowMs - state.checkpointAtMs < CHECKPOINT_INTERVAL_MS) return;
@@ -224,7 +224,7 @@
   requestTable(step, { kind: 'checkpoint' }, { kind: 'transact', writes });
 }
 
-/** The counts of boxes by window; a window that is entered in its own row needs only its name. */
+/** Returns the counts of boxes by window. A window with a row of its own is listed without counts. */
 function checkpointOf(state: GatewayState, step: Step): CheckpointRow {
   const workspaces = state.active?.configuration.workspaces.map(({ name }) => name) ?? [];
   const windows: Record<string, Record<string, number[]>> = {};
@@ -245,13 +245,16 @@
   return { workspaces, windows, ...(number === 0 ? {} : { era: { number, sinceWallMs } }) };
 }
 
-/** Forgets which checkpoint stands: the store came back, and the next write brings what it has. */
+/**
+ * Resets the known version of the checkpoint after the store was restored from a backup. The next write then
+ * conflicts if the store holds a checkpoint, and returns it.
+ */
 export function forgetCheckpoint(state: GatewayState): void {
   state.checkpointVersion = 0;
   state.checkpointFence = undefined;
 }
 
-/** Learns the checkpoint's version; after a conflict, takes the counts of whoever wrote it. */
+/** Records the version of the checkpoint and, after a conflict, merges the counts of the box that wrote it. */
 export function onCheckpointRow(
   state: GatewayState,
   step: Step,
--- a/packages/reedlug-gateway/src/slices/usageDecisions.ts
+++ b/packages/reedlug-gateway/src/slices/usageDecisions.ts
@@ -1,27 +1,31 @@
 /**
- * What is reported for a window of usage is decided once, whatever becomes of the store.
+ * Decides once what is reported for a window of usage, even if the store loses data.
  *
- * A row fixes it, but a store that comes back from a copy may have lost the row, and the platform
- * takes nothing back that it was told. So all boxes hear of a decision before it is reported, and a
- * window that may have been decided before the store's present era is decided again by nobody but
- * the box that held the lease all the time: a window that is not reported can be made good, one that
- * is reported twice can not.
+ * A row in the store fixes the decision, but a store that is restored from a backup may have lost the
+ * row, and the platform cannot take back a report. So a decision is sent to all boxes before it is
+ * reported. The store's era is a number that grows with each restore. A window that may have been
+ * decided before the present era is decided only by a box that has held the lease (the right of one box
+ * to act for the fleet) ever since the window came due: a missing report can be corrected, a double one
+ * cannot.
  */
 import { log, type GatewayState, type Step } from '../state.js';
 import type { UsageDecisionGossip } from '../types/peer.js';
 import type { UsageCounts, UsageWindow } from '../types/views.js';
 import { agreedWallMs } from './clock.js';
 
-/** Time after a window's end in which peers' last counts arrive, in ms: several of their messages. */
+/** Time after the end of a window in which the last counts of peers arrive, in ms; several of their messages. */
 const SETTLE_MS = 1500;
-/** Time for which a change of the decisions is told, in ms: ten messages, of which some may be lost. */
+/** Time for which a changed decision is announced, in ms; ten messages, of which some may be lost. */
 const ANNOUNCE_FOR_MS = 2000;
-/** Time from a decision until it is reported, in ms: it reaches members of other groups over two hubs. */
+/**
+ * Time from a decision until it is reported, in ms. A decision reaches the members of other groups through
+ * two hubs (boxes that forward gossip for a group).
+ */
 const ANNOUNCE_BEFORE_REPORT_MS = 1000;
-/** Most by which boxes differ in the agreed time, in ms: the delay of a slow answer of the store. */
+/** Maximum difference of the agreed clock between boxes, in ms; the delay of a slow answer of the store. */
 const CLOCK_SLACK_MS = 500;
 
-/** When a window is decided, by the agreed clock. */
+/** Returns whether a window is due to be decided, by the agreed clock. */
 export function isDue(state: GatewayState, step: Step, { window }: UsageWindow): boolean {
   return agreedWallMs(state, step) >= dueAtMs(state, window);
 }
@@ -31,8 +35,8 @@
 }
 
 /**
- * Whether a window that this box knows no decision of was decided by nobody: it came due in the
- * store's present era, whose rows are all there, or while this box alone could decide.
+ * Returns whether a window without a known decision cannot have been decided by another box. That holds if
+ * it came due in the present era of the store, which has lost no row, or while this box held the lease.
  */
 export function mayDecide(state: GatewayState, step: Step, { window }: UsageWindow): boolean {
   const dueMs = dueAtMs(state, window);
@@ -42,38 +46,38 @@
   return dueMs > eraSinceWallClockMs(state, step) + CLOCK_SLACK_MS;
 }
 
-/** Time by which the store was in its present era, by the agreed clock. */
+/** Returns a time at which the store was already in its present era, by the agreed clock. */
 export function eraSinceWallClockMs(state: GatewayState, step: Step): number {
   const { sinceMs, reportedSinceWallClockMs } = state.eraKnown;
-  // A store without eras loses nothing.
+  // A store without eras is assumed to lose no rows.
   if (state.storeEra === undefined || state.storeEra === 0) return Number.NEGATIVE_INFINITY;
   return Math.min(agreedWallClockAt(state, step, sinceMs), reportedSinceWallClockMs);
 }
 
-/** A time on this box's clock by the agreed one. */
+/** Converts a time on this box's clock to the agreed clock. */
 function agreedWallClockAt(state: GatewayState, step: Step, atMs: number): number {
   return agreedWallMs(state, step) - (step.nowMs - atMs);
 }
 
-/** Takes what is to be reported for a window. */
+/** Records what is to be reported for a window, and announces it. */
 export function recordDecision(step: Step, entry: UsageWindow, counts: UsageCounts): void {
   entry.decided = counts;
   entry.decidedAtMs = step.nowMs;
   announce(step, entry);
 }
 
-/** Takes it that the platform has a window's report. */
+/** Records that the platform has the report of a window, and announces it. */
 export function recordReported(step: Step, entry: UsageWindow): void {
   entry.reported = true;
   announce(step, entry);
 }
 
-/** Whether all boxes have heard what is to be reported. */
+/** Returns whether a decision has been announced long enough that all boxes have received it. */
 export function isAnnounced({ decidedAtMs }: UsageWindow, nowMs: number): boolean {
   return nowMs - decidedAtMs >= ANNOUNCE_BEFORE_REPORT_MS;
 }
 
-/** Tells peers all decisions for a while: the store may have lost them, or a peer may not know them. */
+/** Announces all decisions for a while, since the store may have lost them or a peer may lack them. */
 export function announceDecisions(state: GatewayState, step: Step): void {
   for (const entry of state.usage.values()) announce(step, entry);
 }
@@ -82,7 +86,7 @@
   entry.announcedUntilMs = step.nowMs + ANNOUNCE_FOR_MS;
 }
 
-/** What peers are told now. */
+/** Returns the decisions to send to peers now; undefined if there are none. */
 export function decisionGossip(
   state: GatewayState,
   nowMs: number,
@@ -96,7 +100,7 @@
   return gossip.length === 0 ? undefined : gossip;
 }
 
-/** Takes what a peer knows of a window. */
+/** Merges what a peer knows of a window. */
 export function mergeDecision(
   step: Step,
   entry: UsageWindow,
@@ -104,7 +108,7 @@
 ): void {
   if (entry.decided === undefined) recordDecision(step, entry, counts);
   else if (!areEqual(entry.decided, counts)) {
-    // One of them may be reported already: the other must not be.
+    // One of the two may have been reported already, so no other one may be.
     if (!entry.reported) log(step, 'usageDisputed', { window: entry.window });
     entry.reported = true;
   }
--- a/packages/reedlug-gateway/src/slices/waitingSends.ts
+++ b/packages/reedlug-gateway/src/slices/waitingSends.ts
@@ -1,8 +1,8 @@
 /**
- * Sends that wait a moment for units of their workspace's limit.
+ * Sends that wait briefly for units of their workspace's limit.
  *
- * A box whose part is used asks others, which takes one way there and back. A request
- * that others can't serve either is refused at once.
+ * A box whose share is used up asks other boxes for units, which takes one round trip. A request is
+ * refused at once if the other boxes have not announced enough spare units.
  */
 import type { Choice } from '../policy/chooseServer.js';
 import { spreadRetryMs } from '../policy/retrySpread.js';
@@ -25,13 +25,13 @@
 import { offer } from './sending.js';
 import { requestUnits, pruneLoans, returnLoans, acceptLoan } from './unitLoans.js';
 
-/** Part of a route's target time for which a request may wait: with it the answer is hardly later. */
+/** Share of a route's target time for which a request may wait; small enough that the answer is hardly delayed. */
 const WAIT_SHARE = 0.125;
-/** Shortest and longest wait for units, in ms: between zones a way takes some ms, and a loan does not last. */
+/** Shortest and longest wait for units, in ms. A message between zones takes some ms, and a loan expires soon. */
 const MIN_WAIT_MS = 25;
 const MAX_WAIT_MS = 150;
 
-/** Sends a request that has its units, or asks for those that it lacks; false when nobody has them. */
+/** Requests the units that a request lacks from other boxes and lets it wait for them; returns false if they have not announced enough. */
 export function requestAndAwaitUnits(
   state: GatewayState,
   step: Step,
@@ -47,7 +47,7 @@
   return true;
 }
 
-/** Sends a request once more, if its workspace's limit holds another run of it. */
+/** Sends a request once more if its workspace's limit allows another run; otherwise lets it wait for units or refuses it. */
 export function sendAgain(
   state: GatewayState,
   step: Step,
@@ -60,7 +60,7 @@
   refuseOverLimit(state, step, record);
 }
 
-/** Units came: requests of the workspace that have all of theirs go. */
+/** Accepts lent units and sends the waiting requests of the workspace that now have enough. */
 export function onUnitsLent(state: GatewayState, step: Step, event: EventOf<'unitsLent'>): void {
   const workspace = acceptLoan(state, step, event);
   if (workspace === undefined) return;
@@ -74,7 +74,7 @@
   returnUnneededLoans(state, step, workspace);
 }
 
-/** Lent units that no request waits for are given back. */
+/** Returns the borrowed units of a workspace if none of its requests waits for them. */
 function returnUnneededLoans(state: GatewayState, step: Step, workspace: WorkspaceSpec): void {
   const isAwaited = state.waitingForUnits.some(({ record }) => record.workspace === workspace.name);
   if (!isAwaited) returnLoans(state, step, workspace);
@@ -85,12 +85,12 @@
   offer(state, step, record);
 }
 
-/** Whether the request is still this box's to serve: its caller may have left, its time may be up. */
+/** Returns whether a request is still open. Its caller may have disconnected, or its deadline may have passed. */
 function isOpen(state: GatewayState, record: RequestRecord): boolean {
   return state.requests.get(record.exchangeId) === record;
 }
 
-/** Refuses those that waited long enough. */
+/** Refuses the requests whose wait for units has timed out, and returns their borrowed units. */
 export function waitingSendsTick(state: GatewayState, step: Step): void {
   pruneLoans(state, step.nowMs);
   if (state.waitingForUnits.length === 0) return;
@@ -103,7 +103,7 @@
   }
 }
 
-/** Ends a request that its workspace's limit does not hold, told when to come back if it has not been sent. */
+/** Ends a request that exceeds its workspace's limit. If it has not been sent yet, it is refused with a Retry-After time. */
 export function refuseOverLimit(state: GatewayState, step: Step, record: RequestRecord): void {
   const { facts, exchangeId, units } = record;
   const workspace = findWorkspace(state, record.workspace ?? '');
