--- a/packages/reedlug-gateway/src/policy/__tests__/unitWindow.test.ts
+++ b/packages/reedlug-gateway/src/policy/__tests__/unitWindow.test.ts
@@ -2,7 +2,7 @@
 import {
   addUnits,
   createUnitWindow,
-  spareUnits,
+  spareUnitsWithin,
   timeUntilSpareMs,
   unitsWithin,
 } from '../unitWindow.js';
@@ -30,14 +30,14 @@
 test('a window accepts its burst at once and the rest over time', () => {
   const window = createUnitWindow(1000);
   const bound = { burst: 60, perMs: 0.04, sinceMs: 0 };
-  expect(spareUnits(window, bound, 0)).to.equal(60);
+  expect(spareUnitsWithin(window, bound, 0)).to.equal(60);
   addUnits(window, 60, 50);
-  expect(spareUnits(window, bound, 50)).to.equal(0);
-  expect(spareUnits(window, bound, 600)).to.equal(20);
+  expect(spareUnitsWithin(window, bound, 50)).to.equal(0);
+  expect(spareUnitsWithin(window, bound, 600)).to.equal(20);
   addUnits(window, 20, 600);
-  expect(spareUnits(window, bound, 600)).to.equal(0);
+  expect(spareUnitsWithin(window, bound, 600)).to.equal(0);
   // The first 60 units have left the window, so the whole burst is spare again.
-  expect(spareUnits(window, bound, 1200)).to.equal(60);
+  expect(spareUnitsWithin(window, bound, 1200)).to.equal(60);
 });
 
 test('no span of a window exceeds its bound, whatever is requested', () => {
@@ -45,7 +45,7 @@
   const bound = { burst: 50, perMs: 0.05, sinceMs: 0 };
   const taken: { atMs: number; units: number }[] = [];
   for (let atMs = 0; atMs < 5000; atMs += 10) {
-    const units = Math.min(spareUnits(window, bound, atMs), 1 + (atMs % 70));
+    const units = Math.min(spareUnitsWithin(window, bound, atMs), 1 + (atMs % 70));
     if (units <= 0) continue;
     addUnits(window, units, atMs);
     unitsWithin(window, atMs);
@@ -73,7 +73,7 @@
   const window = createUnitWindow(1000);
   const bound = { burst: 20, perMs: 0.01, sinceMs: 500 };
   addUnits(window, 90, 300);
-  expect(spareUnits(window, bound, 600)).to.equal(20);
+  expect(spareUnitsWithin(window, bound, 600)).to.equal(20);
   addUnits(window, 15, 600);
-  expect(spareUnits(window, bound, 650)).to.equal(5);
+  expect(spareUnitsWithin(window, bound, 650)).to.equal(5);
 });
--- a/packages/reedlug-gateway/src/policy/chooseServer.ts
+++ b/packages/reedlug-gateway/src/policy/chooseServer.ts
@@ -14,7 +14,7 @@
 import type { GatewayState } from '../state.js';
 import type { ServerView } from '../types/views.js';
 import { countedPeers, type HeardPeer } from '../slices/fleet.js';
-import { isAnswerWanted, isEligible, isLimited } from '../slices/statements/eligibility.js';
+import { isLimitRefreshDue, isEligible, isLimited } from '../slices/statements/eligibility.js';
 import { modelOf } from '../slices/engineModels.js';
 import { highestRanked } from './highestRanked.js';
 import { addLoads, tokensAhead } from './serverLoad.js';
@@ -113,7 +113,7 @@
       ? serversToCompare(candidates, {
           facts,
           preferredId,
-          probeTarget: [...limited].find((view) => isAnswerWanted(view, nowMs)),
+          probeTarget: [...limited].find((view) => isLimitRefreshDue(view, nowMs)),
         })
       : highestRanked(candidates, trialHash, 1);
   for (const view of considered) {
@@ -193,7 +193,7 @@
   const zoneMs = view.entry.zone === state.settings.box.zone ? 0 : OTHER_ZONE_COST_MS;
   const failureMs = failureScore(view, nowMs) * FAILURE_COST_MS;
   const expiringMs = view.expiresAtMs === undefined ? 0 : EXPIRING_COST_MS;
-  const probeBonusMs = isAnswerWanted(view, nowMs) ? LIMIT_PROBE_BONUS_MS : 0;
+  const probeBonusMs = isLimitRefreshDue(view, nowMs) ? LIMIT_PROBE_BONUS_MS : 0;
   const costMs = waitMs + zoneMs + failureMs + expiringMs - probeBonusMs;
   return { view, prefillTokens, conditions, expectedMs, costMs };
 }
--- a/packages/reedlug-gateway/src/policy/unitWindow.ts
+++ b/packages/reedlug-gateway/src/policy/unitWindow.ts
@@ -73,7 +73,7 @@
  * ending then exceeds `burst` plus `perMs` for each of its ms. Spans that begin before `sinceMs`
  * are ignored.
  */
-export function spareUnits(
+export function spareUnitsWithin(
   window: UnitWindow,
   { burst, perMs, sinceMs }: WindowBound,
   atMs: number,
@@ -107,7 +107,7 @@
 ): number {
   const { units, nowMs } = params;
   for (let ms = 0; ms < window.lengthMs; ms += SEARCH_STEP_MS) {
-    if (bounds.every((bound) => spareUnits(window, bound, nowMs + ms) >= units)) return ms;
+    if (bounds.every((bound) => spareUnitsWithin(window, bound, nowMs + ms) >= units)) return ms;
   }
   return window.lengthMs;
 }
--- a/packages/reedlug-gateway/src/reduce.ts
+++ b/packages/reedlug-gateway/src/reduce.ts
@@ -22,7 +22,7 @@
 import { onOrderAnswered } from './slices/engineOrders.js';
 import { clockTick, onClockRow, onStoreClock } from './slices/clock.js';
 import { dutiesTick, onLeaseRow } from './slices/duties.js';
-import { fleetPartTick } from './slices/fleetPart.js';
+import { limitShareTick } from './slices/limitShare.js';
 import { lostServersTick, onServerProbed } from './slices/lostServers.js';
 import { onPeerMessage, onPeersListed, onPeerUsage } from './slices/peers.js';
 import {
@@ -34,7 +34,7 @@
 import { onRolloutRow, rolloutRecordsTick } from './slices/rolloutRecords.js';
 import { rolloutsTick } from './slices/rolloutJudgement.js';
 import { onRolloutOrdered } from './slices/rollouts.js';
-import { onServerStatements, statementsTick } from './slices/statements/statementNews.js';
+import { onServerStatements, statementsTick } from './slices/statements/statementGossip.js';
 import { onServersRead, onStoreContact, serversTick } from './slices/servers.js';
 import { silentServersTick } from './slices/silentServers.js';
 import { onStoreEra } from './slices/storeEra.js';
@@ -124,7 +124,7 @@
   lostServersTick(state, step);
   clockTick(state, step);
   waitingSendsTick(state, step);
-  fleetPartTick(state, step);
+  limitShareTick(state, step);
   dutiesTick(state, step);
   usageTick(state, step);
   rolloutsTick(state, step);
--- a/packages/reedlug-gateway/src/slices/__tests__/limitsOverBoxes.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/limitsAcrossBoxes.test.ts
@@ -1,7 +1,6 @@
 /**
- * Limits over several boxes against the users' rule: in any window, all boxes
- * together admit no more than rate, burst and tolerance allow, whatever happens
- * to their news.
+ * Tests limits over several boxes against the users' rule: in any window, all boxes together admit no
+ * more than rate, burst and tolerance allow, whatever happens to their messages.
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -27,28 +26,28 @@
 const OVER_SHARE = 0.1;
 const DURATION_MS = 22_000;
 
-/** What happens to a box, or to the link of its half of the fleet. */
-type Trouble =
+/** Fault injected into a box or into the links between boxes, or a change of the limit. */
+type Fault =
   | { kind: 'restart'; box: number; atMs: number }
-  /** All boxes at once; they are away for `forMs`. */
+  /** All boxes restart at once and are down for `forMs`. */
   | { kind: 'restartAll'; atMs: number; forMs: number }
-  /** Boxes with a lower number hear nothing of the others. */
+  /** Boxes with a number below `below` are partitioned from the others. */
   | { kind: 'cut'; below: number; atMs: number; forMs: number }
   | { kind: 'lossy'; share: number; atMs: number; forMs: number }
   | { kind: 'limit'; factor: number; atMs: number };
 
 interface Scene {
   boxes: number;
-  /** What callers ask for, as a multiple of the rate, by second. */
+  /** Units that callers ask for, as a multiple of the rate, by second. */
   demand: readonly number[];
-  troubles: readonly Trouble[];
-  /** How long after its start the store tells a box the list of boxes. */
+  troubles: readonly Fault[];
+  /** Time after its start at which a box gets the list of boxes from the store. */
   storeAnswersAfterMs: number;
   seed: number;
 }
 
-/** A few pseudo-random numbers between 0 and 1, for sizes and losses. */
-function createDraw(seed: number): () => number {
+/** Returns a generator of pseudo-random numbers between 0 and 1, for sizes and losses. */
+function createRandom(seed: number): () => number {
   let state = seed % 2147483647 || 1;
   return () => {
     state = (state * 48271) % 2147483647;
@@ -120,14 +119,14 @@
   return box;
 }
 
-/** Plays a scene; returns the admissions in the order of time, and the refused units. */
-function play(scene: Scene): {
+/** Simulates a scene; returns the admissions in order of time, the refused units and the requested units. */
+function simulate(scene: Scene): {
   admitted: { atMs: number; units: number }[];
   refusedUnits: number;
   lastRefusedAtMs: number;
   askedUnits: number;
 } {
-  const draw = createDraw(scene.seed);
+  const random = createRandom(scene.seed);
   let version = 1;
   let rate = RATE_PER_SECOND;
   let life = 1;
@@ -141,31 +140,31 @@
   let refusedUnits = 0;
   let lastRefusedAtMs = 0;
   let askedUnits = 0;
-  let wanted = 0;
-  let awayUntilMs = 0;
+  let pendingUnits = 0;
+  let downUntilMs = 0;
   let exchangeId = 0;
   let inFlight: { to: number; message: PeerDatagram }[] = [];
   const due = [...scene.troubles];
-  const isOn = (trouble: { atMs: number; forMs: number }, nowMs: number): boolean =>
-    nowMs >= trouble.atMs && nowMs < trouble.atMs + trouble.forMs;
-  const passes = (from: number, to: number, nowMs: number): boolean =>
-    scene.troubles.every((trouble) => {
-      if (trouble.kind === 'cut' && isOn(trouble, nowMs))
-        return from < trouble.below === to < trouble.below;
-      if (trouble.kind === 'lossy' && isOn(trouble, nowMs)) return draw() >= trouble.share;
+  const isActive = (fault: { atMs: number; forMs: number }, nowMs: number): boolean =>
+    nowMs >= fault.atMs && nowMs < fault.atMs + fault.forMs;
+  const isDelivered = (from: number, to: number, nowMs: number): boolean =>
+    scene.troubles.every((fault) => {
+      if (fault.kind === 'cut' && isActive(fault, nowMs))
+        return from < fault.below === to < fault.below;
+      if (fault.kind === 'lossy' && isActive(fault, nowMs)) return random() >= fault.share;
       return true;
     });
-  const post = (from: number, effects: readonly Effect[], nowMs: number): void => {
+  const send = (from: number, effects: readonly Effect[], nowMs: number): void => {
     for (const { message, to } of ofType(effects, 'sendPeers')) {
       for (const { host } of to) {
         const toBox = Number(host.split('.').at(-1));
-        if (passes(from, toBox, nowMs)) inFlight.push({ to: toBox, message });
+        if (isDelivered(from, toBox, nowMs)) inFlight.push({ to: toBox, message });
       }
     }
   };
-  /** Requests by number that were asked and not answered yet; a request may wait for units of others. */
+  /** Units of the requests, by number, that are neither sent nor refused yet. A request may wait for borrowed units. */
   const open = new Map<number, number>();
-  const note = (effects: readonly Effect[], nowMs: number): void => {
+  const record = (effects: readonly Effect[], nowMs: number): void => {
     for (const effect of effects) {
       if (effect.type !== 'send' && effect.type !== 'refuse') continue;
       const units = open.get(effect.exchangeId);
@@ -179,17 +178,17 @@
     }
   };
   for (let nowMs = TICK_MS; nowMs <= DURATION_MS; nowMs += TICK_MS) {
-    for (const trouble of due.filter(({ atMs }) => atMs <= nowMs)) {
-      due.splice(due.indexOf(trouble), 1);
-      if (trouble.kind === 'restart')
-        fleet[trouble.box % scene.boxes] = start(trouble.box % scene.boxes, nowMs);
-      if (trouble.kind === 'restartAll') {
-        awayUntilMs = nowMs + trouble.forMs;
+    for (const fault of due.filter(({ atMs }) => atMs <= nowMs)) {
+      due.splice(due.indexOf(fault), 1);
+      if (fault.kind === 'restart')
+        fleet[fault.box % scene.boxes] = start(fault.box % scene.boxes, nowMs);
+      if (fault.kind === 'restartAll') {
+        downUntilMs = nowMs + fault.forMs;
         inFlight = [];
       }
-      if (trouble.kind === 'limit') {
+      if (fault.kind === 'limit') {
         version += 1;
-        rate = RATE_PER_SECOND * trouble.factor;
+        rate = RATE_PER_SECOND * fault.factor;
         for (const box of fleet)
           box.take({
             type: 'configurationRead',
@@ -198,9 +197,9 @@
           });
       }
     }
-    if (nowMs < awayUntilMs) continue;
-    if (awayUntilMs > 0) {
-      awayUntilMs = 0;
+    if (nowMs < downUntilMs) continue;
+    if (downUntilMs > 0) {
+      downUntilMs = 0;
       fleet.forEach((_, index) => (fleet[index] = start(index, nowMs)));
     }
     const arrived = inFlight;
@@ -210,14 +209,15 @@
       if (box === undefined) continue;
       box.nowMs = nowMs;
       const effects = box.take(eventOfDatagram(message));
-      note(effects, nowMs);
-      post(to, effects, nowMs);
+      record(effects, nowMs);
+      send(to, effects, nowMs);
     }
-    wanted += ((scene.demand[Math.floor(nowMs / 1000)] ?? 0) * RATE_PER_SECOND * TICK_MS) / 1000;
-    while (wanted > 0) {
-      const promptTokens = Math.ceil(200 + draw() ** 4 * 20_000);
-      wanted -= promptTokens;
-      const box = fleet[Math.floor(draw() * scene.boxes)] as TestBox;
+    pendingUnits +=
+      ((scene.demand[Math.floor(nowMs / 1000)] ?? 0) * RATE_PER_SECOND * TICK_MS) / 1000;
+    while (pendingUnits > 0) {
+      const promptTokens = Math.ceil(200 + random() ** 4 * 20_000);
+      pendingUnits -= promptTokens;
+      const box = fleet[Math.floor(random() * scene.boxes)] as TestBox;
       exchangeId += 1;
       askedUnits += promptTokens;
       const request = facts({
@@ -230,14 +230,14 @@
       open.set(exchangeId, promptTokens);
       box.nowMs = nowMs;
       const effects = box.take({ type: 'requestArrived', exchangeId, facts: request });
-      note(effects, nowMs);
-      post(fleet.indexOf(box), effects, nowMs);
+      record(effects, nowMs);
+      send(fleet.indexOf(box), effects, nowMs);
     }
     fleet.forEach((box, from) => {
       box.nowMs = nowMs - TICK_MS;
       const effects = box.pass(TICK_MS);
-      note(effects, nowMs);
-      post(from, effects, nowMs);
+      record(effects, nowMs);
+      send(from, effects, nowMs);
       const isListed = box.state.part.listRevision > 0;
       const sinceMs = nowMs - box.state.startedAtMs;
       if (!isListed && sinceMs >= scene.storeAnswersAfterMs) {
@@ -248,8 +248,8 @@
   return { admitted, refusedUnits, lastRefusedAtMs, askedUnits };
 }
 
-/** The most units in any window. */
-function mostInWindow(admitted: readonly { atMs: number; units: number }[]): number {
+/** Returns the maximum number of units in any window. */
+function maxInWindow(admitted: readonly { atMs: number; units: number }[]): number {
   let most = 0;
   let sum = 0;
   let first = 0;
@@ -264,12 +264,12 @@
   return most;
 }
 
-/** The users' bound for a rate. */
+/** Returns the users' bound for the rate times a factor. */
 function boundOf(factor = 1): number {
   return ((RATE_PER_SECOND * WINDOW_MS) / 1000 + BURST) * factor * (1 + OVER_SHARE) + SLACK;
 }
 
-const calm = (demand: number): Scene => ({
+const steadyDemand = (demand: number): Scene => ({
   boxes: 7,
   demand: Array<number>(22).fill(demand),
   troubles: [],
@@ -277,7 +277,7 @@
   seed: 5,
 });
 
-const troubleArbitrary: fc.Arbitrary<Trouble> = fc.oneof(
+const faultArbitrary: fc.Arbitrary<Fault> = fc.oneof(
   fc.record({
     kind: fc.constant('restart' as const),
     box: fc.nat(6),
@@ -302,25 +302,25 @@
   }),
 );
 
-function cutMs(troubles: readonly Trouble[]): number {
-  return troubles.reduce((sum, trouble) => sum + (trouble.kind === 'cut' ? trouble.forMs : 0), 0);
+function partitionMs(troubles: readonly Fault[]): number {
+  return troubles.reduce((sum, fault) => sum + (fault.kind === 'cut' ? fault.forMs : 0), 0);
 }
 
 const sceneArbitrary: fc.Arbitrary<Scene> = fc.record({
   boxes: fc.integer({ min: 2, max: 8 }),
   demand: fc.array(fc.double({ min: 0, max: 5, noNaN: true }), { minLength: 22, maxLength: 22 }),
-  // Boxes that are silent for over ten seconds are taken for lost: cuts in a row stay below it.
+  // Boxes that are silent for over ten seconds count as lost, so consecutive partitions stay below that.
   troubles: fc
-    .array(troubleArbitrary, { maxLength: 2 })
-    .filter((troubles) => cutMs(troubles) < 9500),
+    .array(faultArbitrary, { maxLength: 2 })
+    .filter((troubles) => partitionMs(troubles) < 9500),
   storeAnswersAfterMs: fc.integer({ min: 0, max: 300 }),
   seed: fc.integer({ min: 1, max: 1_000_000 }),
 });
 
-test('no window holds more than the users allow, through restarts, cuts and lost news', () => {
+test('no window exceeds the limit through restarts, partitions and lost messages', () => {
   fc.assert(
     fc.property(sceneArbitrary, (scene) => {
-      const most = mostInWindow(play(scene).admitted);
+      const most = maxInWindow(simulate(scene).admitted);
       expect(most).to.be.at.most(boundOf());
     }),
     {
@@ -330,68 +330,71 @@
   );
 });
 
-test('a limit that is lowered binds one window later, and not before', () => {
-  const troubles: Trouble[] = [{ kind: 'limit', factor: 0.4, atMs: 9000 }];
-  const { admitted } = play({ ...calm(3), troubles });
-  expect(mostInWindow(admitted)).to.be.at.most(boundOf());
+test('a lowered limit binds one window later, and not before', () => {
+  const troubles: Fault[] = [{ kind: 'limit', factor: 0.4, atMs: 9000 }];
+  const { admitted } = simulate({ ...steadyDemand(3), troubles });
+  expect(maxInWindow(admitted)).to.be.at.most(boundOf());
   const later = admitted.filter(({ atMs }) => atMs > 9000 + WINDOW_MS);
-  expect(mostInWindow(later)).to.be.at.most(boundOf(0.4));
+  expect(maxInWindow(later)).to.be.at.most(boundOf(0.4));
   const between = admitted.filter(({ atMs }) => atMs > 9000 && atMs <= 9000 + WINDOW_MS / 2);
   expect(between.length).to.be.greaterThan(10);
 });
 
-test('a workspace that asks for its rate is refused nothing', () => {
-  expect(play(calm(1)).refusedUnits).to.equal(0);
+test('a workspace that asks for its rate gets no refusal', () => {
+  expect(simulate(steadyDemand(1)).refusedUnits).to.equal(0);
 });
 
-test('a workspace that asks for more gets nine tenths of what is allowed', () => {
-  const { admitted } = play(calm(3));
-  expect(mostInWindow(admitted) / boundOf()).to.be.within(0.85, 1);
+test('a workspace that asks for more gets nine tenths of its limit', () => {
+  const { admitted } = simulate(steadyDemand(3));
+  expect(maxInWindow(admitted) / boundOf()).to.be.within(0.85, 1);
 });
 
-test('a workspace that fills its limit right before all boxes are lost gets no second one', () => {
-  // Idle until 5 s, then five times its rate; all boxes are away from 7.5 to 8.5 s.
+test('a workspace that uses up its limit right before a loss of all boxes does not get it twice', () => {
+  // A fifth of the rate until 5 s, then five times the rate; all boxes are down from 7.5 to 8.5 s.
   const demand = Array.from({ length: 22 }, (_, second) => (second < 5 ? 0.2 : 5));
-  const troubles: Trouble[] = [{ kind: 'restartAll', atMs: 7500, forMs: 1000 }];
+  const troubles: Fault[] = [{ kind: 'restartAll', atMs: 7500, forMs: 1000 }];
   for (const boxes of [3, 7, 12]) {
-    const { admitted } = play({ ...calm(1), boxes, demand, troubles });
-    expect(mostInWindow(admitted), `${boxes} boxes`).to.be.at.most(boundOf());
+    const { admitted } = simulate({ ...steadyDemand(1), boxes, demand, troubles });
+    expect(maxInWindow(admitted), `${boxes} boxes`).to.be.at.most(boundOf());
   }
 });
 
-test('a loss of all boxes but one gives a workspace no second limit', () => {
+test('a loss of all boxes but one does not renew a limit', () => {
   const demand = Array<number>(22).fill(5);
   for (const boxes of [4, 7, 12]) {
-    const troubles = Array.from({ length: boxes - 1 }, (_, index): Trouble => {
+    const troubles = Array.from({ length: boxes - 1 }, (_, index): Fault => {
       return { kind: 'restart', box: index + 1, atMs: 9000 };
     });
-    const { admitted } = play({ ...calm(1), boxes, demand, troubles });
-    expect(mostInWindow(admitted), `${boxes} boxes`).to.be.at.most(boundOf());
+    const { admitted } = simulate({ ...steadyDemand(1), boxes, demand, troubles });
+    expect(maxInWindow(admitted), `${boxes} boxes`).to.be.at.most(boundOf());
   }
 });
 
-test('two losses of all boxes in a row give a workspace no second limit', () => {
+test('two losses of all boxes in a row do not renew a limit', () => {
   const demand = Array<number>(22).fill(5);
-  const troubles: Trouble[] = [
+  const troubles: Fault[] = [
     { kind: 'restartAll', atMs: 9000, forMs: 800 },
     { kind: 'restartAll', atMs: 13_000, forMs: 800 },
   ];
   for (const boxes of [3, 6, 12]) {
-    const { admitted } = play({ ...calm(1), boxes, demand, troubles });
-    expect(mostInWindow(admitted), `${boxes} boxes`).to.be.at.most(boundOf());
+    const { admitted } = simulate({ ...steadyDemand(1), boxes, demand, troubles });
+    expect(maxInWindow(admitted), `${boxes} boxes`).to.be.at.most(boundOf());
   }
 });
 
-// What the boxes sent before they were lost is known to nobody, and may have been all
-// that a moment allows: their next lives begin with the flow alone.
-test('after a loss of all boxes a workspace within its limit goes on with the flow, and soon whole', () => {
-  const troubles: Trouble[] = [{ kind: 'restartAll', atMs: 10_000, forMs: 1000 }];
-  const { refusedUnits, lastRefusedAtMs, askedUnits } = play({ ...calm(0.55), troubles });
+// It is unknown what the boxes sent before they were lost. It may have been the whole burst, so their
+// next incarnations start with the steady flow alone.
+test('after a loss of all boxes a workspace within its limit is soon served without refusals', () => {
+  const troubles: Fault[] = [{ kind: 'restartAll', atMs: 10_000, forMs: 1000 }];
+  const { refusedUnits, lastRefusedAtMs, askedUnits } = simulate({
+    ...steadyDemand(0.55),
+    troubles,
+  });
   expect(refusedUnits / askedUnits).to.be.lessThan(0.1);
   expect(lastRefusedAtMs).to.be.lessThan(14_000);
 });
 
-test('a restart of one box refuses a workspace within its limit nothing', () => {
-  const troubles: Trouble[] = [{ kind: 'restart', box: 3, atMs: 10_000 }];
-  expect(play({ ...calm(0.55), troubles }).refusedUnits).to.equal(0);
+test('a restart of one box causes no refusal of a workspace within its limit', () => {
+  const troubles: Fault[] = [{ kind: 'restart', box: 3, atMs: 10_000 }];
+  expect(simulate({ ...steadyDemand(0.55), troubles }).refusedUnits).to.equal(0);
 });
--- a/packages/reedlug-gateway/src/slices/attempts.ts
+++ b/packages/reedlug-gateway/src/slices/attempts.ts
@@ -11,12 +11,12 @@
 import { isPastPoint, noteGoodRun } from './crashSuspects.js';
 import { recordSuccessfulEnd, recordFirstEvent } from './engineModels.js';
 import { recordLoss } from './lostServers.js';
-import { noteServed } from './statements/rests.js';
-import { takeAnswerStatements, takeRefusal } from './statements/answerStatements.js';
+import { recordServedProbe } from './statements/pauses.js';
+import { applyAnswerStatements, applyRefusal } from './statements/answerStatements.js';
 import { retryAfterLoss, reserveRerun, retryNotRun, type RequestAttempt } from './retries.js';
 import { AnswerEnd, noteAnswer, noteLost } from './rolloutEvidence.js';
 import { removeServer } from './servers.js';
-import { countBegun } from './usage.js';
+import { countStarted } from './usage.js';
 import { chargeFurtherSend } from './quotas.js';
 import { sendOrGiveUp } from './sending.js';
 
@@ -52,7 +52,7 @@
 ): void {
   const found = findOpenAttempt(state, event);
   if (found === undefined) return;
-  takeAnswerStatements(state, step, { ...found, said: event.statements });
+  applyAnswerStatements(state, step, { ...found, answerStatements: event.statements });
 }
 
 /** Handles a plain answer, or the head and first event of a stream. */
@@ -72,7 +72,7 @@
       return onFailure(state, step, found, event.status);
     case 'notRun':
       closeAttempt(state, attempt, Reach.refused);
-      takeRefusal(state, step, attempt);
+      applyRefusal(state, step, attempt);
       return retryNotRun(state, step, found, `refused${event.status}`);
     case 'otherServer': {
       const view = closeAttempt(state, attempt, Reach.refused);
@@ -148,7 +148,7 @@
     if (view !== undefined) removeUnreadPrompt(view, attempt);
   }
   attempt.reach = Reach.answered;
-  countBegun(state, step, record);
+  countStarted(state, step, record);
 }
 
 function finishRequest(
@@ -162,7 +162,7 @@
   if (outcome === 'success') {
     recordSuccessfulEnd(state, step, record, attempt);
     if (view !== undefined) recordSuccess(view, step.nowMs);
-    noteServed(state, step, attempt);
+    recordServedProbe(state, step, attempt);
     noteGoodRun(state, step, record);
   }
   state.requests.delete(record.exchangeId);
--- a/packages/reedlug-gateway/src/slices/peers.ts
+++ b/packages/reedlug-gateway/src/slices/peers.ts
@@ -5,10 +5,10 @@
 import type { PeerView } from '../types/views.js';
 import { agreeOnClock } from './clock.js';
 import { countsFreshly, isCounted, PEER_GONE_AFTER_MS, type HeardPeer } from './fleet.js';
-import { noteBoxesListed } from './fleetPart.js';
+import { recordBoxesListed } from './limitShare.js';
 import { takeRolloutNews } from './rollouts.js';
 import { nextRegistryUpdate } from './registryGossip.js';
-import { noteNewcomer } from './statements/statementNews.js';
+import { recordIfUninformed } from './statements/statementGossip.js';
 import { applyHubChanges } from './servers.js';
 import { mayShowCopy, onStoreEra } from './storeEra.js';
 import { mergeDecisions, mergeUsage } from './usage.js';
@@ -30,7 +30,7 @@
   const peer = peerOf(state, step, { boxId, host, port, zone, processorCores });
   const before = peer.message;
   if (before !== undefined && isOlder(message, before, countsFreshly(peer, step.nowMs))) return;
-  noteNewcomer(state, step, peer, message.incarnation);
+  recordIfUninformed(state, step, peer, message.incarnation);
   peer.lastReceivedAtMs = step.nowMs;
   peer.isSuspected = false;
   peer.message = message;
@@ -184,7 +184,7 @@
     const isSeedOfKnown = boxId === address.host && knowsHost(state, address.host);
     if (!isSeedOfKnown) peerOf(state, step, address).listed = boxId !== address.host;
   }
-  noteBoxesListed(state, step, event);
+  recordBoxesListed(state, step, event);
 }
 
 function knowsHost(state: GatewayState, host: string): boolean {
--- a/packages/reedlug-gateway/src/slices/requests.ts
+++ b/packages/reedlug-gateway/src/slices/requests.ts
@@ -14,13 +14,13 @@
 import { findRoute } from './configuration.js';
 import { cancelAll, giveUp, refuse } from './requestCompletion.js';
 import { refuseIfLate } from './lateRefusals.js';
-import { bookReturnMs, SERVERS_LIMITED } from './statements/returnTimes.js';
+import { reserveRetryAfterMs, SERVERS_LIMITED } from './statements/retryAfterTimes.js';
 import { chargeSend, unitsOf } from './quotas.js';
 import { countFirstSend } from './retryBudgets.js';
 import { noteLeft } from './rolloutEvidence.js';
 import { chooseServerFor, sendOrGiveUp } from './sending.js';
 import { isTooLateToTake } from './stopping.js';
-import { refuseOverLimit, sendOrAwaitUnits } from './waitingSends.js';
+import { refuseOverLimit, requestAndAwaitUnits } from './waitingSends.js';
 
 /** Retry-After time of requests refused because this box is about to stop, in ms; another box serves them then. */
 const STOPPING_RETRY_MS = 100;
@@ -64,11 +64,12 @@
   if (refusal !== undefined) return refuseNow(refusal.status, refusal.reason, refusal.retryAfterMs);
   const choice = chooseServerFor(state, step, record);
   if (choice !== undefined && refuseIfLate(step, record, choice)) return;
-  const retryAfterMs = choice === undefined ? bookReturnMs(state, record, step.nowMs) : undefined;
+  const retryAfterMs =
+    choice === undefined ? reserveRetryAfterMs(state, record, step.nowMs) : undefined;
   if (retryAfterMs !== undefined) return refuseNow(503, SERVERS_LIMITED, retryAfterMs);
   state.requests.set(exchangeId, record);
   if (workspace !== undefined && !chargeSend(state, record, workspace, step.nowMs)) {
-    if (!sendOrAwaitUnits(state, step, record, workspace)) refuseOverLimit(state, step, record);
+    if (!requestAndAwaitUnits(state, step, record, workspace)) refuseOverLimit(state, step, record);
     return;
   }
   countFirstSend(state, record.service);
--- a/packages/reedlug-gateway/src/slices/sending.ts
+++ b/packages/reedlug-gateway/src/slices/sending.ts
@@ -6,8 +6,8 @@
 import { log, type GatewayState, type Step } from '../state.js';
 import { RouteKind } from '../types/configuration.js';
 import type { Attempt, RequestRecord } from '../types/request.js';
-import { bookReturnMs, SERVERS_LIMITED } from './statements/returnTimes.js';
-import { noteSendToStating } from './statements/eligibility.js';
+import { reserveRetryAfterMs, SERVERS_LIMITED } from './statements/retryAfterTimes.js';
+import { recordSendForStatements } from './statements/eligibility.js';
 import { suspectKey, suspectOf } from './crashSuspects.js';
 import { giveUp, isRepeatable } from './requestCompletion.js';
 import { carriesLoad, versionRule } from './versionRule.js';
@@ -61,7 +61,7 @@
   choice = chooseServerFor(state, step, record),
 ): void {
   if (choice === undefined) {
-    const retryAfterMs = bookReturnMs(state, record, step.nowMs);
+    const retryAfterMs = reserveRetryAfterMs(state, record, step.nowMs);
     const reason = retryAfterMs === undefined ? 'noServer' : SERVERS_LIMITED;
     return giveUp(state, step, record, reason, retryAfterMs);
   }
@@ -89,7 +89,7 @@
   state.nextAttemptId += 1;
   record.attempts.push(attempt);
   recordSend(view, step.nowMs);
-  noteSendToStating(view, step.nowMs);
+  recordSendForStatements(view, step.nowMs);
   view.running += 1;
   addUnreadPrompt(view, attempt);
   if (record.attempts.length === 1) state.workTokens += prefillTokens;
--- a/packages/reedlug-gateway/src/slices/servers.ts
+++ b/packages/reedlug-gateway/src/slices/servers.ts
@@ -22,8 +22,8 @@
 import { recordRegistryChange } from './registryGossip.js';
 import { failOpenAttempts } from './serverIncarnations.js';
 import { mayShowCopy } from './storeEra.js';
-import { mergeLeaving } from './statements/leaving.js';
-import { findStatements } from './statements/lifeStatements.js';
+import { mergeDraining } from './statements/draining.js';
+import { findStatements } from './statements/incarnationStatements.js';
 
 /** How long after the store's return entries of live servers may be missing, in ms: they register again within about 2 s. */
 const EXPIRY_GRACE_MS = 2000;
@@ -124,7 +124,7 @@
   if (isChanged) recordRegistryChange(state, step, { id: entry.id, entry });
   if (known === undefined || isRestarted) {
     state.servers.set(entry.id, createView(state, entry));
-    if (leaving) mergeLeaving(state, step, { life: incarnationOf(entry), source, isListed: true });
+    if (leaving) mergeDraining(state, step, { life: incarnationOf(entry), source, isListed: true });
     log(step, isRestarted ? 'serverBorn' : 'serverAdded', entryLogFields(entry, source));
     if (isRestarted) failOpenAttempts(state, step, known);
     return;
@@ -133,7 +133,7 @@
   known.expiresAtMs = undefined;
   known.entry = entry;
   known.statements = findStatements(state, incarnationOf(entry));
-  if (leaving) mergeLeaving(state, step, { life: incarnationOf(entry), source, isListed: true });
+  if (leaving) mergeDraining(state, step, { life: incarnationOf(entry), source, isListed: true });
   if (leaving || known.statements?.leaving !== undefined) known.leaving = true;
 }
 
--- a/packages/reedlug-gateway/src/slices/statements/__tests__/leaving.test.ts
+++ b/packages/reedlug-gateway/src/slices/statements/__tests__/draining.test.ts
@@ -14,27 +14,31 @@
 import type { AnswerVerdict } from '../../../types/request.js';
 import { ServerState } from '../../../types/server.js';
 
-const LEAVING = { ...NO_STATEMENTS, isDraining: true };
+const DRAINING = { ...NO_STATEMENTS, isDraining: true };
 
-/** Sends a request; gives the server that was chosen, which says that it leaves in its answer. */
-function askLeaving(box: Pick<TestBox, 'take'>, exchangeId: number, verdict: AnswerVerdict) {
+/** Sends a request whose answer says that its server is draining, and returns the id of that server. */
+function sendToDrainingServer(
+  box: Pick<TestBox, 'take'>,
+  exchangeId: number,
+  verdict: AnswerVerdict,
+) {
   const request = facts({ requestId: `r${exchangeId}`, path: '/lookup/1', deadlineMs: 8000 });
   const sent = ofType(box.take({ type: 'requestArrived', exchangeId, facts: request }), 'send')[0];
   if (sent === undefined) throw new Error('nothing was sent');
   const ids = { exchangeId, attemptId: sent.attemptId };
-  box.take({ type: 'answerBegun', ...ids, statements: LEAVING });
+  box.take({ type: 'answerBegun', ...ids, statements: DRAINING });
   const status = verdict === 'success' ? 200 : 503;
   box.take({ type: 'attemptAnswered', ...ids, verdict, status });
   return sent.order.serverId;
 }
 
-function chosen(box: Pick<TestBox, 'take'>, exchangeId: number): string | undefined {
+function chosenServer(box: Pick<TestBox, 'take'>, exchangeId: number): string | undefined {
   const request = facts({ requestId: `r${exchangeId}`, path: '/lookup/1', deadlineMs: 8000 });
   const effects = box.take({ type: 'requestArrived', exchangeId, facts: request });
   return ofType(effects, 'send')[0]?.order.serverId;
 }
 
-function isLeaving(box: TestBox, id: string): boolean | undefined {
+function isDraining(box: TestBox, id: string): boolean | undefined {
   return box.state.servers.get(id)?.leaving;
 }
 
@@ -52,16 +56,16 @@
 }
 
 for (const verdict of ['success', 'failure', 'notRun'] as const) {
-  test(`a server whose answer said that it leaves gets nothing more: ${verdict}`, () => {
+  test(`a server whose answer says that it is draining gets no more requests: ${verdict}`, () => {
     const box = createServingBox();
-    const left = askLeaving(box, 1, verdict);
+    const drainingId = sendToDrainingServer(box, 1, verdict);
     for (let exchangeId = 2; exchangeId < 40; exchangeId += 1) {
-      expect(chosen(box, exchangeId)).not.to.equal(left);
+      expect(chosenServer(box, exchangeId)).not.to.equal(drainingId);
     }
   });
 }
 
-test('when all engines leave, callers are told when the next one comes', () => {
+test('when all engines are draining, callers get the start of the next one as Retry-After', () => {
   const box = createServingBox();
   for (const serverId of ['engine-1', 'engine-2']) {
     box.take(statementsEvent({ serverId, bornAtMs: undefined, statement: { kind: 'leaving' } }));
@@ -72,43 +76,44 @@
   expect(only(effects, 'refuse').retryAfterMs).to.be.within(3000, 3750);
 });
 
-test('all boxes hear that a server leaves, also through hubs and boxes that start', () => {
+test('all boxes learn that a server is draining, also through hubs and after a restart', () => {
   for (const boxes of [6, 24, 69]) {
     const fleet = createFleet({ boxes, zones: ['zone-a', 'zone-b', 'zone-c'] });
     fleet.pass(4000);
     const box = { take: (event: Parameters<TestBox['take']>[0]) => fleet.take('box-4', event) };
-    const left = askLeaving(box, 1, 'success');
+    const drainingId = sendToDrainingServer(box, 1, 'success');
     fleet.pass(300);
-    for (const [boxId, other] of fleet.boxes) expect(isLeaving(other, left), boxId).to.equal(true);
+    for (const [boxId, other] of fleet.boxes)
+      expect(isDraining(other, drainingId), boxId).to.equal(true);
     fleet.restart('box-5');
     fleet.pass(1500);
-    const begun = fleet.boxes.get('box-5');
-    expect(begun && isLeaving(begun, left), `of ${boxes}`).to.equal(true);
+    const restarted = fleet.boxes.get('box-5');
+    expect(restarted && isDraining(restarted, drainingId), `of ${boxes}`).to.equal(true);
   }
 });
 
-test('an entry that says ready, comes late or anew does not undo that its server leaves', () => {
+test('an entry that says ready, arrives late or is listed again does not undo draining', () => {
   const box = createServingBox();
   read(box, 'records-1', 5, ServerState.ready);
   box.take(statementsEvent({ serverId: 'records-1', bornAtMs: 5, statement: { kind: 'leaving' } }));
-  expect(isLeaving(box, 'records-1')).to.equal(true);
+  expect(isDraining(box, 'records-1')).to.equal(true);
   read(box, 'records-1', 5, ServerState.ready);
-  expect(isLeaving(box, 'records-1')).to.equal(true);
+  expect(isDraining(box, 'records-1')).to.equal(true);
   remove(box, 'records-1');
   box.pass(30_000);
   read(box, 'records-1', 5, ServerState.ready);
-  expect(isLeaving(box, 'records-1')).to.equal(true);
+  expect(isDraining(box, 'records-1')).to.equal(true);
 });
 
-test('a server leaves that said so before its entry was known', () => {
+test('a draining statement that comes before the entry of its server is applied', () => {
   const box = createServingBox();
   box.take(statementsEvent({ serverId: 'records-9', bornAtMs: 5, statement: { kind: 'leaving' } }));
   box.pass(1000);
   read(box, 'records-9', 5, ServerState.ready);
-  expect(isLeaving(box, 'records-9')).to.equal(true);
+  expect(isDraining(box, 'records-9')).to.equal(true);
 });
 
-test('the next life of a server that left begins clean', () => {
+test('the next incarnation of a drained server is not draining', () => {
   const box = createServingBox();
   const news = statementsEvent({
     serverId: 'records-1',
@@ -118,29 +123,29 @@
   read(box, 'records-1', 5, ServerState.ready);
   box.take(news);
   read(box, 'records-1', 6, ServerState.ready);
-  expect(isLeaving(box, 'records-1')).to.equal(false);
+  expect(isDraining(box, 'records-1')).to.equal(false);
   box.take(news);
-  expect(isLeaving(box, 'records-1')).to.equal(false);
+  expect(isDraining(box, 'records-1')).to.equal(false);
 });
 
-test('an entry that says leaving counts beside news of a later life', () => {
+test('an entry that says leaving is applied alongside a statement of a later incarnation', () => {
   const box = createServingBox();
   read(box, 'records-1', 5, ServerState.ready);
   const statement = limitStatement(2);
   box.take(statementsEvent({ serverId: 'records-1', bornAtMs: 6, statement }));
   read(box, 'records-1', 5, ServerState.leaving);
-  expect(isLeaving(box, 'records-1')).to.equal(true);
+  expect(isDraining(box, 'records-1')).to.equal(true);
 });
 
-test('what the registry says of a server that leaves is kept as its own word is', () => {
+test('draining reported by the registry is kept like the statement of the server', () => {
   const box = createServingBox();
   read(box, 'records-1', 5, ServerState.leaving);
   remove(box, 'records-1');
   read(box, 'records-1', 5, ServerState.ready);
-  expect(isLeaving(box, 'records-1')).to.equal(true);
+  expect(isDraining(box, 'records-1')).to.equal(true);
 });
 
-test('statements of a server that is not listed are forgotten after ten minutes', () => {
+test('statements of an unlisted server are deleted after ten minutes', () => {
   const box = createServingBox();
   read(box, 'records-1', 5, ServerState.leaving);
   remove(box, 'records-1');
--- a/packages/reedlug-gateway/src/slices/statements/__tests__/limits.test.ts
+++ b/packages/reedlug-gateway/src/slices/statements/__tests__/limits.test.ts
@@ -48,40 +48,43 @@
 
 const NONE: LimitStatement = { kind: 'none' };
 
-/** A box with two servers of look-ups, of which it sends one request and takes the answer. */
-function ask(box: TestBox, words: Readonly<Record<string, LimitStatement>>): string | undefined {
+/** Sends one look-up request and answers it with the limit of the chosen server; returns the id of that server. */
+function sendAndAnswer(
+  box: TestBox,
+  limits: Readonly<Record<string, LimitStatement>>,
+): string | undefined {
   const sent = sentOf(box.take(requestOf()));
   if (sent === undefined) return undefined;
-  for (const event of answer(sent, words[sent.serverId] ?? NONE)) box.take(event);
+  for (const event of answer(sent, limits[sent.serverId] ?? NONE)) box.take(event);
   return sent.serverId;
 }
 
-/** All servers of look-ups name a limit until told otherwise; a caller comes to a box each few ms. */
-function play(
+/** Simulates look-up requests to all boxes every few ms, with servers that name the given limit in each answer. */
+function simulate(
   fleet: TestFleet,
-  params: { forMs: number; everyMs: number; word: () => LimitStatement },
+  params: { forMs: number; everyMs: number; limit: () => LimitStatement },
 ): { atMs: number; refusedMs: number[]; sentAtMs: number[] } {
   const ids = [...fleet.boxes.keys()];
   const refusedMs: number[] = [];
   const sentAtMs: number[] = [];
-  let turn = 0;
+  let round = 0;
   for (let atMs = 0; atMs < params.forMs; atMs += 50) {
     fleet.pass(50);
     for (let since = 0; since < 50; since += params.everyMs) {
-      turn += 7;
-      const boxId = ids[turn % ids.length] ?? '';
+      round += 7;
+      const boxId = ids[round % ids.length] ?? '';
       const effects = fleet.take(boxId, requestOf());
       const sent = sentOf(effects);
       for (const { retryAfterMs = 0 } of ofType(effects, 'refuse')) refusedMs.push(retryAfterMs);
       if (sent === undefined) continue;
       sentAtMs.push(atMs);
-      for (const event of answer(sent, params.word())) fleet.take(boxId, event);
+      for (const event of answer(sent, params.limit())) fleet.take(boxId, event);
     }
   }
   return { atMs: params.forMs, refusedMs, sentAtMs };
 }
 
-function mostFrom(sentAtMs: readonly number[], fromMs: number): number {
+function maxInWindow(sentAtMs: readonly number[], fromMs: number): number {
   const counted = sentAtMs.filter((atMs) => atMs >= fromMs);
   const windows = counted.map(
     (endMs) => counted.filter((atMs) => atMs > endMs - 4000 && atMs <= endMs).length,
@@ -89,7 +92,7 @@
   return Math.max(0, ...windows);
 }
 
-test('a limit that one box hears is known to all at once, also through hubs', () => {
+test('a limit that one box receives is soon known to all, also through hubs', () => {
   for (const boxes of [6, 24, 69]) {
     const fleet = createFleet({ boxes, zones: ['zone-a', 'zone-b', 'zone-c'] });
     fleet.pass(4000);
@@ -103,50 +106,50 @@
   }
 });
 
-test('all boxes together keep to a limit over each four seconds, and use it', () => {
+test('all boxes together keep to a limit in each four seconds, and use most of it', () => {
   for (const boxes of [6, 24, 69]) {
     for (const perSecond of [0.4, 1, 8, 50]) {
       const fleet = createFleet({ boxes, zones: ['zone-a', 'zone-b', 'zone-c'] });
       fleet.pass(4000);
-      const word = (): LimitStatement => ({ kind: 'limit', perSecond });
-      const { sentAtMs } = play(fleet, { forMs: 16_000, everyMs: 5, word });
+      const limit = (): LimitStatement => ({ kind: 'limit', perSecond });
+      const { sentAtMs } = simulate(fleet, { forMs: 16_000, everyMs: 5, limit });
       const label = `${boxes} boxes, ${perSecond} a second`;
-      expect(mostFrom(sentAtMs, 1000), label).to.be.at.most(perSecond * 5 + 1);
+      expect(maxInWindow(sentAtMs, 1000), label).to.be.at.most(perSecond * 5 + 1);
       const used = sentAtMs.filter((atMs) => atMs >= 4000).length / (perSecond * 12);
       expect(used, label).to.be.at.least(0.8);
     }
   }
 });
 
-test('a box that ends, comes back or stops hands its part on without a second one', () => {
+test('the share of a box that is lost, restarts or shuts down passes on without being used twice', () => {
   const fleet = createFleet({ boxes: 6, zones: ['zone-a', 'zone-b', 'zone-c'] });
   fleet.pass(4000);
-  const word = (): LimitStatement => ({ kind: 'limit', perSecond: 1 });
+  const limit = (): LimitStatement => ({ kind: 'limit', perSecond: 1 });
   const sentAtMs: number[] = [];
-  let beganMs = 0;
-  const playOn = (): void => {
-    const { sentAtMs: sent } = play(fleet, { forMs: 5000, everyMs: 10, word });
-    sentAtMs.push(...sent.map((atMs) => beganMs + atMs));
-    beganMs += 5000;
+  let elapsedMs = 0;
+  const continueSimulation = (): void => {
+    const { sentAtMs: sent } = simulate(fleet, { forMs: 5000, everyMs: 10, limit });
+    sentAtMs.push(...sent.map((atMs) => elapsedMs + atMs));
+    elapsedMs += 5000;
   };
-  playOn();
+  continueSimulation();
   const senders = [...fleet.boxes].filter(
     ([, { state }]) =>
       state.servers.get('records-1')?.statements?.limit?.sends.sharingSinceMs !== undefined,
   );
   expect(senders.length).to.equal(2);
   fleet.kill(senders[0]?.[0] ?? '');
-  playOn();
+  continueSimulation();
   fleet.take(senders[1]?.[0] ?? '', { type: 'stopAsked' });
-  playOn();
-  expect(mostFrom(sentAtMs, 3000)).to.be.at.most(6);
+  continueSimulation();
+  expect(maxInWindow(sentAtMs, 3000)).to.be.at.most(6);
   expect(sentAtMs.filter((atMs) => atMs > 12_000).length).to.be.at.least(2);
 });
 
-test('a box that starts is told of limits that stand, and sends within them', () => {
+test('a box that starts receives the limits in force and keeps to them', () => {
   const fleet = createFleet({ boxes: 6, zones: ['zone-a', 'zone-b', 'zone-c'] });
   fleet.pass(4000);
-  play(fleet, { forMs: 2000, everyMs: 10, word: () => ({ kind: 'limit', perSecond: 1 }) });
+  simulate(fleet, { forMs: 2000, everyMs: 10, limit: () => ({ kind: 'limit', perSecond: 1 }) });
   fleet.restart('box-2');
   fleet.pass(500);
   expect(
@@ -154,25 +157,25 @@
   ).to.equal(1);
 });
 
-test('when a limit ends all boxes use the server again, more and more', () => {
+test('when a limit ends all boxes use the server again, at a growing rate', () => {
   const fleet = createFleet({ boxes: 6, zones: ['zone-a', 'zone-b', 'zone-c'] });
   fleet.pass(4000);
-  let word: LimitStatement = { kind: 'limit', perSecond: 1 };
-  play(fleet, { forMs: 4000, everyMs: 10, word: () => word });
-  word = NONE;
-  const { sentAtMs } = play(fleet, { forMs: 8000, everyMs: 25, word: () => word });
+  let limit: LimitStatement = { kind: 'limit', perSecond: 1 };
+  simulate(fleet, { forMs: 4000, everyMs: 10, limit: () => limit });
+  limit = NONE;
+  const { sentAtMs } = simulate(fleet, { forMs: 8000, everyMs: 25, limit: () => limit });
   const sentIn = (fromMs: number, untilMs: number): number =>
     sentAtMs.filter((atMs) => atMs >= fromMs && atMs < untilMs).length;
   expect(sentIn(0, 1000)).to.be.below(sentIn(1000, 2500));
   expect(sentIn(6000, 7000)).to.equal(40);
 });
 
-test('what no server may take is refused at once, truly, and comes back at different times', () => {
+test('a request that no server accepts is refused at once, with accurate and distinct retry times', () => {
   const box = createServingBox();
   const limited: LimitStatement = { kind: 'limit', perSecond: 0.5 };
-  const words = { 'records-1': limited, 'records-2': limited };
+  const limits = { 'records-1': limited, 'records-2': limited };
   box.pass(4000);
-  for (let turn = 0; turn < 4; turn += 1) ask(box, words);
+  for (let round = 0; round < 4; round += 1) sendAndAnswer(box, limits);
   const refusals = [1, 2, 3].map(() => only(box.take(requestOf()), 'refuse'));
   for (const { status, reason } of refusals) {
     expect(status).to.equal(503);
@@ -183,16 +186,16 @@
   for (const ms of times) expect(ms).to.be.within(100, 6250);
 });
 
-test('while another server takes requests, none waits for a limited one', () => {
+test('no request waits for a limited server while another server accepts requests', () => {
   const box = createServingBox();
   box.pass(4000);
-  const words = { 'records-1': { kind: 'limit', perSecond: 0.4 } } as const;
-  const asked = Array.from({ length: 40 }, () => ask(box, words));
+  const limits = { 'records-1': { kind: 'limit', perSecond: 0.4 } } as const;
+  const asked = Array.from({ length: 40 }, () => sendAndAnswer(box, limits));
   expect(asked.filter((id) => id === 'records-1').length).to.be.at.most(2);
   expect(asked.filter((id) => id === 'records-2').length).to.be.at.least(38);
 });
 
-test('odd values change nothing and are logged', () => {
+test('malformed limits change nothing and are logged', () => {
   const box = createServingBox();
   const odd: LimitStatement = { kind: 'odd', value: 'x'.repeat(500) };
   const sent = sentOf(box.take(requestOf())) as Sent;
@@ -202,18 +205,18 @@
   expect(box.state.servers.get(sent.serverId)?.statements?.limit).to.equal(undefined);
 });
 
-test('an odd value does not end a limit that stands', () => {
+test('a malformed limit does not end a limit in force', () => {
   const box = createServingBox();
   box.pass(4000);
-  const words: Record<string, LimitStatement> = { 'records-1': { kind: 'limit', perSecond: 50 } };
-  for (let turn = 0; turn < 5; turn += 1) ask(box, words);
-  words['records-1'] = { kind: 'odd', value: '' };
+  const limits: Record<string, LimitStatement> = { 'records-1': { kind: 'limit', perSecond: 50 } };
+  for (let round = 0; round < 5; round += 1) sendAndAnswer(box, limits);
+  limits['records-1'] = { kind: 'odd', value: '' };
   box.pass(1000);
-  for (let turn = 0; turn < 5; turn += 1) ask(box, words);
+  for (let round = 0; round < 5; round += 1) sendAndAnswer(box, limits);
   expect(box.state.servers.get('records-1')?.statements?.limit?.perSecond).to.equal(50);
 });
 
-test('a limit belongs to one life of its server', () => {
+test('a limit belongs to one incarnation of its server', () => {
   const box = createServingBox();
   const entry = server('records-1', { bornAtMs: 1 });
   const change = (bornAtMs: number) => ({ id: entry.id, entry: { ...entry, bornAtMs } });
@@ -229,7 +232,7 @@
   expect(box.state.servers.get('records-1')?.statements?.limit).to.equal(undefined);
 });
 
-test('news that are none change nothing', () => {
+test('malformed statements in a datagram change nothing', () => {
   const box = createServingBox();
   const odd: unknown[] = [
     undefined,
@@ -247,7 +250,7 @@
   expect(box.state.statements.size).to.equal(0);
 });
 
-test('a server that refuses and asks for a pause gets nothing from any box until then', () => {
+test('a server that refuses and asks for a pause gets no request from any box until its end', () => {
   const fleet = createFleet({ boxes: 24, zones: ['zone-a', 'zone-b', 'zone-c'] });
   fleet.pass(4000);
   const { exchangeId, attemptId } = sentOf(fleet.take('box-3', requestOf())) as Sent;
@@ -275,20 +278,20 @@
   expect(box.state.servers.get(serverId)?.statements?.rest).to.equal(undefined);
 });
 
-test('a change is told by the box that heard it, twice, and by no other one of a small fleet', () => {
+test('in a small fleet only the box that received a change sends it, twice', () => {
   const fleet = createFleet({ boxes: 6, zones: ['zone-a', 'zone-b', 'zone-c'] });
   fleet.pass(4000);
   const sent = sentOf(fleet.take('box-4', requestOf())) as Sent;
   for (const event of answer(sent, { kind: 'limit', perSecond: 2 })) fleet.take('box-4', event);
-  const tellers: string[] = [];
+  const senders: string[] = [];
   for (let passed = 0; passed < 3000; passed += 50) {
     fleet.pass(50);
     for (const [boxId, effects] of fleet.effects) {
-      const told = ofType(effects, 'sendPeers').filter(
+      const sent = ofType(effects, 'sendPeers').filter(
         ({ message }) => message.kind === 'serverStatements',
       );
-      tellers.push(...told.map(() => boxId));
+      senders.push(...sent.map(() => boxId));
     }
   }
-  expect(tellers).to.deep.equal(['box-4', 'box-4']);
+  expect(senders).to.deep.equal(['box-4', 'box-4']);
 });
--- a/packages/reedlug-gateway/src/slices/statements/__tests__/rests.test.ts
+++ b/packages/reedlug-gateway/src/slices/statements/__tests__/pauses.test.ts
@@ -22,9 +22,9 @@
   serverId: string;
 }
 
-type Taker = Pick<TestBox, 'take'>;
+type EventReceiver = Pick<TestBox, 'take'>;
 
-function send(box: Taker): Sent | undefined {
+function send(box: EventReceiver): Sent | undefined {
   const exchangeId = nextExchangeId;
   nextExchangeId += 1;
   const request = facts({ requestId: `r${exchangeId}`, path: '/lookup/1', deadlineMs: 8000 });
@@ -32,29 +32,29 @@
   return sent && { exchangeId, attemptId: sent.attemptId, serverId: sent.order.serverId };
 }
 
-function serve(box: Taker, { exchangeId, attemptId }: Sent): void {
+function serve(box: EventReceiver, { exchangeId, attemptId }: Sent): void {
   const ids = { exchangeId, attemptId };
   box.take({ type: 'answerBegun', ...ids, statements: NO_STATEMENTS });
   box.take({ type: 'attemptAnswered', ...ids, verdict: 'success', status: 200 });
 }
 
-function refuse(box: Taker, { exchangeId, attemptId }: Sent, restMs: number): void {
+function refuse(box: EventReceiver, { exchangeId, attemptId }: Sent, pauseMs: number): void {
   const ids = { exchangeId, attemptId };
-  box.take({ type: 'answerBegun', ...ids, statements: { ...NO_STATEMENTS, pauseMs: restMs } });
+  box.take({ type: 'answerBegun', ...ids, statements: { ...NO_STATEMENTS, pauseMs } });
   box.take({ type: 'attemptAnswered', ...ids, verdict: 'notRun', status: 503 });
 }
 
-function boxOf(fleet: TestFleet, boxId: string): Taker {
+function boxOf(fleet: TestFleet, boxId: string): EventReceiver {
   return { take: (event) => fleet.take(boxId, event) };
 }
 
-function createCalmFleet(boxes: number): TestFleet {
+function createStableFleet(boxes: number): TestFleet {
   const fleet = createFleet({ boxes, zones: ['zone-a', 'zone-b', 'zone-c'] });
   fleet.pass(4000);
   return fleet;
 }
 
-/** Sends while nothing may be: gives how many sends were made in a time, from all boxes. */
+/** Attempts sends from all boxes for a time and returns how many were made. */
 function sendsIn(fleet: TestFleet, ms: number): number {
   let sends = 0;
   for (let passedMs = 0; passedMs < ms; passedMs += 500) {
@@ -64,28 +64,28 @@
   return sends;
 }
 
-for (const restS of [3, 10, 55]) {
-  test(`a rest of ${restS} s is kept to its end by all boxes`, () => {
-    const fleet = createCalmFleet(6);
-    refuse(boxOf(fleet, 'box-3'), send(boxOf(fleet, 'box-3')) as Sent, restS * 1000);
-    expect(sendsIn(fleet, (restS - 1) * 1000)).to.equal(0);
+for (const pauseS of [3, 10, 55]) {
+  test(`a pause of ${pauseS} s is kept to its end by all boxes`, () => {
+    const fleet = createStableFleet(6);
+    refuse(boxOf(fleet, 'box-3'), send(boxOf(fleet, 'box-3')) as Sent, pauseS * 1000);
+    expect(sendsIn(fleet, (pauseS - 1) * 1000)).to.equal(0);
     fleet.pass(1500);
     expect(send(boxOf(fleet, 'box-3'))?.serverId).to.equal('records-1');
     expect(send(boxOf(fleet, 'box-1'))?.serverId).to.equal('records-1');
   });
 }
 
-for (const restS of [3600, 1e9]) {
-  test(`in a rest of ${restS} s the fleet sends one request to learn whether it stands`, () => {
-    const fleet = createCalmFleet(6);
-    refuse(boxOf(fleet, 'box-3'), send(boxOf(fleet, 'box-3')) as Sent, restS * 1000);
+for (const pauseS of [3600, 1e9]) {
+  test(`in a pause of ${pauseS} s the fleet sends one probe`, () => {
+    const fleet = createStableFleet(6);
+    refuse(boxOf(fleet, 'box-3'), send(boxOf(fleet, 'box-3')) as Sent, pauseS * 1000);
     expect(sendsIn(fleet, 59_000)).to.equal(0);
     expect(sendsIn(fleet, 120_000)).to.equal(1);
   });
 }
 
-test('boxes that were not asked use a server again that served the probe of a long rest', () => {
-  const fleet = createCalmFleet(6);
+test('a served probe lifts a long pause for the boxes that were not asked for it', () => {
+  const fleet = createStableFleet(6);
   refuse(boxOf(fleet, 'box-3'), send(boxOf(fleet, 'box-3')) as Sent, 3_600_000);
   let probe: { boxId: string; sent: Sent } | undefined;
   for (let passedMs = 0; passedMs < 130_000 && probe === undefined; passedMs += 500) {
@@ -104,8 +104,8 @@
   }
 });
 
-test('a box that starts is told of a rest that stands', () => {
-  const fleet = createCalmFleet(6);
+test('a box that starts receives a pause in force', () => {
+  const fleet = createStableFleet(6);
   refuse(boxOf(fleet, 'box-3'), send(boxOf(fleet, 'box-3')) as Sent, 20_000);
   fleet.pass(2000);
   fleet.restart('box-5');
@@ -113,7 +113,7 @@
   expect(send(boxOf(fleet, 'box-5'))).to.equal(undefined);
 });
 
-test('a rest outlives a view of its server that is made anew, and ends with its life', () => {
+test('a pause survives a relisting of its server and ends with its incarnation', () => {
   const box = createServingBox();
   const entry = server('records-1', { bornAtMs: 5 });
   const read = (changed: typeof entry | undefined): void => {
@@ -121,28 +121,28 @@
     const changes = [{ id: 'records-1', entry: changed }];
     box.take({ type: 'serversRead', whole: false, changes, revision, source: 'store' });
   };
-  const rests = (): boolean =>
+  const isPaused = (): boolean =>
     (box.state.servers.get('records-1')?.statements?.rest?.untilMs ?? 0) > box.nowMs;
   read(entry);
   box.take(
     statementsEvent({ serverId: 'records-1', bornAtMs: 5, statement: pauseStatement(9000) }),
   );
-  expect(rests()).to.equal(true);
+  expect(isPaused()).to.equal(true);
   read(undefined);
   read({ ...entry, state: ServerState.ready });
-  expect(rests()).to.equal(true);
+  expect(isPaused()).to.equal(true);
   read({ ...entry, bornAtMs: 6 });
-  expect(rests()).to.equal(false);
+  expect(isPaused()).to.equal(false);
 });
 
-test('whichever rest comes first, boxes keep them all to the last end', () => {
-  const rests = fc.array(fc.record({ leftMs: fc.integer({ min: 400, max: 90_000 }) }), {
+test('pauses received in any order are kept to the latest end', () => {
+  const pausesArbitrary = fc.array(fc.record({ leftMs: fc.integer({ min: 400, max: 90_000 }) }), {
     minLength: 1,
     maxLength: 6,
   });
   fc.assert(
-    fc.property(rests, (drawn) => {
-      const ends = [drawn, [...drawn].reverse()].map((order) => {
+    fc.property(pausesArbitrary, (pauses) => {
+      const ends = [pauses, [...pauses].reverse()].map((order) => {
         const box = createServingBox();
         for (const { leftMs } of order) {
           const statement = pauseStatement(leftMs);
@@ -151,13 +151,13 @@
         return box.state.servers.get('records-1')?.statements?.rest?.untilMs;
       });
       expect(ends[0]).to.equal(ends[1]);
-      expect(ends[0]).to.equal(Math.max(...drawn.map(({ leftMs }) => leftMs)));
+      expect(ends[0]).to.equal(Math.max(...pauses.map(({ leftMs }) => leftMs)));
     }),
     { numRuns: 100, seed: 43 },
   );
 });
 
-test('a request that all servers rest from is refused with the time of the first that comes back', () => {
+test('a request for which all servers are paused is refused with the earliest end as its retry time', () => {
   const box = createServingBox();
   for (const [serverId, leftMs] of [
     ['records-1', 30_000] as const,
@@ -172,20 +172,20 @@
   expect(retryAfterMs).to.be.within(20_000, 25_000);
 });
 
-test('all boxes hear that a server refuses without a time, and send to others', () => {
+test('a box that learns of a refusal without a pause sends to other servers', () => {
   const box = createServingBox();
   const refusals = [900, 300].map((ageMs) => ({ kind: 'refusal' as const, ageMs }));
   for (const statement of refusals) {
     box.take(statementsEvent({ serverId: 'records-1', bornAtMs: undefined, statement }));
   }
-  for (let turn = 0; turn < 20; turn += 1) {
+  for (let round = 0; round < 20; round += 1) {
     const sent = send(box) as Sent;
     expect(sent.serverId).to.equal('records-2');
     serve(box, sent);
   }
 });
 
-test('refusals of a server within half a second are told as one', () => {
+test('refusals of a server within half a second count as one', () => {
   const box = createServingBox();
   for (const ageMs of [900, 800, 700]) {
     const statement = { kind: 'refusal' as const, ageMs };
--- a/packages/reedlug-gateway/src/slices/statements/announcement.ts
+++ b/packages/reedlug-gateway/src/slices/statements/announcement.ts
@@ -1,19 +1,22 @@
-/** When a statement is told to other boxes. */
+/** Decides when a server statement is sent to other boxes. */
 import type { Announcement } from '../../types/serverStatement.js';
 
-/** Pause after which a change is told once more, in ms: longer than a loss of several datagrams in a row. */
-const AGAIN_MS = 1000;
+/** Delay after which a change is sent a second time, in ms; longer than a burst of several lost datagrams. */
+const REPEAT_AFTER_MS = 1000;
 
-/** Whether others are to be told of a change now. */
-export function isNews({ changedAtMs, announcedAtMs }: Announcement, nowMs: number): boolean {
+/** Returns whether a change is due to be sent now: at once, and a second time after the delay. */
+export function isAnnouncementDue(
+  { changedAtMs, announcedAtMs }: Announcement,
+  nowMs: number,
+): boolean {
   if (announcedAtMs === undefined) return true;
-  return announcedAtMs < changedAtMs + AGAIN_MS && nowMs >= changedAtMs + AGAIN_MS;
+  return announcedAtMs < changedAtMs + REPEAT_AFTER_MS && nowMs >= changedAtMs + REPEAT_AFTER_MS;
 }
 
-/** The announcement of a change that others tell, and tell again. */
-export function asTold({ changedAtMs }: Announcement): {
+/** Returns the announcement of a change that another box sends, both times, so that this box need not. */
+export function asAnnounced({ changedAtMs }: Announcement): {
   changedAtMs: number;
   announcedAtMs: number;
 } {
-  return { changedAtMs, announcedAtMs: changedAtMs + AGAIN_MS };
+  return { changedAtMs, announcedAtMs: changedAtMs + REPEAT_AFTER_MS };
 }
--- a/packages/reedlug-gateway/src/slices/usage.ts
+++ b/packages/reedlug-gateway/src/slices/usage.ts
@@ -1,10 +1,10 @@
 /**
- * Usage: how many requests of each workspace began in each window.
+ * Usage: how many requests of each workspace started in each window.
  *
- * Boxes tell each other their counts. The holder of the lease enters the sum of
- * a window in a row that is written once, and reports just what the row says
- * once all boxes have heard it, so two holders never report different figures.
- * A checkpoint of the counts in the store outlives a loss of all boxes.
+ * Boxes send each other their counts. The holder of the lease, which is the one box that acts for the
+ * fleet, enters the sum of a window in a row that is written once. It reports exactly what the row says
+ * after all boxes have received it, so two holders never report different figures. A checkpoint of the
+ * counts in the store survives a loss of all boxes.
  */
 import type { EventOf } from '../types/event.js';
 import { CHECKPOINT_KEY, type CheckpointRow } from '../types/checkpoint.js';
@@ -15,28 +15,28 @@
 import { agreedWallMs } from './clock.js';
 import { dropLease, dutyFence } from './duties.js';
 import {
-  eraSinceWallMs,
+  eraSinceWallClockMs,
   isDue,
-  isTold,
+  isAnnounced,
   mayDecide,
   mergeDecision,
-  noteDecision,
-  noteReported,
+  recordDecision,
+  recordReported,
 } from './usageDecisions.js';
 
-/** Pause before a row or a report is tried again, in ms. */
+/** Delay before the write of a row or a report is retried, in ms. */
 const RETRY_MS = 700;
-/** Windows kept besides the current one: until the report is due, and one more. */
-const KEPT_WINDOWS = 4;
-/** Windows told to peers: the current one and the one before. */
-const TOLD_WINDOWS = 2;
-/** Pause between checkpoints, in ms: a tenth of the shortest window, against the price of a call. */
-const CHECKPOINT_MS = 500;
-/** Bytes of counts that a checkpoint holds at most: a row takes 64 KiB; limits, and the names of windows and workspaces, come on top. */
-const CHECKPOINT_BYTES = 48 * 1024;
+/** Number of windows kept besides the current one: until the report is due, and one more. */
+const RETAINED_WINDOWS = 4;
+/** Number of windows whose counts are sent to peers: the current one and the one before. */
+const ANNOUNCED_WINDOWS = 2;
+/** Minimum interval between checkpoints, in ms; a tenth of the shortest window, to limit the cost of calls. */
+const CHECKPOINT_INTERVAL_MS = 500;
+/** Maximum size of the counts in a checkpoint, in bytes. A row holds 64 KiB, and limits and the names of windows and workspaces need space as well. */
+const MAX_CHECKPOINT_BYTES = 48 * 1024;
 
-/** Counts a request once, in the window in which it began to run. */
-export function countBegun(state: GatewayState, step: Step, record: RequestRecord): void {
+/** Counts a request once, in the window in which it started to run. */
+export function countStarted(state: GatewayState, step: Step, record: RequestRecord): void {
   if (record.counted || record.workspace === undefined) return;
   record.counted = true;
   const { usageWindowMs } = state.settings.bounds;
@@ -71,7 +71,7 @@
   return created;
 }
 
-/** This box's counts of the newest windows, for its peers. */
+/** Returns this box's counts of the newest windows, for its peers. */
 export function ownUsage(state: GatewayState, step: Step): Record<string, UsageCounts> {
   const { usageWindowMs } = state.settings.bounds;
   if (usageWindowMs === 0) return {};
@@ -79,12 +79,12 @@
   const own: Record<string, UsageCounts> = {};
   for (const { window, byBox } of state.usage.values()) {
     const counts = byBox.get(ownKey(state));
-    if (counts !== undefined && window > current - TOLD_WINDOWS) own[window] = counts;
+    if (counts !== undefined && window > current - ANNOUNCED_WINDOWS) own[window] = counts;
   }
   return own;
 }
 
-/** Takes a box's counts; counts only grow, so the greater figure is the newer. */
+/** Merges the counts of a box. Counts only grow, so the greater total is the newer one. */
 export function mergeUsage(
   state: GatewayState,
   boxKey: string,
@@ -100,7 +100,7 @@
   }
 }
 
-/** Takes what a peer knows to be decided, for the windows that are still kept. */
+/** Merges the decisions that a peer knows, for the windows that are still kept. */
 export function mergeDecisions(
   state: GatewayState,
   step: Step,
@@ -108,7 +108,7 @@
 ): void {
   const { usageWindowMs } = state.settings.bounds;
   if (usageWindowMs === 0) return;
-  const oldest = Math.floor(agreedWallMs(state, step) / usageWindowMs) - KEPT_WINDOWS;
+  const oldest = Math.floor(agreedWallMs(state, step) / usageWindowMs) - RETAINED_WINDOWS;
   for (const decision of decisions) {
     if (decision.window < oldest) continue;
     mergeDecision(step, windowOf(state, decision.window), decision);
@@ -123,15 +123,15 @@
 export function usageTick(state: GatewayState, step: Step): void {
   const { usageWindowMs } = state.settings.bounds;
   if (usageWindowMs === 0 || state.settings.cloud?.reportsUsage !== true) return;
-  const wallMs = agreedWallMs(state, step);
-  const current = Math.floor(wallMs / usageWindowMs);
+  const wallClockMs = agreedWallMs(state, step);
+  const current = Math.floor(wallClockMs / usageWindowMs);
   for (const window of state.usage.keys()) {
-    if (window < current - KEPT_WINDOWS) state.usage.delete(window);
+    if (window < current - RETAINED_WINDOWS) state.usage.delete(window);
   }
   const fence = dutyFence(state, step.nowMs);
   if (fence === undefined || state.agreedClockOffsetMs === undefined) return;
   writeCheckpoint(state, step, fence);
-  // What the holder before has counted, maybe of boxes that are gone, must be known first.
+  // The counts of the previous holder, which may include boxes that are gone, must be known first.
   if (state.checkpointFence !== fence) return;
   for (const entry of state.usage.values()) {
     if (isDue(state, step, entry)) advanceWindow(state, step, entry, fence);
@@ -141,7 +141,7 @@
 function advanceWindow(state: GatewayState, step: Step, entry: UsageWindow, fence: number): void {
   if (entry.reported || step.nowMs - entry.requestedAtMs < RETRY_MS) return;
   if (entry.decided === undefined) return decide(state, step, entry);
-  if (!isTold(entry, step.nowMs)) return;
+  if (!isAnnounced(entry, step.nowMs)) return;
   entry.requestedAtMs = step.nowMs;
   entry.callId = state.nextCallId;
   state.nextCallId += 1;
@@ -179,7 +179,7 @@
   return sum;
 }
 
-/** Takes the row that fixes what is reported for a window. */
+/** Applies the row that fixes what is reported for a window. */
 export function onUsageRow(
   state: GatewayState,
   step: Step,
@@ -191,15 +191,15 @@
   if (entry === undefined || entry.decided !== undefined || answer.kind === 'unknown') return;
   const row = answer.rows.find((candidate) => candidate.key === reportKey(window));
   if (row?.value === undefined) return;
-  // It was asked in an era in which this box could decide, and may be written in the next one.
+  // If the store was restored between the request and its answer, this box may no longer be allowed to decide.
   if (!mayDecide(state, step, entry)) return;
   const counts = row.value as UsageCounts;
-  noteDecision(step, entry, counts);
+  recordDecision(step, entry, counts);
   entry.requestedAtMs = Number.NEGATIVE_INFINITY;
   log(step, 'usageDecided', { window, requests: total(counts), answer: answer.kind });
 }
 
-/** Takes the platform's answer to a report. */
+/** Handles the answer of the platform to a report. */
 export function onUsageAnswered(
   state: GatewayState,
   step: Step,
@@ -208,15 +208,15 @@
   for (const entry of state.usage.values()) {
     if (entry.callId !== event.callId || entry.reported) continue;
     log(step, 'usageReported', { window: entry.window, outcome: event.outcome });
-    if (event.outcome === 'done') noteReported(step, entry);
+    if (event.outcome === 'done') recordReported(step, entry);
     if (event.outcome === 'fenced') dropLease(state, step);
   }
 }
 
-/** Writes the counts; a new holder does so at once, since a conflict brings those of the one before. */
+/** Writes the counts. A new holder writes even without changes, since the conflict returns the counts of the previous holder. */
 function writeCheckpoint(state: GatewayState, step: Step, fence: number): void {
   const isNeeded = state.usageChanged || state.checkpointFence !== fence;
-  if (!isNeeded || step.nowMs - state.checkpointAtMs < CHECKPOINT_MS) return;
+  if (!isNeeded || step.nowMs - state.checkpointAtMs < CHECKPOINT_INTERVAL_MS) return;
   state.checkpointAtMs = step.nowMs;
   state.usageChanged = false;
   const value = checkpointOf(state, step);
@@ -224,11 +224,11 @@
   requestTable(step, { kind: 'checkpoint' }, { kind: 'transact', writes });
 }
 
-/** The counts of boxes by window; a window that is entered in its own row needs only its name. */
+/** Returns the counts of boxes by window. A window with a row of its own is listed without counts. */
 function checkpointOf(state: GatewayState, step: Step): CheckpointRow {
   const workspaces = state.active?.configuration.workspaces.map(({ name }) => name) ?? [];
   const windows: Record<string, Record<string, number[]>> = {};
-  let bytesLeft = CHECKPOINT_BYTES;
+  let bytesLeft = MAX_CHECKPOINT_BYTES;
   const newestFirst = [...state.usage.values()].sort((a, b) => b.window - a.window);
   for (const { window, byBox, reported, decided } of newestFirst) {
     if (reported) continue;
@@ -240,18 +240,21 @@
     }
     windows[window] = boxes;
   }
-  const sinceWallMs = eraSinceWallMs(state, step);
+  const sinceWallMs = eraSinceWallClockMs(state, step);
   const { storeEra: number = 0 } = state;
   return { workspaces, windows, ...(number === 0 ? {} : { era: { number, sinceWallMs } }) };
 }
 
-/** Forgets which checkpoint stands: the store came back, and the next write brings what it has. */
+/**
+ * Resets the known version of the checkpoint after the store was restored from a backup. The next write then
+ * conflicts if the store holds a checkpoint, and returns it.
+ */
 export function forgetCheckpoint(state: GatewayState): void {
   state.checkpointVersion = 0;
   state.checkpointFence = undefined;
 }
 
-/** Learns the checkpoint's version; after a conflict, takes the counts of whoever wrote it. */
+/** Records the version of the checkpoint and, after a conflict, merges the counts of the box that wrote it. */
 export function onCheckpointRow(
   state: GatewayState,
   step: Step,
@@ -266,7 +269,7 @@
   if (answer.kind === 'done' || row.value === undefined) return;
   const { workspaces, windows, era } = row.value as CheckpointRow;
   if (era?.number === state.storeEra && era !== undefined) {
-    const { eraKnown: eraKnown } = state;
+    const { eraKnown } = state;
     eraKnown.reportedSinceWallClockMs = Math.min(
       eraKnown.reportedSinceWallClockMs,
       era.sinceWallMs,
--- a/packages/reedlug-gateway/src/slices/waitingSends.ts
+++ b/packages/reedlug-gateway/src/slices/waitingSends.ts
@@ -1,8 +1,8 @@
 /**
- * Sends that wait a moment for units of their workspace's limit.
+ * Sends that wait briefly for units of their workspace's limit.
  *
- * A box whose part is used asks others, which takes one way there and back. A request
- * that others can't serve either is refused at once.
+ * A box whose share is used up asks other boxes for units, which takes one round trip. A request is
+ * refused at once if the other boxes have not announced enough spare units.
  */
 import type { Choice } from '../policy/chooseServer.js';
 import { addRetryJitter } from '../policy/retryJitter.js';
@@ -16,38 +16,38 @@
   chargeSend,
   findWorkspace,
   limitUse,
-  lentUnits,
+  borrowedUnits,
   quotaOf,
-  roomOf,
-  timeToUnits,
+  spareUnits,
+  timeUntilUnits,
 } from './quotas.js';
 import { countFirstSend } from './retryBudgets.js';
 import { sendOrGiveUp } from './sending.js';
-import { askForUnits, forgetOldAsks, returnLoans, takeLoan } from './unitLoans.js';
+import { requestUnits, pruneLoans, returnLoans, acceptLoan } from './unitLoans.js';
 
-/** Part of a route's target time for which a request may wait: with it the answer is hardly later. */
+/** Share of a route's target time for which a request may wait; small enough that the answer is hardly delayed. */
 const WAIT_SHARE = 0.125;
-/** Shortest and longest wait for units, in ms: between zones a way takes some ms, and a loan does not last. */
-const LEAST_WAIT_MS = 25;
-const MOST_WAIT_MS = 150;
+/** Shortest and longest wait for units, in ms. A message between zones takes some ms, and a loan expires soon. */
+const MIN_WAIT_MS = 25;
+const MAX_WAIT_MS = 150;
 
-/** Sends a request that has its units, or asks for those that it lacks; false when nobody has them. */
-export function sendOrAwaitUnits(
+/** Requests the units that a request lacks from other boxes and lets it wait for them; returns false if they have not announced enough. */
+export function requestAndAwaitUnits(
   state: GatewayState,
   step: Step,
   record: RequestRecord,
   workspace: WorkspaceSpec,
 ): boolean {
   const quota = quotaOf(state, workspace, step.nowMs);
-  const own = roomOf(state, workspace, step.nowMs) + lentUnits(quota, step.nowMs);
-  if (!askForUnits(state, step, workspace, record.units - own)) return false;
+  const own = spareUnits(state, workspace, step.nowMs) + borrowedUnits(quota, step.nowMs);
+  if (!requestUnits(state, step, workspace, record.units - own)) return false;
   const waitMs = record.route.targetMs * WAIT_SHARE;
-  const untilMs = step.nowMs + Math.min(MOST_WAIT_MS, Math.max(LEAST_WAIT_MS, waitMs));
+  const untilMs = step.nowMs + Math.min(MAX_WAIT_MS, Math.max(MIN_WAIT_MS, waitMs));
   state.waitingForUnits.push({ record, untilMs });
   return true;
 }
 
-/** Sends a request once more, if its workspace's limit holds another run of it. */
+/** Sends a request once more if its workspace's limit allows another run; otherwise lets it wait for units or refuses it. */
 export function sendAgain(
   state: GatewayState,
   step: Step,
@@ -57,13 +57,13 @@
   if (chargeFurtherSend(state, record, step.nowMs))
     return sendOrGiveUp(state, step, record, choice);
   const workspace = findWorkspace(state, record.workspace ?? '');
-  if (workspace !== undefined && sendOrAwaitUnits(state, step, record, workspace)) return;
+  if (workspace !== undefined && requestAndAwaitUnits(state, step, record, workspace)) return;
   refuseOverLimit(state, step, record);
 }
 
-/** Units came: requests of the workspace that have all of theirs go. */
+/** Accepts lent units and sends the waiting requests of the workspace that now have enough. */
 export function onUnitsLent(state: GatewayState, step: Step, event: EventOf<'unitsLent'>): void {
-  const workspace = takeLoan(state, step, event);
+  const workspace = acceptLoan(state, step, event);
   if (workspace === undefined) return;
   const isReady = ({ record }: WaitingSend): boolean =>
     record.workspace === workspace.name &&
@@ -71,40 +71,40 @@
     chargeSend(state, record, workspace, step.nowMs);
   const ready = state.waitingForUnits.filter(isReady);
   state.waitingForUnits = state.waitingForUnits.filter((waiting) => !ready.includes(waiting));
-  for (const { record } of ready) go(state, step, record);
-  returnUnneeded(state, step, workspace);
+  for (const { record } of ready) sendNow(state, step, record);
+  returnUnneededLoans(state, step, workspace);
 }
 
-/** Lent units that no request waits for are given back. */
-function returnUnneeded(state: GatewayState, step: Step, workspace: WorkspaceSpec): void {
+/** Returns the borrowed units of a workspace if none of its requests waits for them. */
+function returnUnneededLoans(state: GatewayState, step: Step, workspace: WorkspaceSpec): void {
   const isAwaited = state.waitingForUnits.some(({ record }) => record.workspace === workspace.name);
   if (!isAwaited) returnLoans(state, step, workspace);
 }
 
-function go(state: GatewayState, step: Step, record: RequestRecord): void {
+function sendNow(state: GatewayState, step: Step, record: RequestRecord): void {
   if (record.attempts.length === 0) countFirstSend(state, record.service);
   sendOrGiveUp(state, step, record);
 }
 
-/** Whether the request is still this box's to serve: its caller may have left, its time may be up. */
+/** Returns whether a request is still open. Its caller may have disconnected, or its deadline may have passed. */
 function isOpen(state: GatewayState, record: RequestRecord): boolean {
   return state.requests.get(record.exchangeId) === record;
 }
 
-/** Refuses those that waited long enough. */
+/** Refuses the requests whose wait for units has timed out, and returns their borrowed units. */
 export function waitingSendsTick(state: GatewayState, step: Step): void {
-  forgetOldAsks(state, step.nowMs);
+  pruneLoans(state, step.nowMs);
   if (state.waitingForUnits.length === 0) return;
-  const late = state.waitingForUnits.filter(({ untilMs }) => untilMs <= step.nowMs);
+  const timedOut = state.waitingForUnits.filter(({ untilMs }) => untilMs <= step.nowMs);
   state.waitingForUnits = state.waitingForUnits.filter(({ untilMs }) => untilMs > step.nowMs);
-  for (const { record } of late) {
+  for (const { record } of timedOut) {
     if (isOpen(state, record)) refuseOverLimit(state, step, record);
     const workspace = findWorkspace(state, record.workspace ?? '');
-    if (workspace !== undefined) returnUnneeded(state, step, workspace);
+    if (workspace !== undefined) returnUnneededLoans(state, step, workspace);
   }
 }
 
-/** Ends a request that its workspace's limit does not hold, told when to come back if it has not been sent. */
+/** Ends a request that exceeds its workspace's limit. If it has not been sent yet, it is refused with a Retry-After time. */
 export function refuseOverLimit(state: GatewayState, step: Step, record: RequestRecord): void {
   const { facts, exchangeId, units } = record;
   const workspace = findWorkspace(state, record.workspace ?? '');
@@ -121,7 +121,7 @@
     allowed: Math.round(allowed),
     divisor: state.part.divisor,
   });
-  const waitMs = timeToUnits(state, workspace, units, step.nowMs);
+  const waitMs = timeUntilUnits(state, workspace, units, step.nowMs);
   const retryAfterMs = addRetryJitter(waitMs, facts.requestId);
   refuse(step, { exchangeId, facts, status: 429, reason: 'overLimit', retryAfterMs });
 }
