--- a/packages/reedlug-gateway/src/__tests__/__fixtures__/fleet.ts
+++ b/packages/reedlug-gateway/src/__tests__/__fixtures__/fleet.ts
@@ -10,7 +10,7 @@
   type TestBox,
 } from './box.js';
 import { eventOfDatagram } from '../../daemon/datagramEvent.js';
-import { eventsOfShared, sharedStateOf } from '../../slices/sharedState.js';
+import { eventsOfSharedState, sharedStateOf } from '../../slices/sharedState.js';
 import type { PeerAddress } from '../../types/peer.js';
 import type { Effect } from '../../types/effect.js';
 import type { EventBody } from '../../types/event.js';
@@ -72,7 +72,8 @@
     for (const { peer, withServers } of ofType(asked, 'askPeer')) {
       const sender = boxes.get(idByHost.get(peer.host) ?? '');
       if (box === undefined || sender === undefined) continue;
-      for (const event of eventsOfShared(sharedStateOf(sender.state, withServers))) box.take(event);
+      for (const event of eventsOfSharedState(sharedStateOf(sender.state, withServers)))
+        box.take(event);
     }
   };
   return {
--- a/packages/reedlug-gateway/src/daemon/effects.ts
+++ b/packages/reedlug-gateway/src/daemon/effects.ts
@@ -2,7 +2,7 @@
 import { performance } from 'node:perf_hooks';
 import type { Effect } from '../types/effect.js';
 import type { Runtime } from './gatewayDaemon.js';
-import { eventsOfShared } from '../slices/sharedState.js';
+import { eventsOfSharedState } from '../slices/sharedState.js';
 import { countEvent } from '../observe/gatewayMetrics.js';
 import { sendAttempt } from './backendAttempt.js';
 import { CLOUD_TIMEOUT_MS, TABLE_TIMEOUT_MS } from './daemonTimes.js';
@@ -172,6 +172,6 @@
 function askPeer(runtime: Runtime, effect: EffectOf<'askPeer'>): void {
   void runtime.peers.ask(effect.peer, effect.withServers).then((shared) => {
     if (shared === undefined) return;
-    for (const event of eventsOfShared(shared)) runtime.emit(event);
+    for (const event of eventsOfSharedState(shared)) runtime.emit(event);
   });
 }
--- a/packages/reedlug-gateway/src/daemon/gatewayDaemon.ts
+++ b/packages/reedlug-gateway/src/daemon/gatewayDaemon.ts
@@ -8,7 +8,7 @@
 import type { Logger } from '../observe/logger.js';
 import { reduce } from '../reduce.js';
 import { sharedStateOf } from '../slices/sharedState.js';
-import { isReady } from '../slices/stopping.js';
+import { isReady } from '../slices/shutdown.js';
 import { isNewEra } from '../slices/storeEra.js';
 import { createGatewayState, type GatewayState } from '../state.js';
 import type { EventBody } from '../types/event.js';
--- a/packages/reedlug-gateway/src/daemon/operatorServer.ts
+++ b/packages/reedlug-gateway/src/daemon/operatorServer.ts
@@ -7,7 +7,7 @@
 import { setDecisionMetrics } from '../observe/decisionMetrics.js';
 import type { GatewayMetrics } from '../observe/gatewayMetrics.js';
 import type { Logger } from '../observe/logger.js';
-import { verdictsOf } from '../slices/crashSuspects.js';
+import { blockedSuspects } from '../slices/crashSuspects.js';
 import type { GatewayState } from '../state.js';
 import type { EventBody } from '../types/event.js';
 import type { Clock } from './clock.js';
@@ -37,7 +37,7 @@
 
 function showVerdicts({ state, clock }: OperatedBox, response: ServerResponse): void {
   response.setHeader('Content-Type', 'application/json');
-  response.end(JSON.stringify(verdictsOf(state, clock.nowMs())));
+  response.end(JSON.stringify(blockedSuspects(state, clock.nowMs())));
 }
 
 function liftVerdict(
@@ -46,7 +46,9 @@
   response: ServerResponse,
 ): void {
   if (method !== 'DELETE') return end(response, 405, 'DELETE lifts a verdict');
-  const isKnown = verdictsOf(box.state, box.clock.nowMs()).some((verdict) => verdict.key === key);
+  const isKnown = blockedSuspects(box.state, box.clock.nowMs()).some(
+    (verdict) => verdict.key === key,
+  );
   if (key === undefined || !isKnown) {
     return end(response, 404, 'no such verdict: GET /verdicts names those that stand');
   }
--- a/packages/reedlug-gateway/src/daemon/statementWire.ts
+++ b/packages/reedlug-gateway/src/daemon/statementWire.ts
@@ -4,7 +4,7 @@
  * A tenth of thousands of servers may say something at once, so rows carry no names. A row
  * that is none, as of another version, is left out.
  */
-import { isNumber, isNumberOrNull } from '../slices/rowValues.js';
+import { isFiniteNumber, isFiniteNumberOrNull } from '../slices/rowValues.js';
 import type {
   ServerStatement,
   ServerStatementsMessage,
@@ -98,26 +98,26 @@
 ): IncarnationStatement[] {
   if (!Array.isArray(row)) return [];
   const [serverId, bornAtMs, ...values] = row as unknown[];
-  if (typeof serverId !== 'string' || !isNumberOrNull(bornAtMs)) return [];
+  if (typeof serverId !== 'string' || !isFiniteNumberOrNull(bornAtMs)) return [];
   const statement = statementOf(values);
   return statement === undefined ? [] : [{ serverId, bornAtMs: bornAtMs ?? undefined, statement }];
 }
 
 function limitOf([perSecond, sentAgeMs, receivedAgeMs]: readonly unknown[]):
   ServerStatement | undefined {
-  if (!isNumberOrNull(perSecond) || (perSecond ?? 0) < 0) return undefined;
-  if (!isNumber(sentAgeMs) || !isNumber(receivedAgeMs)) return undefined;
+  if (!isFiniteNumberOrNull(perSecond) || (perSecond ?? 0) < 0) return undefined;
+  if (!isFiniteNumber(sentAgeMs) || !isFiniteNumber(receivedAgeMs)) return undefined;
   return { kind: 'limit', perSecond: perSecond ?? undefined, sentAgeMs, receivedAgeMs };
 }
 
 function refusalOf([ageMs]: readonly unknown[]): ServerStatement | undefined {
-  return isNumber(ageMs) ? { kind: 'refusal', ageMs } : undefined;
+  return isFiniteNumber(ageMs) ? { kind: 'refusal', ageMs } : undefined;
 }
 
 function restOf(values: readonly unknown[]): ServerStatement | undefined {
   const [leftMs, askedAgeMs = 0, probeAgeMs = null, servedAgeMs = null] = values;
-  if (!isNumber(leftMs) || !isNumber(askedAgeMs)) return undefined;
-  if (!isNumberOrNull(probeAgeMs) || !isNumberOrNull(servedAgeMs)) return undefined;
+  if (!isFiniteNumber(leftMs) || !isFiniteNumber(askedAgeMs)) return undefined;
+  if (!isFiniteNumberOrNull(probeAgeMs) || !isFiniteNumberOrNull(servedAgeMs)) return undefined;
   return {
     kind: 'rest',
     leftMs,
--- a/packages/reedlug-gateway/src/index.ts
+++ b/packages/reedlug-gateway/src/index.ts
@@ -7,8 +7,12 @@
 export { handleInTurn } from './daemon/handleInTurn.js';
 export { followPlatform, type PlatformFeeds } from './daemon/platformFeeds.js';
 export { eventsOfTable } from './daemon/tableEvents.js';
-export { eventsOfShared, sharedStateOf, type SharedState } from './slices/sharedState.js';
-export { isReady } from './slices/stopping.js';
+export {
+  eventsOfSharedState as eventsOfShared,
+  sharedStateOf,
+  type SharedState,
+} from './slices/sharedState.js';
+export { isReady } from './slices/shutdown.js';
 export { isNewEra } from './slices/storeEra.js';
 export { reduce } from './reduce.js';
 export { runGateway } from './daemon/runGateway.js';
--- a/packages/reedlug-gateway/src/policy/chooseServer.ts
+++ b/packages/reedlug-gateway/src/policy/chooseServer.ts
@@ -12,7 +12,7 @@
 import type { ServerLoad } from '../types/peer.js';
 import type { GatewayState } from '../state.js';
 import type { ServerView } from '../types/views.js';
-import { countedPeers, type HeardPeer } from '../slices/fleet.js';
+import { countedPeers, type PeerWithMessage } from '../slices/fleet.js';
 import { isAnswerWanted, isEligible, isLimited } from '../slices/statements/eligibility.js';
 import { modelOf } from '../slices/engineModels.js';
 import { highestRanked } from './highestRanked.js';
@@ -178,7 +178,7 @@
 }
 
 /** Open work at a server: this box's own and what peers last told. */
-function totalLoad(view: ServerView, peers: readonly HeardPeer[]): ServerLoad {
+function totalLoad(view: ServerView, peers: readonly PeerWithMessage[]): ServerLoad {
   let total: ServerLoad = view;
   for (const peer of peers) {
     const load = peer.message.loads[view.entry.id];
--- a/packages/reedlug-gateway/src/reduce.ts
+++ b/packages/reedlug-gateway/src/reduce.ts
@@ -16,26 +16,26 @@
   onEventsRelayed,
 } from './slices/attempts.js';
 import { capacityTick } from './slices/capacity.js';
-import { crashNewsTick, onCrashSuspects } from './slices/crashNews.js';
-import { crashRecordTick, onCrashRow } from './slices/crashRecord.js';
+import { crashGossipTick, onCrashSuspects } from './slices/crashGossip.js';
+import { crashRowTick, onCrashRow } from './slices/crashRow.js';
 import { crashSuspectsTick, liftVerdict } from './slices/crashSuspects.js';
 import { onOrderAnswered } from './slices/engineOrders.js';
 import { clockTick, onClockRow, onStoreClock } from './slices/clock.js';
-import { dutiesTick, onLeaseRow } from './slices/duties.js';
+import { dutyLeaseTick, onLeaseRow } from './slices/dutyLease.js';
 import { fleetPartTick } from './slices/fleetPart.js';
 import { lostServersTick, onServerProbed } from './slices/lostServers.js';
 import { onPeerMessage, onPeersListed, onPeerUsage } from './slices/peers.js';
 import { awaitingTick, onCallerGone, onRequestArrived, requestsTick } from './slices/requests.js';
 import { onRolloutRow, rolloutRecordsTick } from './slices/rolloutRecords.js';
-import { rolloutsTick } from './slices/rolloutJudgement.js';
+import { rolloutEvaluationTick } from './slices/rolloutEvaluation.js';
 import { onRolloutOrdered } from './slices/rollouts.js';
 import { onServerStatements, statementsTick } from './slices/statements/statementNews.js';
 import { onServersRead, onStoreContact, serversTick } from './slices/servers.js';
 import { silenceTick } from './slices/silence.js';
 import { onStoreEra } from './slices/storeEra.js';
-import { onStopAsked, stopTick } from './slices/stopping.js';
-import { peersTick } from './slices/tellPeers.js';
-import { noteWallClock } from './slices/suspension.js';
+import { onStopAsked, shutdownTick } from './slices/shutdown.js';
+import { gossipTick } from './slices/sendGossip.js';
+import { checkWallClock } from './slices/suspension.js';
 import { onUnitsAsked, onUnitsReturned } from './slices/unitLoans.js';
 import { onUnitsLent, waitingSendsTick } from './slices/waitingSends.js';
 import { onCheckpointRow, onUsageAnswered, onUsageRow, usageTick } from './slices/usage.js';
@@ -43,7 +43,7 @@
 /** Takes an event; returns what is asked of the outside. */
 export function reduce(state: GatewayState, event: GatewayEvent): Effect[] {
   const step: Step = { nowMs: event.nowMs, wallClockMs: event.wallClockMs, effects: [] };
-  noteWallClock(state, step);
+  checkWallClock(state, step);
   handle(state, step, event);
   return step.effects;
 }
@@ -120,17 +120,17 @@
   clockTick(state, step);
   waitingSendsTick(state, step);
   fleetPartTick(state, step);
-  dutiesTick(state, step);
+  dutyLeaseTick(state, step);
   usageTick(state, step);
-  rolloutsTick(state, step);
+  rolloutEvaluationTick(state, step);
   rolloutRecordsTick(state, step);
   capacityTick(state, step);
-  peersTick(state, step);
+  gossipTick(state, step);
   crashSuspectsTick(state, step);
-  crashNewsTick(state, step);
+  crashGossipTick(state, step);
   statementsTick(state, step);
-  crashRecordTick(state, step);
-  stopTick(state, step);
+  crashRowTick(state, step);
+  shutdownTick(state, step);
 }
 
 function onTableAnswered(state: GatewayState, step: Step, event: EventOf<'tableAnswered'>): void {
--- a/packages/reedlug-gateway/src/slices/__tests__/crashSuspects.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/crashSuspects.test.ts
@@ -13,7 +13,7 @@
 
 const SUSPECT = 'tiger/bad';
 /** Time in which a verdict is given, with a tick more. */
-const JUDGED_MS = 1550;
+const EVALUATION_MS = 1550;
 
 let nextExchangeId = 1;
 
@@ -35,7 +35,7 @@
 }
 
 /** Loses a send; its server's port takes no connection any more, or does. */
-function lose(box: TestBox, sent: { exchangeId: number; attemptId: number }, isGone = true) {
+function loseSend(box: TestBox, sent: { exchangeId: number; attemptId: number }, isGone = true) {
   const { exchangeId, attemptId } = sent;
   const effects = box.take({ type: 'attemptLost', exchangeId, attemptId, reason: 'reset' });
   const outcome = isGone ? 'refused' : 'accepted';
@@ -47,14 +47,14 @@
 }
 
 /** A request comes and its servers end under it, the box's own further send as well. */
-function comeAndCrash(box: TestBox, digest = 'bad', path = '/draft/1'): Effect[] {
+function sendCrashingRequest(box: TestBox, digest = 'bad', path = '/draft/1'): Effect[] {
   const { exchangeId, effects } = arrive(box, digest, path);
   let sends = ofType(effects, 'send');
   const all = [...effects];
   while (sends.length > 0) {
     const { attemptId } = sends[0] as (typeof sends)[number];
     box.pass(100);
-    const done = lose(box, { exchangeId, attemptId });
+    const done = loseSend(box, { exchangeId, attemptId });
     all.push(...done);
     sends = ofType(done, 'send');
   }
@@ -77,10 +77,10 @@
 
 test('after three crashes a request is refused at once, truly, and without a time to come back', () => {
   const box = createBox();
-  comeAndCrash(box);
+  sendCrashingRequest(box);
   box.pass(300);
-  comeAndCrash(box);
-  box.pass(JUDGED_MS);
+  sendCrashingRequest(box);
+  box.pass(EVALUATION_MS);
   const { effects } = arrive(box, 'bad');
   const { status, reason, retryAfterMs } = only(effects, 'refuse');
   expect({ status, reason, retryAfterMs }).to.deep.equal({
@@ -94,9 +94,9 @@
 
 test('until it is judged nothing of it is sent, and it may come back', () => {
   const box = createBox();
-  comeAndCrash(box);
+  sendCrashingRequest(box);
   box.pass(300);
-  comeAndCrash(box);
+  sendCrashingRequest(box);
   const { status, retryAfterMs } = only(arrive(box, 'bad').effects, 'refuse');
   expect(status).to.equal(503);
   expect(retryAfterMs).to.be.within(1000, 1500);
@@ -104,23 +104,23 @@
 
 test('of a request with two crashes a lost send is not followed by another of the box', () => {
   const box = createBox();
-  expect(ofType(comeAndCrash(box), 'send')).to.have.lengthOf(2);
+  expect(ofType(sendCrashingRequest(box), 'send')).to.have.lengthOf(2);
   box.pass(300);
-  expect(ofType(comeAndCrash(box), 'send')).to.have.lengthOf(1);
+  expect(ofType(sendCrashingRequest(box), 'send')).to.have.lengthOf(1);
 });
 
 test('a reset of connections, a server that leaves and one that is cut off are no crash', () => {
   const box = createBox();
   for (let index = 0; index < 5; index += 1) {
     const { exchangeId, effects } = arrive(box, 'reset');
-    lose(box, { exchangeId, attemptId: only(effects, 'send').attemptId }, false);
+    loseSend(box, { exchangeId, attemptId: only(effects, 'send').attemptId }, false);
     box.pass(500);
   }
   for (const view of box.state.servers.values()) view.leaving = view.entry.id !== 'engine-1';
   const { exchangeId, effects } = arrive(box, 'leaving');
   const engine = box.state.servers.get('engine-1');
   if (engine !== undefined) engine.leaving = true;
-  lose(box, { exchangeId, attemptId: only(effects, 'send').attemptId });
+  loseSend(box, { exchangeId, attemptId: only(effects, 'send').attemptId });
   expect([...box.state.crashSuspects.keys()]).to.deep.equal([]);
 });
 
@@ -128,7 +128,7 @@
   const box = createBox();
   const { exchangeId, effects } = arrive(box, 'bad');
   const { attemptId, order } = only(effects, 'send');
-  lose(box, { exchangeId, attemptId }, false);
+  loseSend(box, { exchangeId, attemptId }, false);
   expect(box.state.crashSuspects.size).to.equal(0);
   const entry = server(order.serverId, { service: 'engines', bornAtMs: 5 });
   const changes = [
@@ -142,7 +142,7 @@
 
 test('a good run clears a request, whoever saw it', () => {
   const box = createBox();
-  comeAndCrash(box);
+  sendCrashingRequest(box);
   box.pass(2000);
   const { exchangeId, effects } = arrive(box, 'bad');
   const { attemptId } = only(effects, 'send');
@@ -154,7 +154,7 @@
   // News of crashes before it come late.
   const other = createBox();
   other.nowMs = box.nowMs - 2100;
-  comeAndCrash(other);
+  sendCrashingRequest(other);
   other.nowMs = box.nowMs;
   box.take({ type: 'crashSuspects', message: message(other) });
   expect(box.state.crashSuspects.get(SUSPECT)?.crashes).to.deep.equal([]);
@@ -172,7 +172,7 @@
     status: 200,
   });
   box.pass(1500);
-  lose(box, { exchangeId, attemptId });
+  loseSend(box, { exchangeId, attemptId });
   expect(box.state.crashSuspects.size).to.equal(0);
 });
 
@@ -180,7 +180,7 @@
   const box = createBox();
   const { exchangeId, effects } = arrive(box, 'bad');
   const { attemptId, order } = only(effects, 'send');
-  lose(box, { exchangeId, attemptId });
+  loseSend(box, { exchangeId, attemptId });
   const chosen = Array.from({ length: 20 }, (_, index) => {
     return ofType(arrive(box, `other-${index}`).effects, 'send')[0]?.order.serverId;
   });
@@ -192,7 +192,7 @@
     const box = createBox();
     // A server that tells no births is back after some seconds.
     box.nowMs = 4000 * index;
-    comeAndCrash(box);
+    sendCrashingRequest(box);
     box.nowMs = 16_000;
     return message(box);
   });
@@ -233,10 +233,10 @@
   const answer = { kind: 'done' as const, rows: [] };
   const purpose = { kind: 'crashSuspects' as const, writes: false };
   writer.take({ type: 'tableAnswered', purpose, answer, sentAtMs: writer.nowMs });
-  comeAndCrash(writer);
+  sendCrashingRequest(writer);
   writer.pass(300);
-  comeAndCrash(writer);
-  const writes = [writer.pass(JUDGED_MS), writer.pass(300)].flatMap((effects) =>
+  sendCrashingRequest(writer);
+  const writes = [writer.pass(EVALUATION_MS), writer.pass(300)].flatMap((effects) =>
     ofType(effects, 'requestTable').filter((effect) => effect.purpose.kind === 'crashSuspects'),
   );
   const op = writes.at(-1)?.op;
@@ -267,7 +267,7 @@
     const recent = [...crashes, ...others];
     const message = { kind: 'crashSuspects' as const, boxId: 'box-2', suspects, recent };
     box.take({ type: 'crashSuspects', message });
-    box.pass(JUDGED_MS);
+    box.pass(EVALUATION_MS);
     return box.state.crashSuspects.get(SUSPECT)?.blockedSinceMs !== undefined;
   };
   expect(isKeptOut([])).to.equal(true);
@@ -288,10 +288,10 @@
 
 test('an operator lifts a verdict at one box, and all others learn of it', () => {
   const box = createBox();
-  comeAndCrash(box);
+  sendCrashingRequest(box);
   box.pass(300);
-  comeAndCrash(box);
-  box.pass(JUDGED_MS);
+  sendCrashingRequest(box);
+  box.pass(EVALUATION_MS);
   expect(only(arrive(box, 'bad').effects, 'refuse').status).to.equal(500);
   const other = createBox();
   const told = message(box);
@@ -301,13 +301,13 @@
   for (const known of [box, other]) known.pass(1000);
   box.take({ type: 'verdictLifted', key: SUSPECT });
   expect(ofType(arrive(box, 'bad').effects, 'send')).to.have.length(1);
-  const good = { ...message(box), suspects: [newsOfLifted(box)] };
+  const good = { ...message(box), suspects: [gossipAfterLift(box)] };
   other.take({ type: 'crashSuspects', message: good });
   expect(ofType(arrive(other, 'bad').effects, 'send')).to.have.length(1);
 });
 
 /** What the box tells of the suspect after the verdict was lifted. */
-function newsOfLifted(box: TestBox) {
+function gossipAfterLift(box: TestBox) {
   const suspect = box.state.crashSuspects.get(SUSPECT);
   const goodRunAgeMs = box.nowMs - (suspect?.goodRunAtMs ?? 0);
   return { key: SUSPECT, crashes: [], goodRunAgeMs, keptOutAgeMs: undefined, seenAgeMs: 0 };
@@ -323,7 +323,7 @@
   const message = { kind: 'crashSuspects' as const, boxId: 'box-2', suspects: [], recent };
   box.take({ type: 'crashSuspects', message });
   box.pass(10);
-  lose(box, { exchangeId: late.exchangeId, attemptId: lateSend.attemptId });
+  loseSend(box, { exchangeId: late.exchangeId, attemptId: lateSend.attemptId });
   expect(box.state.crashSuspects.has('tiger/popular')).to.equal(false);
 });
 
@@ -332,14 +332,14 @@
   const first = arrive(box, 'bad');
   const { attemptId, order } = only(first.effects, 'send');
   box.pass(60);
-  lose(box, { exchangeId: first.exchangeId, attemptId });
+  loseSend(box, { exchangeId: first.exchangeId, attemptId });
   expect([...box.state.crashSuspects.keys()]).to.deep.equal(['tiger/bad']);
   // Only that server takes what comes next.
   for (const view of box.state.servers.values()) view.leaving = view.entry.id !== order.serverId;
   box.pass(100);
   const later = arrive(box, 'popular');
   box.pass(10);
-  lose(box, {
+  loseSend(box, {
     exchangeId: later.exchangeId,
     attemptId: only(later.effects, 'send').attemptId,
   });
--- a/packages/reedlug-gateway/src/slices/__tests__/fleet.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/fleet.test.ts
@@ -307,12 +307,12 @@
 });
 
 /** Units that a box believes the whole fleet to have admitted. */
-function admittedAsSeen(fleet: TestFleet, boxId: string): number {
+function admittedAsKnownTo(fleet: TestFleet, boxId: string): number {
   const state = fleet.boxes.get(boxId)?.state;
   if (state === undefined) throw new Error(`no ${boxId}`);
-  const told = state.totalsFromBoxes.admitted.get('tiger') ?? 0;
-  const toldByHubs = state.totalsFromHubs.admitted.get('tiger') ?? 0;
-  return (state.quotas.get('tiger')?.admitted ?? 0) + told + toldByHubs;
+  const fromBoxes = state.totalsFromBoxes.admitted.get('tiger') ?? 0;
+  const fromHubs = state.totalsFromHubs.admitted.get('tiger') ?? 0;
+  return (state.quotas.get('tiger')?.admitted ?? 0) + fromBoxes + fromHubs;
 }
 
 test('restarts in turn count nothing twice against a limit', () => {
@@ -333,7 +333,7 @@
   const watcher = 'box-59';
   for (let round = 0; round < 40; round += 1) admitOne();
   fleet.pass(1500);
-  const seenBefore = admittedAsSeen(fleet, watcher);
+  const seenBefore = admittedAsKnownTo(fleet, watcher);
   const admittedBefore = admitted;
   for (let turn = 0; turn < 30; turn += 1) {
     fleet.restart(ids[turn] ?? '');
@@ -343,7 +343,7 @@
     }
   }
   fleet.pass(2000);
-  const seen = admittedAsSeen(fleet, watcher) - seenBefore;
+  const seen = admittedAsKnownTo(fleet, watcher) - seenBefore;
   expect(seen / (admitted - admittedBefore)).to.be.within(0.85, 1.1);
 });
 
@@ -354,7 +354,7 @@
   fleet.kill(hubId);
   const ids = [...fleet.boxes.keys()];
   const watcher = ids.find((id) => fleet.boxes.get(id)?.state.settings.box.zone === 'zone-b') ?? '';
-  const seenBefore = admittedAsSeen(fleet, watcher);
+  const seenBefore = admittedAsKnownTo(fleet, watcher);
   let admitted = 0;
   for (let step = 0; step < 60; step += 1) {
     const box = fleet.boxes.get(ids[(step * 11) % ids.length] ?? '');
@@ -371,7 +371,7 @@
     }
   }
   fleet.pass(1500);
-  const seen = admittedAsSeen(fleet, watcher) - seenBefore;
+  const seen = admittedAsKnownTo(fleet, watcher) - seenBefore;
   expect(seen / admitted).to.be.within(0.5, 1.02);
 });
 
@@ -381,7 +381,7 @@
   const member = [...fleet.boxes.values()].find(({ state }) => state.hubId !== undefined);
   const hubId = member?.state.hubId ?? '';
   const watcher = 'box-59';
-  const seenBefore = admittedAsSeen(fleet, watcher);
+  const seenBefore = admittedAsKnownTo(fleet, watcher);
   let admitted = 0;
   const ids = [...fleet.boxes.keys()].filter((id) => id !== hubId);
   const serve = (steps: number, from: number): void => {
@@ -403,7 +403,7 @@
   fleet.boxes.set(hubId, paused);
   serve(60, 1000);
   fleet.pass(1500);
-  const seen = admittedAsSeen(fleet, watcher) - seenBefore;
+  const seen = admittedAsKnownTo(fleet, watcher) - seenBefore;
   expect(seen / admitted).to.be.within(0.6, 1.02);
 });
 
--- a/packages/reedlug-gateway/src/slices/__tests__/peers.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/peers.test.ts
@@ -15,7 +15,7 @@
 import type { PeerMessage } from '../../types/peer.js';
 import type { PeerView } from '../../types/views.js';
 import { nextRegistryStep } from '../registryNews.js';
-import { eventsOfShared, sharedStateOf } from '../sharedState.js';
+import { eventsOfSharedState, sharedStateOf } from '../sharedState.js';
 
 test('a box that stays behind a peer asks it for the configuration', () => {
   const box = createServingBox();
@@ -210,7 +210,7 @@
   expect(both.withServers).to.equal(true);
   // 3,000 servers: 481 KB for each of 32 members of a hub, some 20 KB since.
   const shared = sharedStateOf(box.state, asked.withServers);
-  expect(eventsOfShared(shared).map(({ type }) => type)).to.deep.equal(['configurationRead']);
+  expect(eventsOfSharedState(shared).map(({ type }) => type)).to.deep.equal(['configurationRead']);
 });
 
 test('a box that has read as new a registry as its hub does not ask for it', () => {
--- a/packages/reedlug-gateway/src/slices/__tests__/rollouts.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/rollouts.test.ts
@@ -17,14 +17,14 @@
 
 const ORDER = { service: 'records', targetVersion: 'v2', durationMs: 12_000, revision: 40 };
 
-function news(changes: Partial<RolloutGossip> = {}): RolloutGossip {
+function gossip(changes: Partial<RolloutGossip> = {}): RolloutGossip {
   const evidence = { trial: [], usual: [] };
   return { order: ORDER, ageMs: 1000, phase: 'sampling', barred: [], evidence, ...changes };
 }
 
 let sequence = 0;
 
-function hear(box: TestBox, rollout: RolloutGossip): Effect[] {
+function receiveGossip(box: TestBox, rollout: RolloutGossip): Effect[] {
   sequence += 1;
   return box.take({ type: 'peerMessage', message: peerMessage({ sequence, rollouts: [rollout] }) });
 }
@@ -73,7 +73,7 @@
 
 test('a sample goes to the new version, and comes back to the old one when it fails', () => {
   const box = boxOfTwoVersions();
-  hear(box, news());
+  receiveGossip(box, gossip());
   box.pass(250);
   const sampled = sendsToNew(box, 1000);
   expect(sampled).to.be.within(15, 70);
@@ -101,13 +101,13 @@
 
 test('what peers saw together makes a box go back, at once', () => {
   const box = boxOfTwoVersions();
-  hear(box, news());
+  receiveGossip(box, gossip());
   box.pass(250);
   const evidence = {
     trial: [{ route: 'lookup', serverId: '', answers: 14, failed: 6, slow: 0 }],
     usual: [{ route: 'lookup', answers: 300, failed: 1, slow: 3 }],
   };
-  hear(box, news({ evidence }));
+  receiveGossip(box, gossip({ evidence }));
   box.pass(250);
   expect(box.state.rollouts.get('records')?.phase).to.equal(RolloutPhase.rolledBack);
   expect(sendsToNew(box, 300)).to.equal(0);
@@ -115,16 +115,16 @@
 
 test('everything goes to the new version once it is shifted', () => {
   const box = boxOfTwoVersions();
-  hear(box, news({ phase: 'shifted', ageMs: 10_600 }));
+  receiveGossip(box, gossip({ phase: 'shifted', ageMs: 10_600 }));
   expect(sendsToNew(box, 40)).to.equal(40);
 });
 
 test('a version whose roll-out was replaced by another order gets nothing', () => {
   const box = boxOfTwoVersions();
-  hear(box, news());
+  receiveGossip(box, gossip());
   const order = { ...ORDER, targetVersion: 'v3', revision: 41 };
   box.take({ type: 'rolloutOrdered', order });
-  hear(box, news({ order, phase: 'sampling' }));
+  receiveGossip(box, gossip({ order, phase: 'sampling' }));
   box.pass(250);
   expect(sendsToNew(box, 200)).to.equal(0);
 });
@@ -205,7 +205,7 @@
 
 test('a version that is ordered again while it carries the load goes on serving', () => {
   const box = boxOfTwoVersions();
-  hear(box, news({ phase: 'completed' }));
+  receiveGossip(box, gossip({ phase: 'completed' }));
   expect(sendsToNew(box, 20)).to.equal(20);
   box.take({ type: 'rolloutOrdered', order: { ...ORDER, revision: 41 } });
   expect(sendsToNew(box, 20)).to.equal(20);
@@ -225,7 +225,7 @@
     trial: [{ route: 'lookup', serverId: '', answers: 14, failed: 2, slow: 0 }],
     usual: [{ route: 'lookup', answers: 300, failed: 1, slow: 3 }],
   };
-  hear(box, news({ evidence }));
+  receiveGossip(box, gossip({ evidence }));
   const metrics = createGatewayMetrics();
   setDecisionMetrics(metrics.figures, box.state, box.nowMs);
   const text = await metrics.text();
--- a/packages/reedlug-gateway/src/slices/__tests__/suspension.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/suspension.test.ts
@@ -9,7 +9,7 @@
 } from '../../__tests__/__fixtures__/box.js';
 import { takeLease } from '../../__tests__/__fixtures__/lease.js';
 import type { Effect } from '../../types/effect.js';
-import { dutyFence } from '../duties.js';
+import { dutyFence } from '../dutyLease.js';
 
 /** A machine stands still for a time that its steady clock does not count. */
 function suspend(box: TestBox, ms: number): Effect[] {
--- a/packages/reedlug-gateway/src/slices/attempts.ts
+++ b/packages/reedlug-gateway/src/slices/attempts.ts
@@ -8,13 +8,13 @@
 import { noteRead } from '../policy/serverLoad.js';
 import { noteHeard } from '../policy/serverSilence.js';
 import { closeAttempt, giveUp, reachWhenLost, serverOf } from './ending.js';
-import { isPastPoint, noteGoodRun } from './crashSuspects.js';
+import { isPastCrashPoint, recordGoodRun } from './crashSuspects.js';
 import { noteEnd, noteFirstEvent } from './engineModels.js';
 import { noteLoss } from './lostServers.js';
 import { noteServed } from './statements/rests.js';
 import { takeAnswerStatements, takeRefusal } from './statements/answerStatements.js';
 import { afterLoss, mayRepeat, tryAgain, type RequestAttempt } from './repeats.js';
-import { AnswerEnd, noteAnswer, noteLost } from './rolloutEvidence.js';
+import { AnswerEnd, recordAnswer, recordLostAnswer } from './rolloutEvidence.js';
 import { removeServer } from './servers.js';
 import { countBegun } from './usage.js';
 import { chargeFurtherSend } from './quotas.js';
@@ -82,7 +82,7 @@
     case 'invalid': {
       const view = closeAttempt(state, attempt, Reach.maybe);
       if (view !== undefined) noteFailure(view, step.nowMs);
-      noteAnswer(state, step, { record, attempt, end: AnswerEnd.failed });
+      recordAnswer(state, step, { record, attempt, end: AnswerEnd.failed });
       step.effects.push({ type: 'cancelAttempt', attemptId: attempt.attemptId });
       return afterLoss(state, step, { record, attempt }, 'invalidAnswer');
     }
@@ -93,7 +93,7 @@
   const { record, attempt } = found;
   if (attempt.firstOutputAtMs === undefined) {
     noteFirstEvent(state, step, record, attempt);
-    noteAnswer(state, step, { record, attempt, end: AnswerEnd.good });
+    recordAnswer(state, step, { record, attempt, end: AnswerEnd.good });
   }
   begin(state, step, found);
   const { exchangeId } = record;
@@ -116,7 +116,7 @@
   begin(state, step, found);
   const view = serverOf(state, attempt);
   if (view !== undefined && status >= 500) noteFailure(view, step.nowMs);
-  if (status >= 500) noteAnswer(state, step, { record, attempt, end: AnswerEnd.failed });
+  if (status >= 500) recordAnswer(state, step, { record, attempt, end: AnswerEnd.failed });
   // An answer that is there goes to the caller where the limit holds no other run.
   const mayGoOn = status >= 500 && !record.relayed && mayRepeat(state, step, record);
   if (mayGoOn && chargeFurtherSend(state, record, step.nowMs)) {
@@ -158,7 +158,7 @@
     noteEnd(state, step, record, attempt);
     if (view !== undefined) noteSuccess(view, step.nowMs);
     noteServed(state, step, attempt);
-    noteGoodRun(state, step, record);
+    recordGoodRun(state, step, record);
   }
   state.requests.delete(record.exchangeId);
   log(step, 'requestFinished', {
@@ -181,7 +181,7 @@
   const found = find(state, event);
   if (found === undefined) return;
   hear(state, step, found.attempt);
-  if (isPastPoint(found.attempt, step.nowMs)) noteGoodRun(state, step, found.record);
+  if (isPastCrashPoint(found.attempt, step.nowMs)) recordGoodRun(state, step, found.record);
   if (event.lastEventId !== undefined) found.record.lastEventId = event.lastEventId;
 }
 
@@ -206,7 +206,7 @@
   const { record, attempt } = found;
   const view = closeAttempt(state, attempt, reachWhenLost(attempt));
   noteLoss(state, step, { record, attempt, view });
-  noteLost(state, step, found);
+  recordLostAnswer(state, step, found);
   logLost(step, found, event.reason);
   afterLoss(state, step, found, event.reason);
 }
--- a/packages/reedlug-gateway/src/slices/peerNews.ts
+++ b/packages/reedlug-gateway/src/slices/buildGossip.ts
@@ -3,44 +3,48 @@
 import type { GatewayState, Step } from '../state.js';
 import { addLoads } from '../policy/serverLoad.js';
 import type { ReceivedTotals, PeerView, ServerView } from '../types/views.js';
-import { dutyFence } from './duties.js';
-import { boxesCovered, countedPeers, countsFreshly, type HeardPeer } from './fleet.js';
+import { dutyFence } from './dutyLease.js';
+import { boxesCovered, countedPeers, isFreshPeer, type PeerWithMessage } from './fleet.js';
 import { addSendSums, type SendSums } from '../policy/engineModel.js';
 import { ownSendSums } from './engineModels.js';
 import { ownPartNews, sumParts } from './fleetPart.js';
-import { rolloutNews } from './rollouts.js';
+import { rolloutGossip } from './rollouts.js';
 import { registryNews } from './registryNews.js';
 import { ownRoom } from './unitLoans.js';
 import { ownUsage } from './usage.js';
 import { decisionNews } from './usageDecisions.js';
 
 /** The news of one tick; messages to several peers differ only in what they sum up. */
-export interface News {
+export interface GossipMessages {
   /** This box's figures alone. */
-  ofBox: () => PeerMessage;
+  ownMessage: () => PeerMessage;
   /** The sum of this box and its members. */
-  ofGroup: () => PeerMessage;
+  groupMessage: () => PeerMessage;
   /** The sum of all boxes but one. */
-  ofOthers: (peer: PeerView) => PeerMessage;
+  othersMessage: (peer: PeerView) => PeerMessage;
 }
 
 /** Starts the news of a tick. */
-export function startNews(state: GatewayState, step: Step): News {
+export function buildGossip(state: GatewayState, step: Step): GossipMessages {
   state.peerSequence += 1;
-  const own = ownNews(state, step);
+  const own = ownGossip(state, step);
   const counted = countedPeers(state, step.nowMs);
   const members = counted.filter(({ message }) => message.scope === GossipScope.box);
   return {
-    ofBox: () => own,
-    ofGroup: () => sumUp(state, step, own, { scope: GossipScope.group, of: members }),
-    ofOthers: (peer) => {
+    ownMessage: () => own,
+    groupMessage: () => summedGossip(state, step, own, { scope: GossipScope.group, of: members }),
+    othersMessage: (peer) => {
       const of = counted.filter(({ boxId }) => boxId !== peer.boxId);
-      return sumUp(state, step, own, { scope: GossipScope.others, of, except: peer.contribution });
+      return summedGossip(state, step, own, {
+        scope: GossipScope.others,
+        of,
+        except: peer.contribution,
+      });
     },
   };
 }
 
-function ownNews(state: GatewayState, step: Step): PeerMessage {
+function ownGossip(state: GatewayState, step: Step): PeerMessage {
   const { box, listen } = state.settings;
   const holdsLease = dutyFence(state, step.nowMs) !== undefined;
   return {
@@ -71,7 +75,7 @@
     decisions: decisionNews(state, step.nowMs),
     room: ownRoom(state, step.nowMs),
     part: ownPartNews(state, step.nowMs),
-    rollouts: rolloutNews(state, step.nowMs, []),
+    rollouts: rolloutGossip(state, step.nowMs, []),
     clockOffsetMs: state.agreedClockOffsetMs,
   };
 }
@@ -94,19 +98,19 @@
 }
 
 /** Adds the news of peers to this box's own; totals come from what was heard since the start, less one peer's part. */
-function sumUp(
+function summedGossip(
   state: GatewayState,
   step: Step,
   own: PeerMessage,
   params: {
     scope: typeof GossipScope.group | typeof GossipScope.others;
-    of: readonly HeardPeer[];
+    of: readonly PeerWithMessage[];
     except?: ReceivedTotals;
   },
 ): PeerMessage {
   const { scope, of, except } = params;
-  const parts = [state.totalsFromBoxes];
-  if (scope === GossipScope.others) parts.push(state.totalsFromHubs);
+  const totals = [state.totalsFromBoxes];
+  if (scope === GossipScope.others) totals.push(state.totalsFromHubs);
   const holder = of.find(({ message }) => message.leaseHolder !== undefined);
   return {
     ...own,
@@ -117,19 +121,19 @@
     leaseHolder: own.leaseHolder ?? holder?.message.leaseHolder,
     loads: sumLoads([own, ...of.map(({ message }) => message)]),
     sendSums: sumSends([own, ...of.map(({ message }) => message)]),
-    room: sumRoom([own, ...of.map(({ message }) => message)]),
+    room: sumSpareUnits([own, ...of.map(({ message }) => message)]),
     part: sumParts([own, ...of.map(({ message }) => message)]),
-    rollouts: rolloutNews(state, step.nowMs, of),
-    admitted: sumAdmitted(own, parts, except),
+    rollouts: rolloutGossip(state, step.nowMs, of),
+    admitted: sumAdmitted(own, totals, except),
     usage: {},
     workTokens:
       own.workTokens +
-      parts.reduce((sum, { workTokens }) => sum + workTokens, 0) -
+      totals.reduce((sum, { workTokens }) => sum + workTokens, 0) -
       (except?.workTokens ?? 0),
   };
 }
 
-function lastStoreContact(state: GatewayState, of: readonly HeardPeer[]): number | undefined {
+function lastStoreContact(state: GatewayState, of: readonly PeerWithMessage[]): number | undefined {
   let lastAtMs = state.storeContactAtMs;
   for (const { lastReceivedAtMs, message } of of) {
     if (message.storeContactAgeMs === undefined) continue;
@@ -147,7 +151,7 @@
   return Object.fromEntries(sums);
 }
 
-function sumRoom(messages: readonly PeerMessage[]): Record<string, number> {
+function sumSpareUnits(messages: readonly PeerMessage[]): Record<string, number> {
   const sums: Record<string, number> = {};
   for (const { room } of messages) {
     for (const [workspace, units] of Object.entries(room ?? {})) {
@@ -170,11 +174,11 @@
 
 function sumAdmitted(
   own: PeerMessage,
-  parts: readonly ReceivedTotals[],
+  totals: readonly ReceivedTotals[],
   except: ReceivedTotals | undefined,
 ): Record<string, number> {
   const sums: Record<string, number> = { ...own.admitted };
-  for (const { admitted } of parts) {
+  for (const { admitted } of totals) {
     for (const [workspace, units] of admitted) sums[workspace] = (sums[workspace] ?? 0) + units;
   }
   for (const [workspace, units] of except?.admitted ?? []) {
@@ -184,8 +188,8 @@
 }
 
 /** Peers whose hub this box is: they tell it their own news, and get everyone else's. */
-export function membersOf(state: GatewayState, nowMs: number): PeerView[] {
+export function hubMembers(state: GatewayState, nowMs: number): PeerView[] {
   return [...state.peers.values()].filter(
-    (peer) => peer.message?.scope === GossipScope.box && countsFreshly(peer, nowMs),
+    (peer) => peer.message?.scope === GossipScope.box && isFreshPeer(peer, nowMs),
   );
 }
--- a/packages/reedlug-gateway/src/slices/capacity.ts
+++ b/packages/reedlug-gateway/src/slices/capacity.ts
@@ -12,7 +12,7 @@
   type ZoneWanted,
 } from '../policy/engineTarget.js';
 import { log, type GatewayState, type Step } from '../state.js';
-import { dutyFence } from './duties.js';
+import { dutyFence } from './dutyLease.js';
 import { isBeforeLoad, noteFirstOnDemand, steadyNeed } from './engineNeed.js';
 import {
   BOOT_MARGIN_MS,
--- a/packages/reedlug-gateway/src/slices/clock.ts
+++ b/packages/reedlug-gateway/src/slices/clock.ts
@@ -5,10 +5,10 @@
  * far its wall clock was ahead of the store's clock; all boxes use that figure.
  */
 import type { EventOf } from '../types/event.js';
-import { dutyFence } from './duties.js';
+import { dutyFence } from './dutyLease.js';
 import { startDelayMs } from './fleet.js';
 import { log, requestTable, type GatewayState, type Step } from '../state.js';
-import { noteStoreEpoch } from './suspension.js';
+import { checkStoreEpoch } from './suspension.js';
 
 /** Key of the row in the table. */
 const CLOCK_KEY = 'clock-offset';
@@ -20,7 +20,7 @@
 }
 
 /** Wall-clock time by the agreed offset; by this box's own clock before there is one. */
-export function agreedWallMs(state: GatewayState, step: Step): number {
+export function agreedWallClockMs(state: GatewayState, step: Step): number {
   const { storeEpochMs, agreedClockOffsetMs } = state;
   if (storeEpochMs === undefined || agreedClockOffsetMs === undefined) return step.wallClockMs;
   return step.nowMs - storeEpochMs + agreedClockOffsetMs;
@@ -29,15 +29,15 @@
 /** Notes the store's clock; the least delay gives the truest figure. */
 export function onStoreClock(state: GatewayState, step: Step, event: EventOf<'storeClock'>): void {
   const epochMs = step.nowMs - event.storeNowMs;
-  noteStoreEpoch(state, step, epochMs);
+  checkStoreEpoch(state, step, epochMs);
   state.storeEpochMs = Math.min(state.storeEpochMs ?? epochMs, epochMs);
 }
 
 /** Proposes this box's offset while none is agreed; the holder of the lease enters again what the store lost. */
 export function clockTick(state: GatewayState, step: Step): void {
   if (state.storeEpochMs === undefined) return;
-  const isDuty = state.clockRowIsLost && dutyFence(state, step.nowMs) !== undefined;
-  if (state.agreedClockOffsetMs !== undefined && !isDuty) return;
+  const mustRestoreRow = state.clockRowIsLost && dutyFence(state, step.nowMs) !== undefined;
+  if (state.agreedClockOffsetMs !== undefined && !mustRestoreRow) return;
   if (step.nowMs - state.startedAtMs < startDelayMs(state)) return;
   if (step.nowMs - state.clockRequestedAtMs < CLOCK_RETRY_MS) return;
   state.clockRequestedAtMs = step.nowMs;
@@ -54,11 +54,11 @@
   if (answer.kind === 'unknown') return;
   const row = answer.rows.find((candidate) => candidate.key === CLOCK_KEY);
   if (row !== undefined) state.clockRowIsLost = false;
-  if (row?.value !== undefined) agreeOnClock(state, step, (row.value as ClockRow).offsetMs);
+  if (row?.value !== undefined) adoptClockOffset(state, step, (row.value as ClockRow).offsetMs);
 }
 
 /** Uses an agreed offset, from the row or from a peer. */
-export function agreeOnClock(state: GatewayState, step: Step, offsetMs: number): void {
+export function adoptClockOffset(state: GatewayState, step: Step, offsetMs: number): void {
   if (state.agreedClockOffsetMs !== undefined) return;
   state.agreedClockOffsetMs = offsetMs;
   log(step, 'clockAgreed', { offsetMs: Math.round(offsetMs) });
--- a/packages/reedlug-gateway/src/slices/crashRefusal.ts
+++ b/packages/reedlug-gateway/src/slices/crashRefusal.ts
@@ -5,11 +5,11 @@
 import type { CrashSuspect } from '../types/crashSuspect.js';
 import type { RequestRecord } from '../types/request.js';
 import type { PeerView } from '../types/views.js';
-import { CRASHES_SERVERS, suspectOf } from './crashSuspects.js';
-import { boxesBefore, countsFreshly, usesHubs } from './fleet.js';
+import { CRASHES_SERVERS_REASON, suspectOf } from './crashSuspects.js';
+import { boxesRankedBefore, isFreshPeer, usesHubs } from './fleet.js';
 
 /** When such a request may come back to another box, in ms: the one send that is under way has shown by then whether its server crashes. */
-const TRIAL_RETRY_MS = 500;
+const TRIAL_RETRY_AFTER_MS = 500;
 
 /** What a request that has come is refused with, if it is to be sent to no server. */
 export interface CrashRefusal {
@@ -49,13 +49,13 @@
 ): CrashRefusal | undefined {
   const { blockedSinceMs, evaluationDueAtMs, crashes } = suspect;
   if (blockedSinceMs !== undefined) {
-    return { status: 500, reason: CRASHES_SERVERS, retryAfterMs: undefined };
+    return { status: 500, reason: CRASHES_SERVERS_REASON, retryAfterMs: undefined };
   }
   const refusal = { status: 503, reason: 'crashSuspect' };
   if (evaluationDueAtMs !== undefined)
     return { ...refusal, retryAfterMs: evaluationDueAtMs - nowMs };
-  if (crashes.length < CRASHES_TO_KEEP_OUT || mayTry(state, suspect, nowMs)) return undefined;
-  return { ...refusal, retryAfterMs: TRIAL_RETRY_MS };
+  if (crashes.length < CRASHES_TO_KEEP_OUT || maySendTrial(state, suspect, nowMs)) return undefined;
+  return { ...refusal, retryAfterMs: TRIAL_RETRY_AFTER_MS };
 }
 
 /**
@@ -63,9 +63,9 @@
  * first by rank of those that are heard, one send at a time. The users allow three further
  * sends in all, and copies that come at once to several boxes would make more.
  */
-function mayTry(state: GatewayState, suspect: CrashSuspect, nowMs: number): boolean {
-  const byHubs = usesHubs(state);
-  const isThere = (peer: PeerView): boolean => byHubs || countsFreshly(peer, nowMs);
-  if (boxesBefore(state, hashString(suspect.key), isThere) > 0) return false;
+function maySendTrial(state: GatewayState, suspect: CrashSuspect, nowMs: number): boolean {
+  const viaHubs = usesHubs(state);
+  const isPresent = (peer: PeerView): boolean => viaHubs || isFreshPeer(peer, nowMs);
+  if (boxesRankedBefore(state, hashString(suspect.key), isPresent) > 0) return false;
   return ![...state.requests.values()].some((record) => suspectOf(state, record) === suspect);
 }
--- a/packages/reedlug-gateway/src/slices/crashRecord.ts
+++ b/packages/reedlug-gateway/src/slices/crashRow.ts
@@ -16,36 +16,41 @@
   type CrashSuspectsRow,
 } from '../types/crashSuspect.js';
 import type { EventOf } from '../types/event.js';
-import { isSuspectNews, newsOf, strongest, takeSuspect } from './crashNews.js';
-import { dutyFence } from './duties.js';
+import {
+  isSuspectGossip,
+  suspectGossip,
+  highestPrioritySuspects,
+  mergeSuspect,
+} from './crashGossip.js';
+import { dutyFence } from './dutyLease.js';
 import { rowsOf } from './tableRows.js';
 
 /** Pause between calls, in ms: the store answers in some ms, a busy one is asked again. */
-const ASK_EVERY_MS = 250;
+const TABLE_CALL_INTERVAL_MS = 250;
 /** Pause between tries to read the row after the start, in ms. */
-const READ_EVERY_MS = 1000;
+const READ_RETRY_MS = 1000;
 /** Pause after which the holder of the lease reads it again, in ms: a box that wrote it may be gone. */
-const READ_AGAIN_MS = 5000;
+const REREAD_INTERVAL_MS = 5000;
 /** Crashes from which a suspect is worth a row's place: one alone is most often an innocent's. */
-const RECORDED_CRASHES = 2;
+const MIN_RECORDED_CRASHES = 2;
 
 /** Reads the row after the start, and writes it where it lacks something. */
-export function crashRecordTick(state: GatewayState, step: Step): void {
+export function crashRowTick(state: GatewayState, step: Step): void {
   const { crashRow } = state;
   const sinceMs = step.nowMs - crashRow.requestedAtMs;
   if (crashRow.version === undefined) {
-    if (sinceMs < READ_EVERY_MS) return;
+    if (sinceMs < READ_RETRY_MS) return;
     crashRow.requestedAtMs = step.nowMs;
     const op = { kind: 'read', keys: [CRASH_SUSPECTS_KEY] } as const;
     return requestTable(step, { kind: 'crashSuspects', writes: false }, op);
   }
   if (state.crashSuspects.size === 0 && crashRow.writtenSignature === '') return;
-  if (sinceMs < ASK_EVERY_MS || !mayWrite(state, step)) return;
-  if (sinceMs >= READ_AGAIN_MS) {
+  if (sinceMs < TABLE_CALL_INTERVAL_MS || !mayWrite(state, step)) return;
+  if (sinceMs >= REREAD_INTERVAL_MS) {
     crashRow.version = undefined;
     return;
   }
-  const suspects = suspectsToRecord(state).map((suspect) => newsOf(suspect, step.nowMs));
+  const suspects = suspectsToRecord(state).map((suspect) => suspectGossip(suspect, step.nowMs));
   if (signatureOf(suspects) === crashRow.writtenSignature) {
     crashRow.hasUnwrittenObservations = false;
     return;
@@ -69,20 +74,20 @@
 }
 
 function suspectsToRecord(state: GatewayState): CrashSuspect[] {
-  return strongest(
+  return highestPrioritySuspects(
     [...state.crashSuspects.values()].filter(
       ({ crashes, blockedSinceMs }) =>
-        blockedSinceMs !== undefined || crashes.length >= RECORDED_CRASHES,
+        blockedSinceMs !== undefined || crashes.length >= MIN_RECORDED_CRASHES,
     ),
   );
 }
 
 /** What a row says in short: it is written again when this changes. */
 function signatureOf(suspects: readonly CrashSuspectGossip[]): string {
-  const words = suspects.map(({ key, crashes, keptOutAgeMs }) =>
+  const parts = suspects.map(({ key, crashes, keptOutAgeMs }) =>
     keptOutAgeMs === undefined ? `${key}:${crashes.length}` : `${key}:out`,
   );
-  return words.sort().join(' ');
+  return parts.sort().join(' ');
 }
 
 /** Takes the table's answer. */
@@ -102,10 +107,10 @@
   }
   crashRow.isLastWriter = answer.kind === 'done' && purpose.writes;
   const row = rows.find(({ key }) => key === CRASH_SUSPECTS_KEY);
-  takeRow(state, step, row);
+  applyRow(state, step, row);
 }
 
-function takeRow(state: GatewayState, step: Step, row: TableRow | undefined): void {
+function applyRow(state: GatewayState, step: Step, row: TableRow | undefined): void {
   const { crashRow } = state;
   crashRow.version = row?.version ?? 0;
   crashRow.writtenSignature = '';
@@ -115,8 +120,8 @@
     return log(step, 'crashRowUnreadable', { revision: describeRevision(row.version) });
   }
   const writtenAtMs = value.storeNowMs + (state.storeEpochMs ?? step.nowMs - value.storeNowMs);
-  const agedMs = Math.max(0, step.nowMs - writtenAtMs);
-  const told = value.suspects.filter(isSuspectNews);
-  for (const news of told) takeSuspect(state, step, news, step.nowMs - agedMs);
-  crashRow.writtenSignature = signatureOf(told);
+  const rowAgeMs = Math.max(0, step.nowMs - writtenAtMs);
+  const recorded = value.suspects.filter(isSuspectGossip);
+  for (const gossip of recorded) mergeSuspect(state, step, gossip, step.nowMs - rowAgeMs);
+  crashRow.writtenSignature = signatureOf(recorded);
 }
--- a/packages/reedlug-gateway/src/slices/crashSuspects.ts
+++ b/packages/reedlug-gateway/src/slices/crashSuspects.ts
@@ -19,34 +19,34 @@
 import { giveUp } from './ending.js';
 
 /** Suspects known at most; the ones with the fewest crashes, then those unseen for the longest, go first. */
-const MOST_SUSPECTS = 512;
+const MAX_SUSPECTS = 512;
 /** Crashes kept of one suspect, the newest; more say nothing new. */
-const MOST_CRASHES = 12;
+const MAX_CRASHES_PER_SUSPECT = 12;
 /** Time since it last came after which a suspect, or one that is kept out, is forgotten, in ms. */
-const WATCHED_MS = 600_000;
-const KEPT_OUT_MS = 3_600_000;
+const SUSPECT_RETENTION_MS = 600_000;
+const BLOCKED_RETENTION_MS = 3_600_000;
 /** Time for which crashes count beside those of a suspect, in ms: as long as one may take to come three times. */
-const RECENT_MS = 30_000;
+const RECENT_CRASH_RETENTION_MS = 30_000;
 /** Recent crashes known at most: more than a third of the servers of a large fleet's zone. */
-const MOST_RECENT = 256;
+const MAX_RECENT_CRASHES = 256;
 /** Pause between looks for what is to be forgotten, in ms. */
-const FORGET_EVERY_MS = 1000;
+const PRUNE_INTERVAL_MS = 1000;
 
 /**
  * Time since its first event after which a run is past the point at which servers crash,
  * in ms: a server crashes as it begins with one, before its first event.
  */
-const PAST_CRASH_MS = 1000;
+const CRASH_POINT_MS = 1000;
 
 /**
  * Time from a crash that may decide to the judgement, in ms: half of the users' time for
  * news. By then the other boxes' word is here, and a run of the same request elsewhere has
  * ended or passed the point, if it is innocent.
  */
-const JUDGED_AFTER_MS = 1500;
+const EVALUATION_DELAY_MS = 1500;
 
 /** Why a request that crashes servers is refused or given up. */
-export const CRASHES_SERVERS = 'crashesServers';
+export const CRASHES_SERVERS_REASON = 'crashesServers';
 
 /** How a request is known when it comes again. */
 export function suspectKey(workspace: string | undefined, digest: string): string {
@@ -60,9 +60,14 @@
 }
 
 /** A request was open at a server that crashed. */
-export function noteCrash(state: GatewayState, step: Step, key: string, crash: ServerCrash): void {
-  if (isPastCrash(state, step, key)) return;
-  const suspect = suspectFor(state, key, step.nowMs);
+export function recordCrash(
+  state: GatewayState,
+  step: Step,
+  key: string,
+  crash: ServerCrash,
+): void {
+  if (hasRunPastCrashPoint(state, step, key)) return;
+  const suspect = getOrCreateSuspect(state, key, step.nowMs);
   if (!addCrash(state, suspect, crash)) return;
   suspect.seenAtMs = step.nowMs;
   state.crashGossipDue.add(key);
@@ -74,19 +79,23 @@
     ranMs: Math.round(crash.endedAtMs - crash.sentAtMs),
     crashes: suspect.crashes.length,
   });
-  awaitJudgement(state, step, suspect);
+  scheduleEvaluation(state, step, suspect);
 }
 
 /** After a crash that may decide, the others' word on it is awaited, and nothing is sent meanwhile. */
-export function awaitJudgement(state: GatewayState, step: Step, suspect: CrashSuspect): void {
+export function scheduleEvaluation(state: GatewayState, step: Step, suspect: CrashSuspect): void {
   if (suspect.crashes.length < CRASHES_TO_KEEP_OUT || suspect.blockedSinceMs !== undefined) return;
   // Of what happened before its start, a box knows too little to judge; others have.
   if ((suspect.crashes.at(-1)?.endedAtMs ?? 0) < state.startedAtMs) return;
-  suspect.evaluationDueAtMs ??= step.nowMs + JUDGED_AFTER_MS;
+  suspect.evaluationDueAtMs ??= step.nowMs + EVALUATION_DELAY_MS;
 }
 
 /** The suspect of a key; a new one where none is known. */
-export function suspectFor(state: GatewayState, key: string, seenAtMs: number): CrashSuspect {
+export function getOrCreateSuspect(
+  state: GatewayState,
+  key: string,
+  seenAtMs: number,
+): CrashSuspect {
   const known = state.crashSuspects.get(key);
   if (known !== undefined) return known;
   const suspect: CrashSuspect = {
@@ -102,10 +111,10 @@
 }
 
 /** Whether a run of the same request is in progress that is past the point of a crash. */
-function isPastCrash(state: GatewayState, step: Step, key: string): boolean {
+function hasRunPastCrashPoint(state: GatewayState, step: Step, key: string): boolean {
   for (const record of state.requests.values()) {
     if (suspectKey(record.workspace, record.facts.digest) !== key) continue;
-    if (record.attempts.some((attempt) => attempt.open && isPastPoint(attempt, step.nowMs))) {
+    if (record.attempts.some((attempt) => attempt.open && isPastCrashPoint(attempt, step.nowMs))) {
       return true;
     }
   }
@@ -113,12 +122,12 @@
 }
 
 /** Whether an attempt has run for longer than one that crashes its server does. */
-export function isPastPoint({ firstOutputAtMs }: Attempt, nowMs: number): boolean {
-  return firstOutputAtMs !== undefined && nowMs - firstOutputAtMs >= PAST_CRASH_MS;
+export function isPastCrashPoint({ firstOutputAtMs }: Attempt, nowMs: number): boolean {
+  return firstOutputAtMs !== undefined && nowMs - firstOutputAtMs >= CRASH_POINT_MS;
 }
 
 /** Notes a crash whoever was there: those of a moment tell a common cause from a request. */
-export function noteRecent({ recentCrashes }: GatewayState, crash: ServerCrash): void {
+export function recordRecentCrash({ recentCrashes }: GatewayState, crash: ServerCrash): void {
   const known = recentCrashes.find((other) => isSameCrash(other, crash));
   if (known !== undefined) {
     // Whoever lost a send first saw the end first.
@@ -126,7 +135,7 @@
     return;
   }
   recentCrashes.push({ ...crash });
-  if (recentCrashes.length > MOST_RECENT) recentCrashes.shift();
+  if (recentCrashes.length > MAX_RECENT_CRASHES) recentCrashes.shift();
 }
 
 /** Whether a life of a server is known to have ended before a request was sent there. */
@@ -137,27 +146,27 @@
 
 /** Adds a crash; false when it is known, or a good run came after the send. */
 export function addCrash(state: GatewayState, suspect: CrashSuspect, crash: ServerCrash): boolean {
-  noteRecent(state, crash);
+  recordRecentCrash(state, crash);
   const { crashes } = suspect;
   if (crash.sentAtMs <= suspect.goodRunAtMs) return false;
   if (crashes.some((known) => isSameCrash(known, crash))) return false;
-  if (crashes.length >= MOST_CRASHES && crash.endedAtMs <= (crashes[0]?.endedAtMs ?? 0))
+  if (crashes.length >= MAX_CRASHES_PER_SUSPECT && crash.endedAtMs <= (crashes[0]?.endedAtMs ?? 0))
     return false;
   crashes.push(crash);
   crashes.sort((a, b) => a.endedAtMs - b.endedAtMs);
-  if (crashes.length > MOST_CRASHES) crashes.shift();
+  if (crashes.length > MAX_CRASHES_PER_SUSPECT) crashes.shift();
   return true;
 }
 
 /** A run went well, or past the moment of its crashes: whatever crashed before, it was not this request. */
-export function noteGoodRun(state: GatewayState, step: Step, record: RequestRecord): void {
+export function recordGoodRun(state: GatewayState, step: Step, record: RequestRecord): void {
   const suspect = suspectOf(state, record);
   if (suspect === undefined) return;
-  if (clear(step, suspect, step.nowMs)) state.crashGossipDue.add(suspect.key);
+  if (applyGoodRun(step, suspect, step.nowMs)) state.crashGossipDue.add(suspect.key);
 }
 
 /** Takes a good run into account, this box's own or one that is told; tells whether it changed anything. */
-export function clear(step: Step, suspect: CrashSuspect, goodRunAtMs: number): boolean {
+export function applyGoodRun(step: Step, suspect: CrashSuspect, goodRunAtMs: number): boolean {
   if (goodRunAtMs <= suspect.goodRunAtMs) return false;
   suspect.goodRunAtMs = goodRunAtMs;
   const before = suspect.crashes.length;
@@ -172,14 +181,14 @@
 }
 
 /** A request that is kept out, as operators see it. */
-export interface VerdictRow {
+export interface BlockedSuspect {
   key: string;
   crashes: number;
   keptOutForMs: number;
 }
 
 /** Requests that are kept out. */
-export function verdictsOf(state: GatewayState, nowMs: number): VerdictRow[] {
+export function blockedSuspects(state: GatewayState, nowMs: number): BlockedSuspect[] {
   return [...state.crashSuspects.values()].flatMap(({ key, crashes, blockedSinceMs }) => {
     if (blockedSinceMs === undefined) return [];
     const keptOutForMs = Math.round(nowMs - blockedSinceMs);
@@ -196,24 +205,24 @@
   const suspect = state.crashSuspects.get(key);
   if (suspect?.blockedSinceMs === undefined) return;
   log(step, 'verdictLifted', { suspect: key, crashes: suspect.crashes.length });
-  clear(step, suspect, step.nowMs);
+  applyGoodRun(step, suspect, step.nowMs);
   state.crashGossipDue.add(key);
   state.crashRow.hasUnwrittenObservations = true;
 }
 
 /** Keeps a suspect out where its crashes say so. */
-function judge(state: GatewayState, step: Step, suspect: CrashSuspect): void {
+function evaluateSuspect(state: GatewayState, step: Step, suspect: CrashSuspect): void {
   suspect.evaluationDueAtMs = undefined;
   if (suspect.blockedSinceMs !== undefined) return;
-  const scene = { suspects: state.crashSuspects.values(), recent: state.recentCrashes };
-  if (!isCulprit(suspect, scene)) return;
-  keepOut(state, step, suspect, step.nowMs);
+  const context = { suspects: state.crashSuspects.values(), recent: state.recentCrashes };
+  if (!isCulprit(suspect, context)) return;
+  blockSuspect(state, step, suspect, step.nowMs);
   state.crashGossipDue.add(suspect.key);
   state.crashRow.hasUnwrittenObservations = true;
 }
 
 /** Sends a request to no server any more, and ends what has not begun of it. */
-export function keepOut(
+export function blockSuspect(
   state: GatewayState,
   step: Step,
   suspect: CrashSuspect,
@@ -229,8 +238,8 @@
   });
   for (const record of [...state.requests.values()]) {
     if (suspectOf(state, record) !== suspect) continue;
-    const hasBegun = record.attempts.some(({ firstOutputAtMs }) => firstOutputAtMs !== undefined);
-    if (!hasBegun) giveUp(state, step, record, CRASHES_SERVERS);
+    const hasOutput = record.attempts.some(({ firstOutputAtMs }) => firstOutputAtMs !== undefined);
+    if (!hasOutput) giveUp(state, step, record, CRASHES_SERVERS_REASON);
   }
 }
 
@@ -241,31 +250,32 @@
   const due = [...crashSuspects.values()].filter(
     ({ evaluationDueAtMs }) => evaluationDueAtMs !== undefined && step.nowMs >= evaluationDueAtMs,
   );
-  for (const suspect of due) judge(state, step, suspect);
-  if (step.nowMs - state.suspectsPrunedAtMs < FORGET_EVERY_MS) return;
+  for (const suspect of due) evaluateSuspect(state, step, suspect);
+  if (step.nowMs - state.suspectsPrunedAtMs < PRUNE_INTERVAL_MS) return;
   state.suspectsPrunedAtMs = step.nowMs;
   state.recentCrashes = state.recentCrashes.filter(
-    ({ endedAtMs }) => step.nowMs - endedAtMs < RECENT_MS,
+    ({ endedAtMs }) => step.nowMs - endedAtMs < RECENT_CRASH_RETENTION_MS,
   );
   for (const suspect of crashSuspects.values()) {
-    const keptMs = suspect.blockedSinceMs === undefined ? WATCHED_MS : KEPT_OUT_MS;
-    if (step.nowMs - suspect.seenAtMs >= keptMs) forget(state, step, suspect);
+    const retentionMs =
+      suspect.blockedSinceMs === undefined ? SUSPECT_RETENTION_MS : BLOCKED_RETENTION_MS;
+    if (step.nowMs - suspect.seenAtMs >= retentionMs) forgetSuspect(state, step, suspect);
   }
-  if (crashSuspects.size <= MOST_SUSPECTS) return;
-  const weakest = [...crashSuspects.values()].sort(
-    (a, b) => strengthOf(a) - strengthOf(b) || a.seenAtMs - b.seenAtMs,
+  if (crashSuspects.size <= MAX_SUSPECTS) return;
+  const lowestFirst = [...crashSuspects.values()].sort(
+    (a, b) => suspectPriority(a) - suspectPriority(b) || a.seenAtMs - b.seenAtMs,
   );
-  for (const suspect of weakest.slice(0, crashSuspects.size - MOST_SUSPECTS)) {
-    forget(state, step, suspect);
+  for (const suspect of lowestFirst.slice(0, crashSuspects.size - MAX_SUSPECTS)) {
+    forgetSuspect(state, step, suspect);
   }
 }
 
 /** What speaks for keeping a suspect in mind. */
-export function strengthOf({ crashes, blockedSinceMs }: CrashSuspect): number {
-  return blockedSinceMs === undefined ? crashes.length : MOST_CRASHES + 1;
+export function suspectPriority({ crashes, blockedSinceMs }: CrashSuspect): number {
+  return blockedSinceMs === undefined ? crashes.length : MAX_CRASHES_PER_SUSPECT + 1;
 }
 
-function forget(state: GatewayState, step: Step, suspect: CrashSuspect): void {
+function forgetSuspect(state: GatewayState, step: Step, suspect: CrashSuspect): void {
   state.crashSuspects.delete(suspect.key);
   state.crashGossipDue.delete(suspect.key);
   if (suspect.blockedSinceMs !== undefined) log(step, 'suspectForgotten', { suspect: suspect.key });
--- a/packages/reedlug-gateway/src/slices/duties.ts
+++ b/packages/reedlug-gateway/src/slices/dutyLease.ts
@@ -5,27 +5,27 @@
 import { log, requestTable, type GatewayState, type Step } from '../state.js';
 
 /** How recently a peer must have said that it holds the lease for this box to leave the row alone, in ms. */
-const HOLDER_HEARD_MS = 1500;
+const HOLDER_SILENT_AFTER_MS = 1500;
 
 /** Renews the lease, or tries for it when no peer holds it. */
-export function dutiesTick(state: GatewayState, step: Step): void {
+export function dutyLeaseTick(state: GatewayState, step: Step): void {
   if (state.settings.cloud === undefined) return;
   const { lease } = state;
-  const heldBefore = lease.held !== undefined;
-  if (!heldBefore && !mayTry(state, step)) return;
+  const wasHeld = lease.held !== undefined;
+  if (!wasHeld && !mayAcquireLease(state, step)) return;
   if (state.stoppingSinceMs !== undefined) return;
   const op = leaseTick(lease, step.nowMs);
-  if (heldBefore && lease.held === undefined) log(step, 'leaseLapsed', { fence: lease.lastFence });
+  if (wasHeld && lease.held === undefined) log(step, 'leaseLapsed', { fence: lease.lastFence });
   if (op !== undefined) requestTable(step, { kind: 'lease' }, op);
 }
 
 /** In a large fleet only hubs try, so that few boxes ask for the row. */
-function mayTry(state: GatewayState, step: Step): boolean {
+function mayAcquireLease(state: GatewayState, step: Step): boolean {
   if (state.hubId !== undefined) return false;
   if (step.nowMs - state.startedAtMs < startDelayMs(state)) return false;
   for (const peer of state.peers.values()) {
-    const heardMs = step.nowMs - peer.lastReceivedAtMs;
-    if (peer.message?.leaseHolder !== undefined && heardMs < HOLDER_HEARD_MS) return false;
+    const silentMs = step.nowMs - peer.lastReceivedAtMs;
+    if (peer.message?.leaseHolder !== undefined && silentMs < HOLDER_SILENT_AFTER_MS) return false;
   }
   return true;
 }
--- a/packages/reedlug-gateway/src/slices/fleetPart.ts
+++ b/packages/reedlug-gateway/src/slices/fleetPart.ts
@@ -11,9 +11,9 @@
 import type { EventOf } from '../types/event.js';
 import { log, type GatewayState, type Step } from '../state.js';
 import type { PeerMessage } from '../types/peer.js';
-import { dutyFence } from './duties.js';
-import { mayShowCopy } from './storeEra.js';
-import { countedPeers, countsFreshly, knownGroups, ownAddress, usesHubs } from './fleet.js';
+import { dutyFence } from './dutyLease.js';
+import { mayShowBackup } from './storeEra.js';
+import { countedPeers, isFreshPeer, knownGroups, ownAddress, usesHubs } from './fleet.js';
 
 /** Time from its start before a box that joins looks whether all know it, in ms: boxes that start together are all listed by then. */
 const JOIN_AFTER_MS = 3000;
@@ -40,7 +40,7 @@
     part.isRegistered = own?.holdsPart === true;
     // A copy that lacks a box takes no part from it: all others divide by it as before.
     const isKept =
-      own === undefined && part.opening !== undefined && mayShowCopy(state, step.nowMs);
+      own === undefined && part.opening !== undefined && mayShowBackup(state, step.nowMs);
     if (!isKept) part.ownRevision = own?.address === undefined ? undefined : own.revision;
   }
   if (part.ownRevision === undefined) dropPart(state, step, 'notListed');
@@ -101,7 +101,7 @@
 function otherParts(state: GatewayState, nowMs: number): LimitShareGossip {
   const isMember = state.hubId !== undefined;
   const heard = countedPeers(state, nowMs).filter(
-    (peer) => countsFreshly(peer, nowMs) && (isMember || peer.listed),
+    (peer) => isFreshPeer(peer, nowMs) && (isMember || peer.listed),
   );
   return sumParts(heard.map(({ message }) => message));
 }
--- a/packages/reedlug-gateway/src/slices/spreadNews.ts
+++ b/packages/reedlug-gateway/src/slices/gossipTargets.ts
@@ -2,13 +2,13 @@
 import type { GatewayState } from '../state.js';
 import type { PeerAddress } from '../types/peer.js';
 import { isFreshHub, usesHubs } from './fleet.js';
-import { membersOf } from './peerNews.js';
+import { hubMembers } from './buildGossip.js';
 
 /** The boxes that this one tells: all others in a small fleet, else its hub, or as a hub other hubs and its members. */
-export function neighbours(state: GatewayState, nowMs: number): PeerAddress[] {
+export function gossipTargets(state: GatewayState, nowMs: number): PeerAddress[] {
   if (!usesHubs(state)) return [...state.peers.values()].map(({ address }) => address);
   const hub = state.peers.get(state.hubId ?? '');
   if (hub !== undefined) return [hub.address];
   const otherHubs = [...state.peers.values()].filter((peer) => isFreshHub(peer, nowMs));
-  return [...otherHubs, ...membersOf(state, nowMs)].map(({ address }) => address);
+  return [...otherHubs, ...hubMembers(state, nowMs)].map(({ address }) => address);
 }
--- a/packages/reedlug-gateway/src/slices/lostServers.ts
+++ b/packages/reedlug-gateway/src/slices/lostServers.ts
@@ -14,9 +14,9 @@
 import type { ServerView } from '../types/views.js';
 import {
   hasEndedBefore,
-  isPastPoint,
-  noteCrash,
-  noteGoodRun,
+  isPastCrashPoint,
+  recordCrash,
+  recordGoodRun,
   suspectKey,
 } from './crashSuspects.js';
 
@@ -43,8 +43,8 @@
 ): void {
   const { record, attempt, view } = params;
   if (view.leaving) return;
-  if (isPastPoint(attempt, step.nowMs)) {
-    return noteGoodRun(state, step, record);
+  if (isPastCrashPoint(attempt, step.nowMs)) {
+    return recordGoodRun(state, step, record);
   }
   const key = suspectKey(record.workspace, record.facts.digest);
   const send = { key, sentAtMs: attempt.sentAtMs, lostAtMs: step.nowMs };
@@ -88,7 +88,7 @@
 ): void {
   const crash = { serverId, bornAtMs, sentAtMs, endedAtMs: lostAtMs };
   // A forwarder may take what comes after the end, and lose it: the server did not end under that.
-  if (!hasEndedBefore(state, crash)) noteCrash(state, step, key, crash);
+  if (!hasEndedBefore(state, crash)) recordCrash(state, step, key, crash);
 }
 
 /** Forgets servers of which nothing came out. */
--- a/packages/reedlug-gateway/src/slices/peers.ts
+++ b/packages/reedlug-gateway/src/slices/peers.ts
@@ -3,20 +3,20 @@
 import { GossipScope, type PeerAddress, type PeerMessage } from '../types/peer.js';
 import { createReceivedTotals, log, type GatewayState, type Step } from '../state.js';
 import type { PeerView } from '../types/views.js';
-import { agreeOnClock } from './clock.js';
-import { countsFreshly, isCounted, PEER_GONE_AFTER_MS, type HeardPeer } from './fleet.js';
+import { adoptClockOffset } from './clock.js';
+import { isFreshPeer, isCounted, PEER_GONE_AFTER_MS, type PeerWithMessage } from './fleet.js';
 import { noteBoxesListed } from './fleetPart.js';
-import { takeRolloutNews } from './rollouts.js';
+import { mergeRolloutGossip } from './rollouts.js';
 import { nextRegistryStep } from './registryNews.js';
 import { noteNewcomer } from './statements/statementNews.js';
 import { takeHubChanges } from './servers.js';
-import { mayShowCopy, onStoreEra } from './storeEra.js';
+import { mayShowBackup, onStoreEra } from './storeEra.js';
 import { mergeDecisions, mergeUsage } from './usage.js';
 
 /** How long a peer's newer configuration or registry may be known before it is asked for, in ms: the store's feed usually brings it sooner. */
-const BEHIND_MS = 300;
+const BEHIND_GRACE_MS = 300;
 /** Pause between questions to one peer for newer versions, in ms. */
-const ASK_PEER_EVERY_MS = 400;
+const STATE_REQUEST_INTERVAL_MS = 400;
 
 /** Takes a peer's news. */
 export function onPeerMessage(
@@ -27,32 +27,32 @@
   const { message } = event;
   if (message.boxId === state.settings.box.id) return;
   const { boxId, host, port, zone, processorCores } = message;
-  const peer = peerOf(state, step, { boxId, host, port, zone, processorCores });
+  const peer = getOrCreatePeer(state, step, { boxId, host, port, zone, processorCores });
   const before = peer.message;
-  if (before !== undefined && isOlder(message, before, countsFreshly(peer, step.nowMs))) return;
+  if (before !== undefined && isOutdated(message, before, isFreshPeer(peer, step.nowMs))) return;
   noteNewcomer(state, step, peer, message.incarnation);
   peer.lastReceivedAtMs = step.nowMs;
   peer.isSuspected = false;
   peer.message = message;
   peer.requestedUnits.clear();
-  noteStoreSeen(state, step, message);
+  recordStoreContact(state, step, message);
   if (message.storeEra !== undefined) {
     onStoreEra(state, step, { era: message.storeEra, source: boxId });
   }
-  takeTotals(state, step, peer as HeardPeer, before);
+  addReceivedTotals(state, step, peer as PeerWithMessage, before);
   mergeUsage(state, `${message.boxId}/${message.incarnation}`, message.usage);
-  if (message.clockOffsetMs !== undefined) agreeOnClock(state, step, message.clockOffsetMs);
+  if (message.clockOffsetMs !== undefined) adoptClockOffset(state, step, message.clockOffsetMs);
   if (message.decisions !== undefined) mergeDecisions(state, step, message.decisions);
-  if (message.rollouts !== undefined) takeRolloutNews(state, step, boxId, message.rollouts);
-  if (peer.boxId === state.hubId) followHub(state, step, peer as HeardPeer);
-  askForNewer(state, step, peer, message);
+  if (message.rollouts !== undefined) mergeRolloutGossip(state, step, boxId, message.rollouts);
+  if (peer.boxId === state.hubId) followHub(state, step, peer as PeerWithMessage);
+  requestNewerState(state, step, peer, message);
 }
 
 /** Follows the registry by the hub's changes. */
-function followHub(state: GatewayState, step: Step, hub: HeardPeer): void {
+function followHub(state: GatewayState, step: Step, hub: PeerWithMessage): void {
   const { message } = hub;
-  const isAsNew = state.serversKnown && state.serversRevision >= message.serversRevision;
-  const next = nextRegistryStep(hub, message.registry, isAsNew);
+  const isUpToDate = state.serversKnown && state.serversRevision >= message.serversRevision;
+  const next = nextRegistryStep(hub, message.registry, isUpToDate);
   switch (next.kind) {
     case 'apply':
       return takeHubChanges(state, step, {
@@ -60,7 +60,7 @@
         revision: message.serversRevision,
       });
     case 'askWhole':
-      return askPeer(step, hub, true);
+      return requestState(step, hub, true);
   }
 }
 
@@ -74,12 +74,12 @@
  * Whether a message is one that was overtaken. A life is numbered by the time of day, which may be
  * set back between two of them: beside a life that has gone silent an earlier number is the next one.
  */
-function isOlder(message: PeerMessage, known: PeerMessage, isKnownFresh: boolean): boolean {
+function isOutdated(message: PeerMessage, known: PeerMessage, isKnownFresh: boolean): boolean {
   if (message.incarnation === known.incarnation) return message.sequence <= known.sequence;
   return isKnownFresh && message.incarnation < known.incarnation;
 }
 
-function peerOf(state: GatewayState, step: Step, address: PeerAddress): PeerView {
+function getOrCreatePeer(state: GatewayState, step: Step, address: PeerAddress): PeerView {
   const known = state.peers.get(address.boxId);
   if (known !== undefined) {
     known.address = address;
@@ -106,45 +106,50 @@
   return peer;
 }
 
-function noteStoreSeen(state: GatewayState, step: Step, message: PeerMessage): void {
+function recordStoreContact(state: GatewayState, step: Step, message: PeerMessage): void {
   if (message.storeContactAgeMs === undefined) return;
-  const seenAtMs = step.nowMs - message.storeContactAgeMs;
-  state.storeContactByPeerAtMs = Math.max(state.storeContactByPeerAtMs, seenAtMs);
+  const contactAtMs = step.nowMs - message.storeContactAgeMs;
+  state.storeContactByPeerAtMs = Math.max(state.storeContactByPeerAtMs, contactAtMs);
 }
 
 /**
  * Adds what a peer's totals have grown by. The first message of a peer, of its
  * new life or with another scope has nothing to compare with: what it tells may be long ago.
  */
-function takeTotals(
+function addReceivedTotals(
   state: GatewayState,
   step: Step,
-  peer: HeardPeer,
+  peer: PeerWithMessage,
   before: PeerMessage | undefined,
 ): void {
   const { message } = peer;
   if (before?.scope !== message.scope || !isCounted(state, peer, step.nowMs)) return;
-  const sameLife = before.incarnation === message.incarnation;
-  if (!sameLife && message.scope !== GossipScope.box) return;
-  const isOwn = message.scope === GossipScope.box;
-  const heard = isOwn ? state.totalsFromBoxes : state.totalsFromHubs;
+  const isSameIncarnation = before.incarnation === message.incarnation;
+  if (!isSameIncarnation && message.scope !== GossipScope.box) return;
+  const isFromBox = message.scope === GossipScope.box;
+  const totals = isFromBox ? state.totalsFromBoxes : state.totalsFromHubs;
   for (const [workspace, admitted] of Object.entries(message.admitted)) {
-    const units = admitted - (sameLife ? (before.admitted[workspace] ?? 0) : 0);
+    const units = admitted - (isSameIncarnation ? (before.admitted[workspace] ?? 0) : 0);
     if (units <= 0) continue;
-    heard.admitted.set(workspace, (heard.admitted.get(workspace) ?? 0) + units);
+    totals.admitted.set(workspace, (totals.admitted.get(workspace) ?? 0) + units);
     peer.contribution.admitted.set(
       workspace,
       (peer.contribution.admitted.get(workspace) ?? 0) + units,
     );
   }
-  const tokens = message.workTokens - (sameLife ? before.workTokens : 0);
+  const tokens = message.workTokens - (isSameIncarnation ? before.workTokens : 0);
   if (tokens <= 0) return;
-  heard.workTokens += tokens;
+  totals.workTokens += tokens;
   peer.contribution.workTokens += tokens;
 }
 
 /** Asks a peer for what the store does not give this box, or not in time. */
-function askForNewer(state: GatewayState, step: Step, peer: PeerView, message: PeerMessage): void {
+function requestNewerState(
+  state: GatewayState,
+  step: Step,
+  peer: PeerView,
+  message: PeerMessage,
+): void {
   const ownVersion = state.active?.configuration.version ?? 0;
   const lacksConfiguration = message.configurationVersion > ownVersion;
   const lacksServers = message.serversRevision > state.serversRevision;
@@ -154,12 +159,12 @@
   }
   peer.aheadSinceMs ??= step.nowMs;
   const mayWait = peer.boxId !== state.hubId && state.storeReachable;
-  if (mayWait && step.nowMs - peer.aheadSinceMs < BEHIND_MS) return;
-  askPeer(step, peer, lacksServers);
+  if (mayWait && step.nowMs - peer.aheadSinceMs < BEHIND_GRACE_MS) return;
+  requestState(step, peer, lacksServers);
 }
 
-function askPeer(step: Step, peer: PeerView, withServers: boolean): void {
-  if (step.nowMs - peer.stateRequestedAtMs < ASK_PEER_EVERY_MS) return;
+function requestState(step: Step, peer: PeerView, withServers: boolean): void {
+  if (step.nowMs - peer.stateRequestedAtMs < STATE_REQUEST_INTERVAL_MS) return;
   peer.stateRequestedAtMs = step.nowMs;
   step.effects.push({ type: 'askPeer', peer: peer.address, withServers });
 }
@@ -171,7 +176,7 @@
   event: EventOf<'peersListed'>,
 ): void {
   // A box that the copy lacks enters itself again: until then its part of the limits is still its own.
-  const isComplete = event.whole === true && !mayShowCopy(state, step.nowMs);
+  const isComplete = event.whole === true && !mayShowBackup(state, step.nowMs);
   if (isComplete) for (const peer of state.peers.values()) peer.listed = false;
   for (const { boxId, address } of event.changes) {
     const known = state.peers.get(boxId);
@@ -182,7 +187,7 @@
     const isOwn = boxId === state.settings.box.id || address.host === state.settings.box.ip;
     if (isOwn) continue;
     const isSeedOfKnown = boxId === address.host && knowsHost(state, address.host);
-    if (!isSeedOfKnown) peerOf(state, step, address).listed = boxId !== address.host;
+    if (!isSeedOfKnown) getOrCreatePeer(state, step, address).listed = boxId !== address.host;
   }
   noteBoxesListed(state, step, event);
 }
--- a/packages/reedlug-gateway/src/slices/repeats.ts
+++ b/packages/reedlug-gateway/src/slices/repeats.ts
@@ -9,7 +9,7 @@
 import type { Choice } from '../policy/chooseServer.js';
 import { log, type GatewayState, type Step } from '../state.js';
 import type { Attempt, RequestRecord } from '../types/request.js';
-import { CRASHES_SERVERS, suspectOf } from './crashSuspects.js';
+import { CRASHES_SERVERS_REASON, suspectOf } from './crashSuspects.js';
 import { giveUp, isRepeatable } from './ending.js';
 import { takeRepeat } from './retryBudgets.js';
 import { sendAgain } from './waitingSends.js';
@@ -44,7 +44,7 @@
 
 function goOn(state: GatewayState, step: Step, found: RequestAttempt, reason: string): void {
   const { record } = found;
-  if (!mayBeTriedAgain(state, record)) return giveUp(state, step, record, CRASHES_SERVERS);
+  if (!mayBeTriedAgain(state, record)) return giveUp(state, step, record, CRASHES_SERVERS_REASON);
   if (!mayRepeat(state, step, record)) return giveUp(state, step, record, reason);
   repeat(state, step, found, reason);
 }
--- a/packages/reedlug-gateway/src/slices/requests.ts
+++ b/packages/reedlug-gateway/src/slices/requests.ts
@@ -12,9 +12,9 @@
 import { bookReturnMs, SERVERS_LIMITED } from './statements/returnTimes.js';
 import { chargeSend, unitsOf } from './quotas.js';
 import { countFirstSend } from './retryBudgets.js';
-import { noteLeft } from './rolloutEvidence.js';
+import { recordAbandonedAnswer } from './rolloutEvidence.js';
 import { chooseFor, offer } from './sending.js';
-import { isTooLateToTake } from './stopping.js';
+import { isTooLateToAccept } from './shutdown.js';
 import { refuseOverLimit, sendOrAwaitUnits } from './waitingSends.js';
 
 /** When to come back to another box after this one's planned stop refused, in ms. */
@@ -48,7 +48,7 @@
   if (active === undefined) return;
   const route = findRoute(active, facts.host, facts.path);
   if (route === undefined) return refuseNow(404, 'noRoute');
-  if (isTooLateToTake(state, step.nowMs, route.kind)) {
+  if (isTooLateToAccept(state, step.nowMs, route.kind)) {
     return refuseNow(503, 'stopping', STOPPING_RETRY_MS);
   }
   const needsKey = active.configuration.workspaces.length > 0 && !route.isPublic;
@@ -120,7 +120,7 @@
 export function onCallerGone(state: GatewayState, step: Step, event: EventOf<'callerGone'>): void {
   const record = state.requests.get(event.exchangeId);
   if (record === undefined) return forgetAwaiting(state, event.exchangeId);
-  noteLeft(state, step, record);
+  recordAbandonedAnswer(state, step, record);
   cancelAll(state, step, record);
   state.requests.delete(event.exchangeId);
   log(step, 'callerGone', {
@@ -135,7 +135,7 @@
 export function requestsTick(state: GatewayState, step: Step): void {
   for (const record of state.requests.values()) {
     if (step.nowMs < record.deadlineAtMs) continue;
-    noteLeft(state, step, record);
+    recordAbandonedAnswer(state, step, record);
     giveUp(state, step, record, 'timeIsUp');
   }
 }
--- a/packages/reedlug-gateway/src/slices/rolloutJudgement.ts
+++ b/packages/reedlug-gateway/src/slices/rolloutEvaluation.ts
@@ -8,56 +8,61 @@
 import type { ServerView } from '../types/views.js';
 import { countedPeers } from './fleet.js';
 import { evidenceOf } from './rolloutEvidence.js';
-import { enterPhase, isOver } from './rollouts.js';
+import { enterPhase, isFinished } from './rollouts.js';
 import { isBarred, isTarget, sampleShare } from './versionRule.js';
 
 /** Pause between looks at the evidence, in ms: as often as peers tell theirs. */
-const JUDGE_EVERY_MS = 200;
+const EVALUATION_INTERVAL_MS = 200;
 /** Spans that are judged by themselves, in ms: a version that turns bad shows in the shorter one first, in the longer one by fewer answers. */
-const RECENT_MS = [800, 2500] as const;
+const RECENT_SPANS_MS = [800, 2500] as const;
 /** Servers of the sample at least: a single failing one must not decide. */
-const LEAST_SAMPLE_SERVERS = 4;
+const MIN_SAMPLE_SERVERS = 4;
 
 /** Judges roll-outs in progress and lays out their samples. */
-export function rolloutsTick(state: GatewayState, step: Step): void {
-  if (state.rollouts.size === 0 || step.nowMs - state.rolloutsEvaluatedAtMs < JUDGE_EVERY_MS)
+export function rolloutEvaluationTick(state: GatewayState, step: Step): void {
+  if (
+    state.rollouts.size === 0 ||
+    step.nowMs - state.rolloutsEvaluatedAtMs < EVALUATION_INTERVAL_MS
+  )
     return;
   state.rolloutsEvaluatedAtMs = step.nowMs;
-  for (const view of state.rollouts.values()) judge(state, step, view);
+  for (const view of state.rollouts.values()) advanceRollout(state, step, view);
 }
 
-function judge(state: GatewayState, step: Step, view: RolloutView): void {
-  if (isOver(view)) return;
+function advanceRollout(state: GatewayState, step: Step, view: RolloutView): void {
+  if (isFinished(view)) return;
   const { service } = view.order;
   const evidence = evidenceOf(view, countedPeers(state, step.nowMs));
   const servers = serversOf(state, service);
-  const newOnes = servers.filter(({ entry }) => isTarget(view, entry));
-  const oldOnes = servers.filter(({ entry }) => !isTarget(view, entry) && !isBarred(view, entry));
-  if (newOnes.length > 0) view.waitedMs ??= step.nowMs - view.orderedAtMs;
-  layOutSample(state, view, { evidence, newOnes, oldServers: oldOnes.length });
-  const found = judgeRollout(evidence, recentEvidence(view, evidence, step.nowMs));
-  const facts = {
+  const newServers = servers.filter(({ entry }) => isTarget(view, entry));
+  const oldServers = servers.filter(
+    ({ entry }) => !isTarget(view, entry) && !isBarred(view, entry),
+  );
+  if (newServers.length > 0) view.waitedMs ??= step.nowMs - view.orderedAtMs;
+  chooseSample(state, view, { evidence, newServers, oldServers: oldServers.length });
+  const result = judgeRollout(evidence, recentEvidence(view, evidence, step.nowMs));
+  const progress = {
     phase: view.phase,
     ageMs: step.nowMs - view.orderedAtMs,
     durationMs: view.order.durationMs,
-    verdict: found.verdict,
-    newServers: newOnes.length,
-    oldServers: oldOnes.length,
+    verdict: result.verdict,
+    newServers: newServers.length,
+    oldServers: oldServers.length,
     oldAnswers: evidence.usual.reduce((sum, { answers }) => sum + answers, 0),
   };
-  const next = nextPhase(facts);
+  const next = nextPhase(progress);
   view.wantsCompletion = next === RolloutPhase.completed;
   if (view.wantsCompletion) return;
   enterPhase(step, view, next, {
-    verdict: found.verdict,
-    evidence: Number(found.evidence.toFixed(2)),
-    route: found.route,
-    kind: found.kind,
-    answers: found.answers,
-    bad: found.bad,
-    usualShare: Number(found.usualShare.toFixed(3)),
-    newServers: facts.newServers,
-    oldServers: facts.oldServers,
+    verdict: result.verdict,
+    evidence: Number(result.evidence.toFixed(2)),
+    route: result.route,
+    kind: result.kind,
+    answers: result.answers,
+    bad: result.bad,
+    usualShare: Number(result.usualShare.toFixed(3)),
+    newServers: progress.newServers,
+    oldServers: progress.oldServers,
   });
 }
 
@@ -67,10 +72,10 @@
   evidence: RolloutEvidence,
   nowMs: number,
 ): RolloutEvidence[] {
-  const longestMs = Math.max(...RECENT_MS);
+  const longestMs = Math.max(...RECENT_SPANS_MS);
   const { history } = view;
   while (history[0] !== undefined && nowMs - history[0].atMs > longestMs) history.shift();
-  const recent = RECENT_MS.flatMap((spanMs) => {
+  const recent = RECENT_SPANS_MS.flatMap((spanMs) => {
     const before = history.find(({ atMs }) => nowMs - atMs <= spanMs);
     return before === undefined ? [] : [evidenceSince(evidence, before.evidence)];
   });
@@ -85,18 +90,18 @@
 }
 
 /** Few servers take the sample, so that each carries as much as one of the old version does. */
-function layOutSample(
+function chooseSample(
   state: GatewayState,
   view: RolloutView,
-  params: { evidence: RolloutEvidence; newOnes: readonly ServerView[]; oldServers: number },
+  params: { evidence: RolloutEvidence; newServers: readonly ServerView[]; oldServers: number },
 ): void {
-  const { evidence, newOnes, oldServers } = params;
+  const { evidence, newServers, oldServers } = params;
   const { exposeShare } = state.settings.bounds;
   const { order } = view;
   const count = (phase: RolloutPhase): number =>
-    Math.max(LEAST_SAMPLE_SERVERS, Math.ceil(oldServers * shareOfPhase(phase, exposeShare)));
+    Math.max(MIN_SAMPLE_SERVERS, Math.ceil(oldServers * shareOfPhase(phase, exposeShare)));
   const keyHash = hashString(`${order.service} ${order.revision}`);
-  const widened = highestRanked(newOnes, keyHash, count(RolloutPhase.widened));
+  const widened = highestRanked(newServers, keyHash, count(RolloutPhase.widened));
   const ids = widened.map(({ entry }) => entry.id);
   view.sampleServers = new Set(ids.slice(0, count(RolloutPhase.sampling)));
   view.widenedServers = new Set(ids);
--- a/packages/reedlug-gateway/src/slices/rolloutEvidence.ts
+++ b/packages/reedlug-gateway/src/slices/rolloutEvidence.ts
@@ -1,7 +1,7 @@
 /** What sends show of both versions of a service during a roll-out. */
 import { serverOf } from './ending.js';
 import { modelOf } from './engineModels.js';
-import type { HeardPeer } from './fleet.js';
+import type { PeerWithMessage } from './fleet.js';
 import { addEvidence } from '../policy/rolloutVerdict.js';
 import type { GatewayState, Step } from '../state.js';
 import type { Attempt, RequestRecord } from '../types/request.js';
@@ -15,21 +15,21 @@
 /** How many times longer than expected an answer takes that counts as slow: several times, in the users' words. */
 const SLOW_FACTOR = 3;
 /** Shortest time that is expected of an answer here, in ms: below it, network and timers decide. */
-const LEAST_EXPECTED_MS = 40;
+const MIN_EXPECTED_MS = 40;
 
 /** How an answer ended for the judgement of its version. */
 export const AnswerEnd = { good: 'good', failed: 'failed' } as const;
 export type AnswerEnd = (typeof AnswerEnd)[keyof typeof AnswerEnd];
 
 /** Counts an answer, or what came in its place. A stream that is cut after its first event counts once more, as failed. */
-export function noteAnswer(
+export function recordAnswer(
   state: GatewayState,
   step: Step,
   params: { record: RequestRecord; attempt: Attempt; end: AnswerEnd },
 ): void {
   const { record, attempt, end } = params;
   const view = state.rollouts.get(record.service);
-  if (view === undefined || attempt.version === undefined || !isCounted(view)) return;
+  if (view === undefined || attempt.version === undefined || !countsAnswers(view)) return;
   const tally = tallyOf(view, record, attempt);
   tally.answers += 1;
   if (end === AnswerEnd.failed) tally.failed += 1;
@@ -37,26 +37,30 @@
 }
 
 /** A lost answer counts as failed, unless its server leaves or a zone is cut off: that is no fault of a version. */
-export function noteLost(
+export function recordLostAnswer(
   state: GatewayState,
   step: Step,
-  found: { record: RequestRecord; attempt: Attempt },
+  lost: { record: RequestRecord; attempt: Attempt },
 ): void {
-  const isLeaving = serverOf(state, found.attempt)?.leaving !== false;
+  const isLeaving = serverOf(state, lost.attempt)?.leaving !== false;
   if (isLeaving || state.silentZones.size > 0) return;
-  noteAnswer(state, step, { ...found, end: AnswerEnd.failed });
+  recordAnswer(state, step, { ...lost, end: AnswerEnd.failed });
 }
 
 /** A slow answer that is not awaited to its first event, as its caller left or its server is silent, says as much as one that came. */
-export function noteLeft(state: GatewayState, step: Step, record: RequestRecord): void {
+export function recordAbandonedAnswer(
+  state: GatewayState,
+  step: Step,
+  record: RequestRecord,
+): void {
   const attempt = record.attempts.at(-1);
-  const isAwaited = attempt?.open === true && attempt.firstOutputAtMs === undefined;
-  if (!isAwaited || !isSlow(state, step, record, attempt)) return;
-  noteAnswer(state, step, { record, attempt, end: AnswerEnd.good });
+  const isUnanswered = attempt?.open === true && attempt.firstOutputAtMs === undefined;
+  if (!isUnanswered || !isSlow(state, step, record, attempt)) return;
+  recordAnswer(state, step, { record, attempt, end: AnswerEnd.good });
 }
 
 function isSlow(state: GatewayState, step: Step, record: RequestRecord, attempt: Attempt): boolean {
-  const expectedMs = Math.max(LEAST_EXPECTED_MS, expectedOf(state, step, record, attempt));
+  const expectedMs = Math.max(MIN_EXPECTED_MS, expectedAnswerMs(state, step, record, attempt));
   return step.nowMs - attempt.sentAtMs > SLOW_FACTOR * expectedMs;
 }
 
@@ -65,7 +69,7 @@
  * before: what it is taken to keep counts as read. Without that, many first
  * answers of a sound version count as slow.
  */
-function expectedOf(
+function expectedAnswerMs(
   state: GatewayState,
   step: Step,
   record: RequestRecord,
@@ -73,11 +77,11 @@
 ): number {
   const order = state.rollouts.get(record.service)?.order;
   if (attempt.version !== order?.targetVersion) return attempt.expectedMs;
-  const keptTokens = Math.max(0, (record.facts.promptTokens ?? 0) - attempt.prefillTokens);
-  return attempt.expectedMs + keptTokens / modelOf(state, record.service, step.nowMs).tokensPerMs;
+  const cachedTokens = Math.max(0, (record.facts.promptTokens ?? 0) - attempt.prefillTokens);
+  return attempt.expectedMs + cachedTokens / modelOf(state, record.service, step.nowMs).tokensPerMs;
 }
 
-function isCounted({ phase }: RolloutView): boolean {
+function countsAnswers({ phase }: RolloutView): boolean {
   switch (phase) {
     case RolloutPhase.sampling:
     case RolloutPhase.widened:
@@ -106,9 +110,9 @@
 }
 
 /** What this box saw, with what peers told of the same order. */
-export function evidenceOf(view: RolloutView, peers: readonly HeardPeer[]): RolloutEvidence {
+export function evidenceOf(view: RolloutView, peers: readonly PeerWithMessage[]): RolloutEvidence {
   const own = { trial: [...view.trial.values()], usual: [...view.usual.values()] };
-  const told = peers.flatMap(({ message }) => message.rollouts ?? []);
-  const ofOrder = told.filter(({ order }) => order.revision === view.order.revision);
+  const received = peers.flatMap(({ message }) => message.rollouts ?? []);
+  const ofOrder = received.filter(({ order }) => order.revision === view.order.revision);
   return addEvidence([own, ...ofOrder.map(({ evidence }) => evidence)]);
 }
--- a/packages/reedlug-gateway/src/slices/rolloutRecords.ts
+++ b/packages/reedlug-gateway/src/slices/rolloutRecords.ts
@@ -16,27 +16,27 @@
   type RolloutRecord,
   type RolloutView,
 } from '../types/rollout.js';
-import { dutyFence } from './duties.js';
-import { barredAfter, enterPhase, isOver } from './rollouts.js';
+import { dutyFence } from './dutyLease.js';
+import { blockedVersionsAfter, enterPhase, isFinished } from './rollouts.js';
 import { rowsOf } from './tableRows.js';
 
 /** Pause between calls for one roll-out, in ms: the store answers in some ms, a busy one is asked again. */
-const ASK_EVERY_MS = 250;
+const TABLE_CALL_INTERVAL_MS = 250;
 
 /** Reads and writes the records, while this box holds the lease. */
 export function rolloutRecordsTick(state: GatewayState, step: Step): void {
   if (state.rollouts.size === 0 || dutyFence(state, step.nowMs) === undefined) return;
-  for (const view of state.rollouts.values()) keepRecord(state, step, view);
+  for (const view of state.rollouts.values()) updateRecord(state, step, view);
 }
 
-function keepRecord(state: GatewayState, step: Step, view: RolloutView): void {
-  if (step.nowMs - view.requestedAtMs < ASK_EVERY_MS) return;
+function updateRecord(state: GatewayState, step: Step, view: RolloutView): void {
+  if (step.nowMs - view.requestedAtMs < TABLE_CALL_INTERVAL_MS) return;
   if (!isUsableDuration(view.order.durationMs)) return;
   const phase = phaseToWrite(view);
   if (phase === undefined) return;
   view.requestedAtMs = step.nowMs;
   const { service } = view.order;
-  const key = keyOf(service);
+  const key = recordKey(service);
   const purpose = { kind: 'rollout' as const, service, revision: view.order.revision };
   if (view.recordVersion === undefined) {
     return requestTable(step, purpose, { kind: 'read', keys: [key] });
@@ -46,7 +46,7 @@
   requestTable(step, purpose, { kind: 'transact', writes: [write] });
 }
 
-function keyOf(service: string): string {
+function recordKey(service: string): string {
   return `${ROLLOUT_KEY_PREFIX}${service}`;
 }
 
@@ -54,7 +54,7 @@
 function phaseToWrite(view: RolloutView): RolloutPhase | undefined {
   if (view.recordVersion === undefined) return view.phase;
   const { phase, wantsCompletion, recordedPhase } = view;
-  if (isOver(view)) return recordedPhase === phase ? undefined : phase;
+  if (isFinished(view)) return recordedPhase === phase ? undefined : phase;
   if (wantsCompletion) return RolloutPhase.completed;
   // What lies between is for the boxes alone; after a loss of all they begin with the small sample.
   return recordedPhase === undefined ? RolloutPhase.sampling : undefined;
@@ -88,15 +88,15 @@
     log(step, 'rolloutRecordUnknown', { service: purpose.service, answer: answer.kind });
     return;
   }
-  takeRecord(
+  applyRecord(
     state,
     step,
     view,
-    rows.find(({ key }) => key === keyOf(purpose.service)),
+    rows.find(({ key }) => key === recordKey(purpose.service)),
   );
 }
 
-function takeRecord(
+function applyRecord(
   state: GatewayState,
   step: Step,
   view: RolloutView,
@@ -105,7 +105,7 @@
   view.recordVersion = row?.version ?? 0;
   const record = row?.value as RolloutRecord | undefined;
   if (record === undefined) return;
-  if (!isOfOrder(view, record)) return takeEarlierRecord(view, record);
+  if (!isOfOrder(view, record)) return applyEarlierRecord(view, record);
   view.recordedPhase = record.phase;
   view.barred = record.barred;
   const { storeEpochMs } = state;
@@ -125,8 +125,8 @@
 }
 
 /** The record of an earlier order, which this one follows: a version that was not completed stays barred. */
-function takeEarlierRecord(view: RolloutView, record: RolloutRecord): void {
-  view.barred = barredAfter({
+function applyEarlierRecord(view: RolloutView, record: RolloutRecord): void {
+  view.barred = blockedVersionsAfter({
     barred: [...view.barred, ...record.barred],
     earlier: record,
     targetVersion: view.order.targetVersion,
--- a/packages/reedlug-gateway/src/slices/rollouts.ts
+++ b/packages/reedlug-gateway/src/slices/rollouts.ts
@@ -13,14 +13,14 @@
   type RolloutOrder,
   type RolloutView,
 } from '../types/rollout.js';
-import type { HeardPeer } from './fleet.js';
+import type { PeerWithMessage } from './fleet.js';
 import { evidenceOf } from './rolloutEvidence.js';
 
 /** Versions kept as barred for a service: the newest ones; earlier ones have left the registry long ago. */
-const MAX_BARRED = 8;
+const MAX_BLOCKED_VERSIONS = 8;
 
 /** Earlier orders of a service that are known, in number: more than are given within any copy's age. */
-const MAX_EARLIER = 8;
+const MAX_EARLIER_ORDERS = 8;
 
 /** Takes an order that the store or a peer told. */
 export function onRolloutOrdered(
@@ -28,20 +28,20 @@
   step: Step,
   event: EventOf<'rolloutOrdered'>,
 ): void {
-  takeOrder(state, step, { order: event.order, ageMs: 0, barred: [], source: 'store' });
+  applyOrder(state, step, { order: event.order, ageMs: 0, barred: [], source: 'store' });
 }
 
-function takeOrder(
+function applyOrder(
   state: GatewayState,
   step: Step,
-  told: { order: RolloutOrder; ageMs: number; barred: readonly string[]; source: string },
+  received: { order: RolloutOrder; ageMs: number; barred: readonly string[]; source: string },
 ): RolloutView {
-  const { order, ageMs, source } = told;
+  const { order, ageMs, source } = received;
   const known = state.rollouts.get(order.service);
   if (known !== undefined) {
     if (known.order.revision >= order.revision) return known;
     const isOfLaterEra = eraOf(known.order.revision) < eraOf(order.revision);
-    if (isOfLaterEra && isFromCopy(known, order)) return known;
+    if (isOfLaterEra && isFromBackup(known, order)) return known;
     if (isOfLaterEra && isSameOrder(known.order, order)) {
       known.order = order;
       forgetRecord(known);
@@ -50,17 +50,17 @@
   }
   const view: RolloutView = {
     order,
-    phase: firstPhase(known, order),
+    phase: initialPhase(known, order),
     orderedAtMs: step.nowMs - ageMs,
-    barred: barredAfter({
-      barred: [...(known?.barred ?? []), ...told.barred],
+    barred: blockedVersionsAfter({
+      barred: [...(known?.barred ?? []), ...received.barred],
       earlier: known && { targetVersion: known.order.targetVersion, phase: known.phase },
       targetVersion: order.targetVersion,
     }),
     earlierRevisions: [
       ...(known?.earlierRevisions ?? []),
       ...(known ? [known.order.revision] : []),
-    ].slice(-MAX_EARLIER),
+    ].slice(-MAX_EARLIER_ORDERS),
     waitedMs: undefined,
     wantsCompletion: false,
     trial: new Map(),
@@ -85,14 +85,14 @@
 }
 
 /** An earlier order that came back with a copy of the store: it has the version that it was given in an era before. */
-function isFromCopy({ earlierRevisions }: RolloutView, told: RolloutOrder): boolean {
-  return earlierRevisions.some((revision) => versionOf(revision) === versionOf(told.revision));
+function isFromBackup({ earlierRevisions }: RolloutView, received: RolloutOrder): boolean {
+  return earlierRevisions.some((revision) => versionOf(revision) === versionOf(received.revision));
 }
 
 /** Whether an order of a later era is the one that is known: it stood in the copy, or was written again. */
-function isSameOrder(known: RolloutOrder, told: RolloutOrder): boolean {
-  const isSameTime = Object.is(known.durationMs, told.durationMs);
-  return isSameTime && known.targetVersion === told.targetVersion;
+function isSameOrder(known: RolloutOrder, received: RolloutOrder): boolean {
+  const isSameTime = Object.is(known.durationMs, received.durationMs);
+  return isSameTime && known.targetVersion === received.targetVersion;
 }
 
 /** What the table says of a roll-out is not known any more. */
@@ -102,35 +102,35 @@
 }
 
 /** A version that carries the load already has nothing to prove when it is ordered again: held, its service would stand still. */
-function firstPhase(known: RolloutView | undefined, order: RolloutOrder): RolloutPhase {
+function initialPhase(known: RolloutView | undefined, order: RolloutOrder): RolloutPhase {
   const isInService =
     known?.phase === RolloutPhase.completed && known.order.targetVersion === order.targetVersion;
   return isInService ? RolloutPhase.completed : RolloutPhase.held;
 }
 
 /** Versions that get nothing after a later order: those barred before, and the target of an earlier roll-out that did not end well, unless it is the next one. */
-export function barredAfter(params: {
+export function blockedVersionsAfter(params: {
   barred: readonly string[];
   earlier: { targetVersion: string; phase: RolloutPhase } | undefined;
   targetVersion: string;
 }): readonly string[] {
   const { earlier, targetVersion } = params;
   const barred = new Set(params.barred);
-  const isLeft = earlier !== undefined && earlier.phase !== RolloutPhase.completed;
-  if (isLeft) barred.add(earlier.targetVersion);
+  const isUnfinished = earlier !== undefined && earlier.phase !== RolloutPhase.completed;
+  if (isUnfinished) barred.add(earlier.targetVersion);
   barred.delete(targetVersion);
-  return [...barred].slice(-MAX_BARRED);
+  return [...barred].slice(-MAX_BLOCKED_VERSIONS);
 }
 
 /** Takes what a peer tells of roll-outs. */
-export function takeRolloutNews(
+export function mergeRolloutGossip(
   state: GatewayState,
   step: Step,
   peerId: string,
-  told: readonly RolloutGossip[],
+  gossip: readonly RolloutGossip[],
 ): void {
-  for (const { order, ageMs, phase, barred } of told) {
-    const view = takeOrder(state, step, { order, ageMs, barred, source: peerId });
+  for (const { order, ageMs, phase, barred } of gossip) {
+    const view = applyOrder(state, step, { order, ageMs, barred, source: peerId });
     if (view.order.revision !== order.revision) continue;
     view.orderedAtMs = Math.min(view.orderedAtMs, step.nowMs - ageMs);
     if (barred.length > view.barred.length) view.barred = barred;
@@ -159,21 +159,21 @@
 }
 
 /** What this box tells of roll-outs, with what the boxes that it sums up told. */
-export function rolloutNews(
+export function rolloutGossip(
   state: GatewayState,
   nowMs: number,
-  of: readonly HeardPeer[],
+  of: readonly PeerWithMessage[],
 ): RolloutGossip[] {
   return [...state.rollouts.values()].map((view) => ({
     order: view.order,
     ageMs: Math.round(nowMs - view.orderedAtMs),
     phase: view.phase,
     barred: view.barred,
-    evidence: isOver(view) ? { trial: [], usual: [] } : evidenceOf(view, of),
+    evidence: isFinished(view) ? { trial: [], usual: [] } : evidenceOf(view, of),
   }));
 }
 
 /** Whether a roll-out has come to its end. */
-export function isOver({ phase }: RolloutView): boolean {
+export function isFinished({ phase }: RolloutView): boolean {
   return phase === RolloutPhase.completed || phase === RolloutPhase.rolledBack;
 }
--- a/packages/reedlug-gateway/src/slices/servers.ts
+++ b/packages/reedlug-gateway/src/slices/servers.ts
@@ -20,7 +20,7 @@
 import { noteLifeOver } from './lostServers.js';
 import { noteRegistryChange } from './registryNews.js';
 import { loseAttempts } from './serverLives.js';
-import { mayShowCopy } from './storeEra.js';
+import { mayShowBackup } from './storeEra.js';
 import { mergeLeaving } from './statements/leaving.js';
 import { findStatements } from './statements/lifeStatements.js';
 
@@ -91,7 +91,8 @@
 /** Whether an entry may be of a life that this box has seen go, and come back with a copy alone. */
 function isDoubtful(state: GatewayState, step: Step, { id, bornAtMs }: ServerEntry): boolean {
   const gone = state.goneServers.get(id);
-  if (gone === undefined || state.servers.has(id) || !mayShowCopy(state, step.nowMs)) return false;
+  if (gone === undefined || state.servers.has(id) || !mayShowBackup(state, step.nowMs))
+    return false;
   return !isLaterIncarnation(bornAtMs, gone.bornAtMs);
 }
 
--- a/packages/reedlug-gateway/src/slices/sharedState.ts
+++ b/packages/reedlug-gateway/src/slices/sharedState.ts
@@ -33,7 +33,7 @@
 }
 
 /** The events of a box that got it. */
-export function eventsOfShared(shared: SharedState): EventBody[] {
+export function eventsOfSharedState(shared: SharedState): EventBody[] {
   const { configuration, servers, serversRevision, boxId, registryNumber } = shared;
   const events: EventBody[] = [];
   if (configuration !== undefined) {
--- a/packages/reedlug-gateway/src/slices/silence.ts
+++ b/packages/reedlug-gateway/src/slices/silence.ts
@@ -4,7 +4,7 @@
 import type { Attempt, RequestRecord } from '../types/request.js';
 import { noteLoss } from './lostServers.js';
 import { haveRoomForSend, mayRunAgain, repeat } from './repeats.js';
-import { noteLeft } from './rolloutEvidence.js';
+import { recordAbandonedAnswer } from './rolloutEvidence.js';
 import { closeAttempt, reachWhenLost, serverOf } from './ending.js';
 import { chooseFor } from './sending.js';
 
@@ -37,7 +37,7 @@
   const choice = chooseFor(state, step, record, avoid);
   if (choice === undefined || !haveRoomForSend(state, step, record)) return;
   record.excludedServers.add(attempt.serverId);
-  noteLeft(state, step, record);
+  recordAbandonedAnswer(state, step, record);
   const view = closeAttempt(state, attempt, reach);
   noteLoss(state, step, { record, attempt, view });
   step.effects.push({ type: 'cancelAttempt', attemptId: attempt.attemptId });
--- a/packages/reedlug-gateway/src/slices/statements/senderPart.ts
+++ b/packages/reedlug-gateway/src/slices/statements/senderPart.ts
@@ -14,10 +14,10 @@
 import type { ReachableFleet, SenderRank, ServerLimit } from '../../types/serverStatement.js';
 import type { PeerView, ServerView } from '../../types/views.js';
 import {
-  boxesBefore,
+  boxesRankedBefore,
   boxesCovered,
   countedPeers,
-  countsFreshly,
+  isFreshPeer,
   fleetSize,
   usesHubs,
 } from '../fleet.js';
@@ -69,7 +69,7 @@
   const lookEveryMs = viaHubs ? LOOK_AT_LIST_EVERY_MS : LOOK_EVERY_MS;
   if (known !== undefined && nowMs - known.checkedAtMs < lookEveryMs) return known.rank;
   const lifeHash = hashString(`${life.serverId} ${life.bornAtMs ?? ''}`);
-  const rank = boxesBefore(state, lifeHash, (peer) => mayBeSender(peer, viaHubs, nowMs));
+  const rank = boxesRankedBefore(state, lifeHash, (peer) => mayBeSender(peer, viaHubs, nowMs));
   ranked.rank = { rank, checkedAtMs: nowMs };
   return rank;
 }
@@ -77,14 +77,14 @@
 /** In a fleet with hubs a box does not hear which of the others are there: all that are listed count. */
 function mayBeSender(peer: PeerView, byHubs: boolean, nowMs: number): boolean {
   if (peer.message?.leaving === true) return false;
-  return byHubs || (peer.message !== undefined && countsFreshly(peer, nowMs));
+  return byHubs || (peer.message !== undefined && isFreshPeer(peer, nowMs));
 }
 
 /** The fleet as this box hears it: each send may look at hundreds of limited servers. */
 function reachedFleet(state: GatewayState, nowMs: number): ReachableFleet {
   const known = state.reachableFleet;
   if (known !== undefined && nowMs - known.checkedAtMs < LOOK_EVERY_MS) return known;
-  const heard = countedPeers(state, nowMs).filter((peer) => countsFreshly(peer, nowMs));
+  const heard = countedPeers(state, nowMs).filter((peer) => isFreshPeer(peer, nowMs));
   const boxes = fleetSize(state);
   const share = Math.min(1, boxesCovered(heard) / boxes);
   state.reachableFleet = { boxes, share, viaHubs: usesHubs(state), checkedAtMs: nowMs };
--- a/packages/reedlug-gateway/src/slices/statements/statementNews.ts
+++ b/packages/reedlug-gateway/src/slices/statements/statementNews.ts
@@ -17,8 +17,8 @@
   IncarnationStatement,
 } from '../../types/serverStatement.js';
 import type { PeerView } from '../../types/views.js';
-import { handsOn, SILENT_AFTER_MS } from '../fleet.js';
-import { neighbours } from '../spreadNews.js';
+import { forwardsGossip, SILENT_AFTER_MS } from '../fleet.js';
+import { gossipTargets } from '../gossipTargets.js';
 import { tellDecisions } from '../usageDecisions.js';
 import { asTold, isNews } from './announcement.js';
 import { mergeLeaving } from './leaving.js';
@@ -49,7 +49,7 @@
       announcement.announcedAtMs = nowMs;
     }
   }
-  if (due.length > 0) tell(state, step, due, neighbours(state, nowMs));
+  if (due.length > 0) tell(state, step, due, gossipTargets(state, nowMs));
   if (all.length > 0) tell(state, step, all, addressesOf(state, state.peersNeedingStatements));
   state.peersNeedingStatements.clear();
 }
@@ -196,6 +196,6 @@
   { nowMs }: Step,
   announcement: Announcement | undefined,
 ): void {
-  if (announcement === undefined || handsOn(state)) return;
+  if (announcement === undefined || forwardsGossip(state)) return;
   announcement.announcedAtMs = Math.max(nowMs, asTold(announcement).announcedAtMs);
 }
--- a/packages/reedlug-gateway/src/slices/storeEra.ts
+++ b/packages/reedlug-gateway/src/slices/storeEra.ts
@@ -3,14 +3,14 @@
  * and versions since then are given out again. A new era is how boxes know.
  */
 import { noteLeaseEra } from 'reedlug-coordination';
-import { forgetCrashRow } from './crashRecord.js';
+import { forgetCrashRow } from './crashRow.js';
 import { forgetRecord } from './rollouts.js';
 import { forgetCheckpoint } from './usage.js';
 import { tellDecisions } from './usageDecisions.js';
 import { log, type GatewayState, type Step } from '../state.js';
 
 /** Time from the store's return in which a whole collection may be that of the copy, in ms: what was lost is written again within 2 s, and the list of boxes is read a second later. */
-const COPY_SHOWS_MS = 5000;
+const RESTORE_SETTLE_MS = 5000;
 
 /** Whether an era is news: most answers tell the one that is known already. */
 export function isNewEra({ storeEra }: GatewayState, era: number): boolean {
@@ -43,6 +43,6 @@
 }
 
 /** Whether a whole collection that is read now may lack what was there, and show what is gone. */
-export function mayShowCopy({ storeRestoredAtMs }: GatewayState, nowMs: number): boolean {
-  return nowMs - storeRestoredAtMs < COPY_SHOWS_MS;
+export function mayShowBackup({ storeRestoredAtMs }: GatewayState, nowMs: number): boolean {
+  return nowMs - storeRestoredAtMs < RESTORE_SETTLE_MS;
 }
--- a/packages/reedlug-gateway/src/slices/unitLoans.ts
+++ b/packages/reedlug-gateway/src/slices/unitLoans.ts
@@ -11,7 +11,13 @@
 import { addUnits } from '../policy/unitWindow.js';
 import { log, type GatewayState, type Step } from '../state.js';
 import type { WorkspaceSpec } from '../types/configuration.js';
-import { countedPeers, countsFreshly, handsOn, ownAddress, type HeardPeer } from './fleet.js';
+import {
+  countedPeers,
+  isFreshPeer,
+  forwardsGossip,
+  ownAddress,
+  type PeerWithMessage,
+} from './fleet.js';
 import { findWorkspace, lendUnits, LOAN_MS, quotaOf, roomOf } from './quotas.js';
 
 /** Boxes asked for the units of one request at most: a large request over small parts takes dozens. */
@@ -40,7 +46,7 @@
 }
 
 interface Lender {
-  peer: HeardPeer;
+  peer: PeerWithMessage;
   /** Units that it told of, less those asked of it since. */
   room: number;
 }
@@ -51,7 +57,7 @@
   for (const peer of countedPeers(state, nowMs)) {
     const told = peer.message.room?.[workspace] ?? 0;
     const room = told - (peer.requestedUnits.get(workspace) ?? 0);
-    if (room > 0 && countsFreshly(peer, nowMs)) lenders.push({ peer, room });
+    if (room > 0 && isFreshPeer(peer, nowMs)) lenders.push({ peer, room });
   }
   return lenders.sort((a, b) => b.room - a.room).slice(0, MOST_ASKED);
 }
@@ -92,7 +98,7 @@
 
 function handOn(state: GatewayState, step: Step, message: UnitsAskedMessage): void {
   const { workspace, boxId, hops } = message;
-  if (!handsOn(state) || hops > MOST_HOPS) return;
+  if (!forwardsGossip(state) || hops > MOST_HOPS) return;
   const lenders = lendersOf(state, workspace, step.nowMs).filter(({ peer }) => {
     const isMember = peer.message.scope === GossipScope.box;
     return peer.boxId !== boxId && (isMember || hops < MOST_HOPS);
--- a/packages/reedlug-gateway/src/slices/usage.ts
+++ b/packages/reedlug-gateway/src/slices/usage.ts
@@ -12,8 +12,8 @@
 import { log, requestTable, type GatewayState, type Step } from '../state.js';
 import type { UsageDecisionGossip } from '../types/peer.js';
 import type { UsageCounts, UsageWindow } from '../types/views.js';
-import { agreedWallMs } from './clock.js';
-import { dropLease, dutyFence } from './duties.js';
+import { agreedWallClockMs } from './clock.js';
+import { dropLease, dutyFence } from './dutyLease.js';
 import {
   eraSinceWallMs,
   isDue,
@@ -41,7 +41,7 @@
   record.counted = true;
   const { usageWindowMs } = state.settings.bounds;
   if (usageWindowMs === 0) return;
-  const window = Math.floor(agreedWallMs(state, step) / usageWindowMs);
+  const window = Math.floor(agreedWallClockMs(state, step) / usageWindowMs);
   const own = ownKey(state);
   const counts = windowOf(state, window).byBox.get(own) ?? {};
   const count = (counts[record.workspace] ?? 0) + 1;
@@ -75,7 +75,7 @@
 export function ownUsage(state: GatewayState, step: Step): Record<string, UsageCounts> {
   const { usageWindowMs } = state.settings.bounds;
   if (usageWindowMs === 0) return {};
-  const current = Math.floor(agreedWallMs(state, step) / usageWindowMs);
+  const current = Math.floor(agreedWallClockMs(state, step) / usageWindowMs);
   const own: Record<string, UsageCounts> = {};
   for (const { window, byBox } of state.usage.values()) {
     const counts = byBox.get(ownKey(state));
@@ -108,7 +108,7 @@
 ): void {
   const { usageWindowMs } = state.settings.bounds;
   if (usageWindowMs === 0) return;
-  const oldest = Math.floor(agreedWallMs(state, step) / usageWindowMs) - KEPT_WINDOWS;
+  const oldest = Math.floor(agreedWallClockMs(state, step) / usageWindowMs) - KEPT_WINDOWS;
   for (const decision of decisions) {
     if (decision.window < oldest) continue;
     mergeDecision(step, windowOf(state, decision.window), decision);
@@ -123,7 +123,7 @@
 export function usageTick(state: GatewayState, step: Step): void {
   const { usageWindowMs } = state.settings.bounds;
   if (usageWindowMs === 0 || state.settings.cloud?.reportsUsage !== true) return;
-  const wallMs = agreedWallMs(state, step);
+  const wallMs = agreedWallClockMs(state, step);
   const current = Math.floor(wallMs / usageWindowMs);
   for (const window of state.usage.keys()) {
     if (window < current - KEPT_WINDOWS) state.usage.delete(window);
--- a/packages/reedlug-gateway/src/slices/usageDecisions.ts
+++ b/packages/reedlug-gateway/src/slices/usageDecisions.ts
@@ -10,7 +10,7 @@
 import { log, type GatewayState, type Step } from '../state.js';
 import type { UsageDecisionGossip } from '../types/peer.js';
 import type { UsageCounts, UsageWindow } from '../types/views.js';
-import { agreedWallMs } from './clock.js';
+import { agreedWallClockMs } from './clock.js';
 
 /** Time after a window's end in which peers' last counts arrive, in ms: several of their messages. */
 const SETTLE_MS = 1500;
@@ -23,7 +23,7 @@
 
 /** When a window is decided, by the agreed clock. */
 export function isDue(state: GatewayState, step: Step, { window }: UsageWindow): boolean {
-  return agreedWallMs(state, step) >= dueAtMs(state, window);
+  return agreedWallClockMs(state, step) >= dueAtMs(state, window);
 }
 
 function dueAtMs(state: GatewayState, window: number): number {
@@ -51,7 +51,7 @@
 
 /** A time on this box's clock by the agreed one. */
 function wallAt(state: GatewayState, step: Step, atMs: number): number {
-  return agreedWallMs(state, step) - (step.nowMs - atMs);
+  return agreedWallClockMs(state, step) - (step.nowMs - atMs);
 }
 
 /** Takes what is to be reported for a window. */
--- a/packages/reedlug-gateway/src/slices/versionRule.ts
+++ b/packages/reedlug-gateway/src/slices/versionRule.ts
@@ -11,7 +11,7 @@
 import { RolloutPhase, type RolloutView } from '../types/rollout.js';
 import type { ServerEntry } from '../types/server.js';
 import type { ServerView } from '../types/views.js';
-import { isOver } from './rollouts.js';
+import { isFinished } from './rollouts.js';
 
 /** Whether a server is of the version that is rolled out. */
 export function isTarget(view: RolloutView, entry: ServerEntry): boolean {
@@ -62,7 +62,7 @@
 /** Whether two versions of a service stand side by side. */
 export function isRollingOut(state: GatewayState, service: string): boolean {
   const view = state.rollouts.get(service);
-  return view !== undefined && !isOver(view);
+  return view !== undefined && !isFinished(view);
 }
 
 /** Share of the service's requests in the sample now. */
