--- a/packages/reedlug-gateway/src/slices/__tests__/crashSuspects.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/crashSuspects.test.ts
@@ -12,12 +12,12 @@
 import type { Effect } from '../../types/effect.js';
 
 const SUSPECT = 'tiger/bad';
-/** Time in which a verdict is given, with a tick more. */
+/** Time until a verdict is given, plus one tick. */
 const EVALUATION_MS = 1550;
 
 let nextExchangeId = 1;
 
-/** A box with engines and no others; plain servers are of no account here. */
+/** Creates a box with several engines and no peers; plain servers do not matter here. */
 function createBox(): TestBox {
   const box = createServingBox();
   const ids = ['engine-3', 'engine-4', 'engine-5', 'engine-6'];
@@ -34,7 +34,7 @@
   return { exchangeId, effects: box.take({ type: 'requestArrived', exchangeId, facts: request }) };
 }
 
-/** Loses a send; its server's port takes no connection any more, or does. */
+/** Loses a send; then the server's port refuses connections, or accepts them unless `isGone`. */
 function loseSend(box: TestBox, sent: { exchangeId: number; attemptId: number }, isGone = true) {
   const { exchangeId, attemptId } = sent;
   const effects = box.take({ type: 'attemptLost', exchangeId, attemptId, reason: 'reset' });
@@ -46,7 +46,7 @@
   return effects;
 }
 
-/** A request comes and its servers end under it, the box's own further send as well. */
+/** Sends a request that crashes every server it reaches, the one of the box's retry included. */
 function sendCrashingRequest(box: TestBox, digest = 'bad', path = '/draft/1'): Effect[] {
   const { exchangeId, effects } = arrive(box, digest, path);
   let sends = ofType(effects, 'send');
@@ -75,7 +75,7 @@
   return { kind: 'crashSuspects', boxId: 'box-2', suspects, recent: [] };
 }
 
-test('after three crashes a request is refused at once, truly, and without a time to come back', () => {
+test('after three crashes a request is refused at once, with a 500 and without Retry-After', () => {
   const box = createBox();
   sendCrashingRequest(box);
   box.pass(300);
@@ -92,7 +92,7 @@
   expect(ofType(arrive(box, 'good').effects, 'send')).to.have.lengthOf(1);
 });
 
-test('until it is judged nothing of it is sent, and it may come back', () => {
+test('until its evaluation a suspect is not sent, and is refused with Retry-After', () => {
   const box = createBox();
   sendCrashingRequest(box);
   box.pass(300);
@@ -102,14 +102,14 @@
   expect(retryAfterMs).to.be.within(1000, 1500);
 });
 
-test('of a request with two crashes a lost send is not followed by another of the box', () => {
+test('a box does not retry a lost send of a request with two crashes', () => {
   const box = createBox();
   expect(ofType(sendCrashingRequest(box), 'send')).to.have.lengthOf(2);
   box.pass(300);
   expect(ofType(sendCrashingRequest(box), 'send')).to.have.lengthOf(1);
 });
 
-test('a reset of connections, a server that leaves and one that is cut off are no crash', () => {
+test('connection resets and the end of a draining server are no crashes', () => {
   const box = createBox();
   for (let index = 0; index < 5; index += 1) {
     const { exchangeId, effects } = arrive(box, 'reset');
@@ -124,7 +124,7 @@
   expect([...box.state.crashSuspects.keys()]).to.deep.equal([]);
 });
 
-test('a crash that shows only by the next life counts as well', () => {
+test('a crash that only the next incarnation of the server reveals counts as well', () => {
   const box = createBox();
   const { exchangeId, effects } = arrive(box, 'bad');
   const { attemptId, order } = only(effects, 'send');
@@ -135,12 +135,12 @@
     { id: order.serverId, entry: { ...entry, bornAtMs: 1 } },
     { id: order.serverId, entry },
   ];
-  // The first entry that tells a birth is of the life that was known.
+  // The first entry with a start time belongs to the incarnation that was known.
   box.take({ type: 'serversRead', whole: false, changes, revision: 3, source: 'store' });
   expect(box.state.crashSuspects.get(SUSPECT)?.crashes).to.have.lengthOf(1);
 });
 
-test('a good run clears a request, whoever saw it', () => {
+test('a good run clears a suspect, also of earlier crashes that are reported later', () => {
   const box = createBox();
   sendCrashingRequest(box);
   box.pass(2000);
@@ -151,7 +151,7 @@
   box.pass(50);
   box.take({ type: 'attemptEnded', ...ids });
   expect(box.state.crashSuspects.get(SUSPECT)?.crashes).to.deep.equal([]);
-  // News of crashes before it come late.
+  // Gossip about crashes before the good run arrives late.
   const other = createBox();
   other.nowMs = box.nowMs - 2100;
   sendCrashingRequest(other);
@@ -160,7 +160,7 @@
   expect(box.state.crashSuspects.get(SUSPECT)?.crashes).to.deep.equal([]);
 });
 
-test('who ran for long when its server ended is no suspect', () => {
+test('a request that had run for long when its server crashed is no suspect', () => {
   const box = createBox();
   const { exchangeId, effects } = arrive(box, 'long');
   const { attemptId } = only(effects, 'send');
@@ -176,7 +176,7 @@
   expect(box.state.crashSuspects.size).to.equal(0);
 });
 
-test('a server whose port refuses is passed over', () => {
+test('no request is sent to a server whose port refuses connections', () => {
   const box = createBox();
   const { exchangeId, effects } = arrive(box, 'bad');
   const { attemptId, order } = only(effects, 'send');
@@ -187,18 +187,18 @@
   expect(chosen).not.to.include(order.serverId);
 });
 
-test('boxes that hear the same crashes in any order, again and with losses made up hold the same', () => {
+test('boxes that receive the same crashes in any order and repetition know the same crashes', () => {
   const sources = [1, 2, 3].map((index) => {
     const box = createBox();
-    // A server that tells no births is back after some seconds.
+    // A server that reports no start time is back after some seconds.
     box.nowMs = 4000 * index;
     sendCrashingRequest(box);
     box.nowMs = 16_000;
     return message(box);
   });
-  const heard = fc.array(fc.nat({ max: 2 }), { minLength: 0, maxLength: 12 });
+  const receipts = fc.array(fc.nat({ max: 2 }), { minLength: 0, maxLength: 12 });
   fc.assert(
-    fc.property(heard, (order) => {
+    fc.property(receipts, (order) => {
       const box = createBox();
       box.nowMs = 16_000;
       for (const index of [...order, 0, 1, 2]) {
@@ -217,16 +217,16 @@
   );
 });
 
-test('news that are none change nothing', () => {
+test('malformed gossip changes nothing', () => {
   const box = createBox();
-  const strange = [null, 5, {}, { key: 'a' }, { key: 'a', crashes: [[1]], seenAgeMs: 0 }];
-  const suspects = strange as unknown as CrashSuspectsMessage['suspects'];
+  const malformed = [null, 5, {}, { key: 'a' }, { key: 'a', crashes: [[1]], seenAgeMs: 0 }];
+  const suspects = malformed as unknown as CrashSuspectsMessage['suspects'];
   const message = { kind: 'crashSuspects' as const, boxId: 'box-2', suspects, recent: [] };
   box.take({ type: 'crashSuspects', message });
   expect(box.state.crashSuspects.size).to.equal(0);
 });
 
-test('a box that starts alone knows from the table what is kept out', () => {
+test('a box that starts alone learns from the table which requests are blocked', () => {
   const writer = createBox();
   const read = only(writer.pass(50), 'requestTable');
   expect(read.op).to.deep.equal({ kind: 'read', keys: ['crash-suspects'] });
@@ -254,31 +254,31 @@
   expect(only(arrive(starter, 'bad').effects, 'refuse').status).to.equal(500);
 });
 
-test('crashes of others speak for a request, also of those that are cleared by now', () => {
+test('crashes under other requests count in favor of a suspect, also when those requests are cleared', () => {
   const rows = (ids: readonly string[], ageMs: number, stepMs: number) =>
     ids.map((id, index) => [id, 1, ageMs + 60 - index * stepMs, ageMs - index * stepMs] as const);
-  // Two crashes of one moment and one later: two rounds, enough for who was at most crashes.
+  // Two crashes at one moment and one later are two rounds: enough for a request that was open at most crashes.
   const crashes = [...rows(['a', 'b'], 800, 0), ...rows(['c'], 400, 0)];
-  const news = { key: SUSPECT, crashes, goodRunAgeMs: undefined, keptOutAgeMs: undefined };
-  const isKeptOut = (others: ReturnType<typeof rows>): boolean => {
+  const gossip = { key: SUSPECT, crashes, goodRunAgeMs: undefined, keptOutAgeMs: undefined };
+  const isBlocked = (others: ReturnType<typeof rows>): boolean => {
     const box = createBox();
     box.pass(1000);
-    const suspects = [{ ...news, seenAgeMs: 0 }];
+    const suspects = [{ ...gossip, seenAgeMs: 0 }];
     const recent = [...crashes, ...others];
     const message = { kind: 'crashSuspects' as const, boxId: 'box-2', suspects, recent };
     box.take({ type: 'crashSuspects', message });
     box.pass(EVALUATION_MS);
     return box.state.crashSuspects.get(SUSPECT)?.blockedSinceMs !== undefined;
   };
-  expect(isKeptOut([])).to.equal(true);
-  expect(isKeptOut(rows(['d', 'e', 'f', 'g'], 800, 0))).to.equal(false);
+  expect(isBlocked([])).to.equal(true);
+  expect(isBlocked(rows(['d', 'e', 'f', 'g'], 800, 0))).to.equal(false);
 });
 
-test('a suspect that others tell of is as old as they say, so that it is forgotten at last', () => {
+test('a suspect keeps the age that other boxes report, so that it is removed in the end', () => {
   const box = createBox();
   box.nowMs = 700_000;
-  const news = { key: SUSPECT, crashes: [], goodRunAgeMs: undefined, keptOutAgeMs: undefined };
-  const suspects = [{ ...news, seenAgeMs: 599_500 }];
+  const gossip = { key: SUSPECT, crashes: [], goodRunAgeMs: undefined, keptOutAgeMs: undefined };
+  const suspects = [{ ...gossip, seenAgeMs: 599_500 }];
   const message = { kind: 'crashSuspects' as const, boxId: 'box-2', suspects, recent: [] };
   box.take({ type: 'crashSuspects', message });
   expect(box.state.crashSuspects.size).to.equal(1);
@@ -286,7 +286,7 @@
   expect(box.state.crashSuspects.size).to.equal(0);
 });
 
-test('an operator lifts a verdict at one box, and all others learn of it', () => {
+test('a verdict that an operator lifts at one box is lifted at all others', () => {
   const box = createBox();
   sendCrashingRequest(box);
   box.pass(300);
@@ -294,9 +294,9 @@
   box.pass(EVALUATION_MS);
   expect(only(arrive(box, 'bad').effects, 'refuse').status).to.equal(500);
   const other = createBox();
-  const told = message(box);
-  const suspects = told.suspects.map((suspect) => ({ ...suspect, keptOutAgeMs: 100 }));
-  other.take({ type: 'crashSuspects', message: { ...told, suspects } });
+  const received = message(box);
+  const suspects = received.suspects.map((suspect) => ({ ...suspect, keptOutAgeMs: 100 }));
+  other.take({ type: 'crashSuspects', message: { ...received, suspects } });
   expect(only(arrive(other, 'bad').effects, 'refuse').status).to.equal(500);
   for (const known of [box, other]) known.pass(1000);
   box.take({ type: 'verdictLifted', key: SUSPECT });
@@ -306,19 +306,19 @@
   expect(ofType(arrive(other, 'bad').effects, 'send')).to.have.length(1);
 });
 
-/** What the box tells of the suspect after the verdict was lifted. */
+/** Returns the box's gossip about the suspect after the verdict was lifted. */
 function gossipAfterLift(box: TestBox) {
   const suspect = box.state.crashSuspects.get(SUSPECT);
   const goodRunAgeMs = box.nowMs - (suspect?.goodRunAtMs ?? 0);
   return { key: SUSPECT, crashes: [], goodRunAgeMs, keptOutAgeMs: undefined, seenAgeMs: 0 };
 }
 
-test('what is sent after a server has ended, and lost behind a forwarder, is not under suspicion', () => {
+test('a request that was sent after its server crashed, and lost behind a forwarder, is no suspect', () => {
   const box = createBox();
   const late = arrive(box, 'popular');
   const lateSend = only(late.effects, 'send');
   const { serverId } = lateSend.order;
-  // Another box saw that server end before this one sent to it.
+  // Another box observed the crash of that server before this one sent to it.
   const recent = [[serverId, null, 300, 200] as const];
   const message = { kind: 'crashSuspects' as const, boxId: 'box-2', suspects: [], recent };
   box.take({ type: 'crashSuspects', message });
@@ -327,14 +327,14 @@
   expect(box.state.crashSuspects.has('tiger/popular')).to.equal(false);
 });
 
-test('sends after the first loss that told of an end are no longer under suspicion of it', () => {
+test('requests sent after the loss that revealed a crash are no suspects of it', () => {
   const box = createBox();
   const first = arrive(box, 'bad');
   const { attemptId, order } = only(first.effects, 'send');
   box.pass(60);
   loseSend(box, { exchangeId: first.exchangeId, attemptId });
   expect([...box.state.crashSuspects.keys()]).to.deep.equal(['tiger/bad']);
-  // Only that server takes what comes next.
+  // Only that server accepts the next request.
   for (const view of box.state.servers.values()) view.leaving = view.entry.id !== order.serverId;
   box.pass(100);
   const later = arrive(box, 'popular');
--- a/packages/reedlug-gateway/src/slices/__tests__/fleet.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/fleet.test.ts
@@ -6,7 +6,7 @@
 
 const ZONES = ['zone-a', 'zone-b', 'zone-c'];
 
-/** Starts a stream at a box that goes on until the test ends. */
+/** Starts a stream at a box that stays open until the test ends. */
 function openStream(fleet: TestFleet, boxId: string, exchangeId: number): string {
   const box = fleet.boxes.get(boxId);
   const request = facts({
@@ -20,7 +20,7 @@
   return only(effects, 'send').order.serverId;
 }
 
-/** Streams that a box believes others to have open at all servers. */
+/** Returns how many streams a box believes others to have open at all servers. */
 function runningElsewhere(fleet: TestFleet, boxId: string): number {
   const box = fleet.boxes.get(boxId);
   if (box === undefined) throw new Error(`no ${boxId}`);
@@ -31,7 +31,7 @@
   return running;
 }
 
-test('each box of a large fleet knows the load of all others, once', () => {
+test('each box of a large fleet counts the load of all others exactly once', () => {
   const fleet = createFleet({ boxes: 90, zones: ZONES });
   fleet.pass(3000);
   for (const boxId of ['box-0', 'box-1', 'box-44', 'box-89']) openStream(fleet, boxId, 1);
@@ -42,7 +42,7 @@
   }
 });
 
-test('a box of a large fleet hears few datagrams, a hub some hundred a second', () => {
+test('a box of a large fleet receives few datagrams, a hub a few hundred a second', () => {
   const fleet = createFleet({ boxes: 300, zones: ZONES });
   fleet.pass(3000);
   fleet.received.clear();
@@ -52,7 +52,7 @@
   expect(perSecond.at(-1)).to.be.lessThan(260);
 });
 
-test('boxes of a large fleet know of which zones nobody is heard', () => {
+test('boxes of a large fleet know which zones are silent', () => {
   const fleet = createFleet({ boxes: 60, zones: ZONES });
   fleet.pass(5000);
   const silentZones = (): string[][] =>
@@ -65,7 +65,7 @@
   expect(silentZones()).to.deep.equal(Array(40).fill(['zone-b']));
 });
 
-test('boxes of a small fleet know of which zones nobody is heard', () => {
+test('boxes of a small fleet know which zones are silent', () => {
   const fleet = createFleet({ boxes: 6, zones: ZONES });
   fleet.pass(5000);
   fleet.kill('box-1');
@@ -85,7 +85,7 @@
   expect([...fleet.boxes.values()].every(({ state }) => state.hubId === undefined)).to.equal(true);
 });
 
-test('after the loss of a hub its members are heard again within two seconds', () => {
+test('after the loss of a hub the gossip of its members arrives again within two seconds', () => {
   const fleet = createFleet({ boxes: 90, zones: ZONES });
   fleet.pass(3000);
   const hubId = fleet.boxes.get('box-0')?.state.hubId ?? 'box-0';
@@ -100,10 +100,10 @@
   }
 });
 
-test('what one box admits is taken from the limit at every box, once', () => {
+test('units that one box admits count against the limit at every box, exactly once', () => {
   const fleet = createFleet({ boxes: 60, zones: ZONES });
   fleet.pass(3000);
-  // A first request each, so that all boxes keep a bucket.
+  // One request at each box, so that all boxes track the limit.
   let exchangeId = 0;
   for (const boxId of fleet.boxes.keys()) openStream(fleet, boxId, (exchangeId += 1));
   fleet.pass(20_000);
@@ -112,8 +112,8 @@
   const total = [...fleet.boxes.values()].map(({ state }) => {
     const { totalsFromBoxes, totalsFromHubs } = state;
     const own = state.quotas.get('tiger')?.admitted ?? 0;
-    const told = totalsFromBoxes.admitted.get('tiger') ?? 0;
-    return own + told + (totalsFromHubs.admitted.get('tiger') ?? 0);
+    const fromBoxes = totalsFromBoxes.admitted.get('tiger') ?? 0;
+    return own + fromBoxes + (totalsFromHubs.admitted.get('tiger') ?? 0);
   });
   // Streams that no server answers are sent once more, and each send counts.
   const sent = [...fleet.boxes.values()].map(({ state }) => state.quotas.get('tiger')?.admitted);
@@ -123,29 +123,29 @@
   expect(Math.min(...total)).to.equal(sum);
 });
 
-test('a request larger than the parts of many boxes is put together through their hubs', () => {
+test('a request larger than the limit shares of many boxes borrows units through their hubs', () => {
   const fleet = createFleet({ boxes: 60, zones: ZONES });
   fleet.pass(3000);
-  const ask = (exchangeId: number, promptTokens: number) => {
+  const sendRequest = (exchangeId: number, promptTokens: number) => {
     const path = '/draft/1';
     const request = facts({ requestId: `large-${exchangeId}`, path, promptTokens });
-    const asked = { ...request, deadlineMs: 8000, maxOutputTokens: 0 };
-    return fleet.take('box-7', { type: 'requestArrived', exchangeId, facts: asked });
+    const longRequest = { ...request, deadlineMs: 8000, maxOutputTokens: 0 };
+    return fleet.take('box-7', { type: 'requestArrived', exchangeId, facts: longRequest });
   };
-  // A part's burst is 809 units of the 97,020 of the window.
-  expect(ofType(ask(1, 20_000), 'send')).to.have.length(1);
+  // The burst of one share is 809 of the 97,020 units of the window.
+  expect(ofType(sendRequest(1, 20_000), 'send')).to.have.length(1);
   const charged = [...fleet.boxes.values()].map(
     ({ state }) => state.quotas.get('tiger')?.charged.total ?? 0,
   );
   expect(charged.filter((units) => units > 0).length).to.be.greaterThan(20);
   const sum = charged.reduce((units, own) => units + own, 0);
   expect(sum).to.be.within(20_000, 20_100);
-  // Half of the window may be sent at a moment: a second such request and no third.
-  expect(ofType(ask(2, 20_000), 'send')).to.have.length(1);
-  expect(ofType(ask(3, 20_000), 'send')).to.have.length(0);
+  // Half of the window may be sent at once: a second such request fits, a third does not.
+  expect(ofType(sendRequest(2, 20_000), 'send')).to.have.length(1);
+  expect(ofType(sendRequest(3, 20_000), 'send')).to.have.length(0);
 });
 
-test('a hub takes silent boxes of its own group off the list, and no others', () => {
+test('a hub removes silent boxes of its own group from the list, and no others', () => {
   const fleet = createFleet({ boxes: 60, zones: ZONES });
   fleet.pass(3000);
   const hub = [...fleet.boxes.values()].find(({ state }) => state.hubId === undefined);
@@ -153,11 +153,11 @@
   const { own } = knownGroups(hub.state);
   const silent = own.at(-1)?.boxId ?? '';
   fleet.kill(silent);
-  // Boxes of other groups never tell this one anything.
-  const heardLongAgo = [...hub.state.peers.values()].filter(
+  // Boxes of other groups never send to this one.
+  const silentPeers = [...hub.state.peers.values()].filter(
     ({ boxId }) => boxId === silent || !own.some((member) => member.boxId === boxId),
   );
-  for (const peer of heardLongAgo) peer.lastReceivedAtMs = hub.nowMs - 600_000;
+  for (const peer of silentPeers) peer.lastReceivedAtMs = hub.nowMs - 600_000;
   hub.state.part.goneBoxesCheckedAtMs = hub.nowMs - 60_000;
   const effects = hub.pass(50);
   expect(ofType(effects, 'enterBox').map(({ boxId }) => boxId)).to.deep.equal([silent]);
@@ -220,7 +220,7 @@
   expect(JSON.stringify(row?.op).length).to.be.lessThan(65_536);
 });
 
-/** Gives a change of the registry to the boxes that follow the store. */
+/** Delivers a change of the registry to the boxes that follow the store, and returns how many there are. */
 function changeRegistry(fleet: TestFleet, change: ServerChange, revision: number): number {
   let readers = 0;
   for (const box of fleet.boxes.values()) {
@@ -233,7 +233,7 @@
   return readers;
 }
 
-/** A fleet whose hubs have just heard from the store. */
+/** Creates a fleet whose hubs have just been in contact with the store. */
 function createFollowingFleet(): TestFleet {
   const fleet = createFleet({ boxes: 60, zones: ZONES });
   fleet.pass(1000);
@@ -242,7 +242,7 @@
   return fleet;
 }
 
-test('only hubs follow the store, and their members learn that a server leaves', () => {
+test('only hubs follow the store, and their members learn that a server is draining', () => {
   const fleet = createFollowingFleet();
   const entry = server('engine-2', { service: 'engines', state: ServerState.leaving });
   expect(changeRegistry(fleet, { id: 'engine-2', entry }, 2)).to.equal(ZONES.length);
@@ -252,7 +252,7 @@
   }
 });
 
-test('a server that a hub takes out goes at its members too', () => {
+test('a server that a hub removes is removed by its members too', () => {
   const fleet = createFollowingFleet();
   changeRegistry(fleet, { id: 'engine-2', entry: undefined }, 2);
   fleet.pass(500);
@@ -261,14 +261,14 @@
   }
 });
 
-test('a member whose hub has lost the store follows the store itself', () => {
+test('a member whose hub has lost contact with the store follows the store itself', () => {
   const fleet = createFollowingFleet();
   fleet.pass(4000);
   const followers = [...fleet.boxes.values()].filter((box) => followsStore(box.state, box.nowMs));
   expect(followers).to.have.length(60);
 });
 
-test('a member that missed changes of its hub asks for the whole', () => {
+test('a member that missed changes of its hub requests the whole registry', () => {
   const fleet = createFollowingFleet();
   const [boxId, member] = [...fleet.boxes].find(([, { state }]) => state.hubId !== undefined) ?? [];
   const hub = member?.state.peers.get(member.state.hubId ?? '');
@@ -285,7 +285,7 @@
   ).to.have.length(1);
 });
 
-test('two boxes that lack the same configuration both ask for it', () => {
+test('two boxes that lack the same configuration both request it', () => {
   const fleet = createFleet({ boxes: 3, zones: ZONES });
   const newest = fleet.boxes.get('box-0');
   newest?.take({
@@ -293,20 +293,20 @@
     configuration: configuration({ version: 9 }),
     source: 'store',
   });
-  const asked = new Set<string>();
+  const requesters = new Set<string>();
   for (let passedMs = 0; passedMs < 1500; passedMs += 50) {
     fleet.pass(50);
     for (const [boxId, effects] of fleet.effects) {
-      if (effects.some(({ type }) => type === 'askPeer')) asked.add(boxId);
+      if (effects.some(({ type }) => type === 'askPeer')) requesters.add(boxId);
     }
     for (const [boxId, effects] of fleet.answered) {
-      if (effects.some(({ type }) => type === 'askPeer')) asked.add(boxId);
+      if (effects.some(({ type }) => type === 'askPeer')) requesters.add(boxId);
     }
   }
-  expect([...asked].sort()).to.deep.equal(['box-1', 'box-2']);
+  expect([...requesters].sort()).to.deep.equal(['box-1', 'box-2']);
 });
 
-/** Units that a box believes the whole fleet to have admitted. */
+/** Returns the units that a box believes the whole fleet to have admitted. */
 function admittedAsKnownTo(fleet: TestFleet, boxId: string): number {
   const state = fleet.boxes.get(boxId)?.state;
   if (state === undefined) throw new Error(`no ${boxId}`);
@@ -315,7 +315,7 @@
   return (state.quotas.get('tiger')?.admitted ?? 0) + fromBoxes + fromHubs;
 }
 
-test('restarts in turn count nothing twice against a limit', () => {
+test('restarts of one box after another count no units twice against a limit', () => {
   const fleet = createFleet({ boxes: 60, zones: ZONES });
   fleet.pass(3000);
   const ids = [...fleet.boxes.keys()];
@@ -375,7 +375,7 @@
   expect(seen / admitted).to.be.within(0.5, 1.02);
 });
 
-test('a hub that wakes after a pause tells nothing that was told without it', () => {
+test('a hub that resumes after a pause does not repeat totals that were sent without it', () => {
   const fleet = createFleet({ boxes: 60, zones: ZONES });
   fleet.pass(3000);
   const member = [...fleet.boxes.values()].find(({ state }) => state.hubId !== undefined);
@@ -407,7 +407,7 @@
   expect(seen / admitted).to.be.within(0.6, 1.02);
 });
 
-test('each box of a fleet with hubs hears within a quarter of a second of a request that crashed a server', () => {
+test('in a fleet with hubs, gossip about a crash reaches each box within a quarter of a second', () => {
   const fleet = createFleet({ boxes: 69, zones: ['zone-a', 'zone-b', 'zone-c'] });
   fleet.pass(4000);
   const request = facts({ digest: 'bad', path: '/draft/1', deadlineMs: 8000, promptTokens: 900 });
@@ -421,7 +421,7 @@
   fleet.pass(250);
   const knowing = [...fleet.boxes.values()].filter(({ state }) => state.crashSuspects.size > 0);
   expect(knowing).to.have.lengthOf(69);
-  // News of the usual kind besides: each box tells and hears a hub five times a second.
+  // Regular gossip counts too: each box sends to its hub and receives from it five times a second.
   const received = [...fleet.received.values()].reduce((sum, count) => sum + count, 0) - before;
   expect(received).to.be.below(69 * 12);
 });
--- a/packages/reedlug-gateway/src/slices/__tests__/peers.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/peers.test.ts
@@ -17,7 +17,7 @@
 import { nextRegistryStep } from '../registryNews.js';
 import { eventsOfSharedState, sharedStateOf } from '../sharedState.js';
 
-test('a box that stays behind a peer asks it for the configuration', () => {
+test('a box that stays behind a peer requests the configuration from it', () => {
   const box = createServingBox();
   const newer = { configurationVersion: 5 };
   box.take({ type: 'peerMessage', message: peerMessage({ ...newer, sequence: 1 }) });
@@ -43,12 +43,15 @@
   expect(box.state.active?.configuration.version).to.equal(7);
 });
 
-/** A box that shares limits with box-2, and what it sends that one. */
-function createSharingBox(room: number) {
+/** Creates a box that shares limits with box-2, and functions to send it requests and to lend it units. */
+function createSharingBox(spareUnits: number) {
   const box = createServingBox(settings({ limitOverShare: 0 }));
   const { host, port, zone } = peerMessage();
   listBoxes(box, [{ boxId: 'box-2', host, port, zone, processorCores: 1 }]);
-  box.take({ type: 'peerMessage', message: peerMessage({ sequence: 1, room: { tiger: room } }) });
+  box.take({
+    type: 'peerMessage',
+    message: peerMessage({ sequence: 1, room: { tiger: spareUnits } }),
+  });
   const ask = (exchangeId: number, promptTokens: number) => {
     const request = facts({ requestId: `r${exchangeId}`, promptTokens, maxOutputTokens: 0 });
     return box.take({ type: 'requestArrived', exchangeId, facts: request });
@@ -65,20 +68,20 @@
   return { box, ask, asked, lend };
 }
 
-test('a box takes only its part of a limit, also when it hears nothing of others', () => {
+test('a box uses only its share of a limit, also when it receives nothing from others', () => {
   const { ask } = createSharingBox(0);
-  // Half of 88,200 units in two boxes' parts.
+  // Half of the window's 88,200 units may be sent at once; divided between two boxes, 22,050 each.
   expect(ofType(ask(1, 20_000), 'send')).to.have.length(1);
   const refusal = ofType(ask(2, 3000), 'refuse')[0];
   expect(refusal?.status).to.equal(429);
   expect(refusal?.retryAfterMs).to.be.greaterThan(0);
 });
 
-test('a request beyond the part waits for units that a peer lends', () => {
+test('a request beyond the share waits for units that a peer lends', () => {
   const { ask, asked, lend } = createSharingBox(20_000);
-  const [question] = asked(ask(1, 30_000));
-  expect(question?.units).to.be.closeTo(30_000 - 22_050, 1);
-  const effects = lend(question?.askId ?? 0, question?.units ?? 0);
+  const [unitRequest] = asked(ask(1, 30_000));
+  expect(unitRequest?.units).to.be.closeTo(30_000 - 22_050, 1);
+  const effects = lend(unitRequest?.askId ?? 0, unitRequest?.units ?? 0);
   expect(ofType(effects, 'send')).to.have.length(1);
 });
 
@@ -89,20 +92,20 @@
   expect(only(effects, 'refuse').status).to.equal(429);
 });
 
-test('units that do not come in time end the wait, and are lost when they come late', () => {
+test('the wait for lent units ends after a time, and units that arrive later are discarded', () => {
   const { box, ask, asked, lend } = createSharingBox(20_000);
-  const [question] = asked(ask(1, 30_000));
+  const [unitRequest] = asked(ask(1, 30_000));
   const effects = [box.pass(50), box.pass(50), box.pass(50)].flat();
   expect(only(effects, 'refuse').status).to.equal(429);
   box.pass(500);
-  lend(question?.askId ?? 0, question?.units ?? 0);
+  lend(unitRequest?.askId ?? 0, unitRequest?.units ?? 0);
   expect(box.state.quotas.get('tiger')?.loans).to.deep.equal([]);
 });
 
-test("lent units that are not sent are given back, and are the lender's again once", () => {
+test('lent units that are not used are returned, and credited to the lender once', () => {
   const { box, ask, asked, lend } = createSharingBox(20_000);
-  const [question] = asked(ask(1, 30_000));
-  lend(question?.askId ?? 0, 4000);
+  const [unitRequest] = asked(ask(1, 30_000));
+  lend(unitRequest?.askId ?? 0, 4000);
   const effects = [box.pass(50), box.pass(50), box.pass(50)].flat();
   const returned = ofType(effects, 'sendPeers').flatMap(({ message }) =>
     message.kind === 'unitsReturned' ? [message] : [],
@@ -110,8 +113,8 @@
   expect(returned.map(({ units }) => units)).to.deep.equal([4000]);
   const lender = createSharingBox(0);
   const [message] = returned;
-  if (message === undefined || question === undefined) throw new Error('nothing came back');
-  lender.box.take({ type: 'unitsAsked', message: { ...question, boxId: 'box-2', units: 4000 } });
+  if (message === undefined || unitRequest === undefined) throw new Error('nothing came back');
+  lender.box.take({ type: 'unitsAsked', message: { ...unitRequest, boxId: 'box-2', units: 4000 } });
   const charged = () => lender.box.state.quotas.get('tiger')?.charged.total;
   expect(charged()).to.equal(4000);
   for (let times = 0; times < 2; times += 1) {
@@ -120,7 +123,7 @@
   }
 });
 
-test('what is lent is charged to the lender, whether it is used or not', () => {
+test('lent units are charged to the lender, whether they are used or not', () => {
   const { box, ask, asked } = createSharingBox(0);
   const lent = box.take({
     type: 'unitsAsked',
@@ -155,7 +158,7 @@
   expect(box.state.peers.get('box-2')?.message?.sequence).to.equal(3);
 });
 
-test('a box without configuration refuses as not run after a moment', () => {
+test('a box without configuration refuses a request as not run after a short wait', () => {
   const box = createBox(settings());
   box.take({ type: 'requestArrived', exchangeId: 1, facts: facts() });
   const effects = Array.from({ length: 6 }, () => box.pass(50)).flat();
@@ -164,7 +167,7 @@
   expect(refusal.retryAfterMs).to.equal(500);
 });
 
-test('a request that comes before configuration and servers goes on once they are known', () => {
+test('a request that arrives before configuration and servers are known is sent once they are', () => {
   const box = createBox(settings());
   listBoxes(box);
   box.take({ type: 'requestArrived', exchangeId: 1, facts: facts() });
@@ -183,18 +186,18 @@
     revision: 1,
     source: 'store',
   });
-  // The time that it waited counts.
+  // The time that it waited counts against its deadline.
   expect(only(serversAreThere, 'send').order.deadlineMs).to.equal(500);
 });
 
-test('a caller that leaves before the box has started is forgotten', () => {
+test('the request of a caller that leaves before the box has started is dropped', () => {
   const box = createBox(settings());
   box.take({ type: 'requestArrived', exchangeId: 1, facts: facts() });
   box.take({ type: 'callerGone', exchangeId: 1 });
   expect(ofType(box.pass(400), 'refuse')).to.have.length(0);
 });
 
-test('a box that lacks the configuration alone does not ask for the registry', () => {
+test('a box that lacks only the configuration does not request the registry', () => {
   const box = createServingBox();
   const ask = (message: Partial<PeerMessage>): Effect[] => {
     sequence += 1;
@@ -208,12 +211,12 @@
   box.pass(500);
   const both = only(ask({ configurationVersion: 2, serversRevision: 5 }), 'askPeer');
   expect(both.withServers).to.equal(true);
-  // 3,000 servers: 481 KB for each of 32 members of a hub, some 20 KB since.
+  // A registry of 3,000 servers is 481 KB for each of 32 members of a hub; without it, some 20 KB are sent.
   const shared = sharedStateOf(box.state, asked.withServers);
   expect(eventsOfSharedState(shared).map(({ type }) => type)).to.deep.equal(['configurationRead']);
 });
 
-test('a box that has read as new a registry as its hub does not ask for it', () => {
+test('a box whose registry is as recent as that of its hub does not request it', () => {
   const hub = { registryNumber: undefined } as PeerView;
   const registry = { lastNumber: 7, changes: [] };
   expect(nextRegistryStep({ ...hub }, registry, false).kind).to.equal('askWhole');
@@ -222,15 +225,15 @@
   expect(known.registryNumber).to.equal(7);
 });
 
-test('a peer that starts again after its time of day was set back is heard', () => {
+test('messages of a peer that restarts after its wall clock was set back are accepted', () => {
   const box = createServingBox();
   box.take({ type: 'peerMessage', message: peerMessage({ incarnation: 5000, sequence: 9 }) });
-  const hear = (): number | undefined => {
+  const receive = (): number | undefined => {
     box.take({ type: 'peerMessage', message: peerMessage({ incarnation: 2000, sequence: 1 }) });
     return box.state.peers.get('box-2')?.message?.incarnation;
   };
-  // A datagram of an earlier life that comes late is none of a new one.
-  expect(hear()).to.equal(5000);
+  // A datagram of an earlier incarnation that arrives late does not start a new one.
+  expect(receive()).to.equal(5000);
   box.pass(1100);
-  expect(hear()).to.equal(2000);
+  expect(receive()).to.equal(2000);
 });
--- a/packages/reedlug-gateway/src/slices/__tests__/rolloutEras.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/rolloutEras.test.ts
@@ -17,7 +17,7 @@
 const ORDER = orderOf('v2', 1, 40);
 const ABORT = orderOf('v1', 1, 90);
 
-/** A box that knows a roll-out of v2 that is widened. */
+/** Creates a box that knows a roll-out of v2 in the widened phase. */
 function boxOfRollout(): TestBox {
   const box = createServingBox();
   box.take({ type: 'storeEra', era: 1 });
@@ -40,7 +40,7 @@
   return { target: view?.order.targetVersion, phase: view?.phase };
 }
 
-test('a roll-out goes on where it was when its order stands in a copy or is written again', () => {
+test('a roll-out keeps its phase when its order is in the restored backup or is written again', () => {
   for (const version of [40, 700]) {
     const box = boxOfRollout();
     box.take({ type: 'storeEra', era: 2 });
@@ -49,7 +49,7 @@
   }
 });
 
-test('an abort holds though the copy shows the order before it', () => {
+test('an abort stays in force when the restored backup contains the order before it', () => {
   const box = boxOfRollout();
   box.take({ type: 'rolloutOrdered', order: ABORT });
   box.take({ type: 'storeEra', era: 2 });
@@ -59,14 +59,14 @@
   expect(box.state.rollouts.get('records')?.barred).to.deep.equal(['v2']);
 });
 
-test('an abort after the store came back is taken, whatever its version', () => {
+test('an abort after a restore of the store is applied, whatever its version', () => {
   const box = boxOfRollout();
   box.take({ type: 'storeEra', era: 2 });
   box.take({ type: 'rolloutOrdered', order: orderOf('v1', 2, 35) });
   expect(viewOf(box).target).to.equal('v1');
 });
 
-test('the holder writes the record again that the store lost', () => {
+test('the holder of the lease writes a record again that the store lost', () => {
   const box = boxOfRollout();
   takeLease(box);
   const recordsAsked = (ms: number) =>
@@ -100,7 +100,7 @@
   expect(written?.op).to.deep.include({ kind: 'transact' });
 });
 
-test('what the record says of the same order in an earlier era is kept by a box that starts', () => {
+test('a box that starts adopts the phase recorded for the same order in an earlier era', () => {
   const box = createServingBox();
   box.take({ type: 'storeEra', era: 2 });
   const order = orderOf('v2', 2, 55);
--- a/packages/reedlug-gateway/src/slices/__tests__/rollouts.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/rollouts.test.ts
@@ -29,11 +29,11 @@
   return box.take({ type: 'peerMessage', message: peerMessage({ sequence, rollouts: [rollout] }) });
 }
 
-/** A box before two servers of the old version and two of the new one. */
+/** Creates a box with two servers of the old version and two of the new one. */
 function boxOfTwoVersions(): TestBox {
   const box = createServingBox();
   const entries = [
-    // The new ones come first, so that nothing but the rule keeps requests from them.
+    // The new servers come first, so that nothing but the version rule keeps requests from them.
     server('new-1', { version: 'v2' }),
     server('new-2', { version: 'v2' }),
     server('old-1', { version: 'v1' }),
@@ -46,7 +46,7 @@
   return box;
 }
 
-/** Sends of so many requests to the new version, each answered well at once. */
+/** Sends a number of requests, each answered successfully at once, and returns how many went to the new version. */
 function sendsToNew(box: TestBox, requests: number): number {
   let count = 0;
   for (let index = 0; index < requests; index += 1) {
@@ -60,18 +60,18 @@
   return count;
 }
 
-test('without an order a server of another version serves as others do', () => {
+test('without an order a server of another version serves like the others', () => {
   expect(sendsToNew(boxOfTwoVersions(), 100)).to.be.greaterThan(10);
 });
 
-test('a box that knows only the order sends the new version nothing', () => {
+test('a box that knows only the order sends nothing to the new version', () => {
   const box = boxOfTwoVersions();
   box.take({ type: 'rolloutOrdered', order: ORDER });
   box.pass(250);
   expect(sendsToNew(box, 200)).to.equal(0);
 });
 
-test('a sample goes to the new version, and comes back to the old one when it fails', () => {
+test('a sample goes to the new version, and a failed request of it is retried with the old one', () => {
   const box = boxOfTwoVersions();
   receiveGossip(box, gossip());
   box.pass(250);
@@ -99,7 +99,7 @@
   }
 });
 
-test('what peers saw together makes a box go back, at once', () => {
+test('the combined evidence of peers makes a box roll back at once', () => {
   const box = boxOfTwoVersions();
   receiveGossip(box, gossip());
   box.pass(250);
@@ -113,13 +113,13 @@
   expect(sendsToNew(box, 300)).to.equal(0);
 });
 
-test('everything goes to the new version once it is shifted', () => {
+test('all requests go to the new version once the roll-out is shifted', () => {
   const box = boxOfTwoVersions();
   receiveGossip(box, gossip({ phase: 'shifted', ageMs: 10_600 }));
   expect(sendsToNew(box, 40)).to.equal(40);
 });
 
-test('a version whose roll-out was replaced by another order gets nothing', () => {
+test('a version whose roll-out was replaced by another order receives no requests', () => {
   const box = boxOfTwoVersions();
   receiveGossip(box, gossip());
   const order = { ...ORDER, targetVersion: 'v3', revision: 41 };
@@ -129,7 +129,7 @@
   expect(sendsToNew(box, 200)).to.equal(0);
 });
 
-test('an order with an absurd duration moves nothing and is told in the log', () => {
+test('an order with an invalid duration has no effect and is logged', () => {
   const box = boxOfTwoVersions();
   takeLease(box);
   const order = { ...ORDER, durationMs: Number.NaN };
@@ -144,7 +144,7 @@
   return purpose.kind === 'rollout';
 }
 
-/** The table as it answers calls for roll-outs; everything else goes unanswered. */
+/** Answers table calls for roll-outs as the table does; all other calls stay unanswered. */
 function answerRollouts(box: TestBox, effects: readonly Effect[], rows: Map<string, unknown>) {
   for (const { op, purpose, sentAtMs } of ofType(effects, 'requestTable').filter(isOfRollout)) {
     if (op.kind === 'transact') {
@@ -160,7 +160,7 @@
   return (rows.get('rollout/records') as RolloutRecord | undefined)?.phase;
 }
 
-test('the holder writes that it runs, and that it is completed by the deadline', () => {
+test('the holder of the lease records that a roll-out runs, and that it is completed by the deadline', () => {
   const box = boxOfTwoVersions();
   takeLease(box);
   const rows = new Map<string, unknown>();
@@ -185,7 +185,7 @@
   box.take({ type: 'attemptAnswered', exchangeId, attemptId, verdict: 'success', status: 200 });
 }
 
-test('a box that starts after the end learns it from the table', () => {
+test('a box that starts after the end of a roll-out learns the result from the table', () => {
   const box = boxOfTwoVersions();
   takeLease(box);
   const record: RolloutRecord = {
@@ -197,13 +197,13 @@
   };
   const rows = new Map<string, unknown>([['rollout/records', record]]);
   box.take({ type: 'rolloutOrdered', order: ORDER });
-  for (let look = 0; look < 20; look += 1) answerRollouts(box, passAsHolder(box, 50), rows);
+  for (let tick = 0; tick < 20; tick += 1) answerRollouts(box, passAsHolder(box, 50), rows);
   expect(box.state.rollouts.get('records')?.phase).to.equal(RolloutPhase.rolledBack);
   expect(phaseInTable(rows)).to.equal(RolloutPhase.rolledBack);
   expect(sendsToNew(box, 100)).to.equal(0);
 });
 
-test('a version that is ordered again while it carries the load goes on serving', () => {
+test('a version that is ordered again while it carries the load continues to serve', () => {
   const box = boxOfTwoVersions();
   receiveGossip(box, gossip({ phase: 'completed' }));
   expect(sendsToNew(box, 20)).to.equal(20);
@@ -211,7 +211,7 @@
   expect(sendsToNew(box, 20)).to.equal(20);
 });
 
-test('an order for an unknown service moves nothing', () => {
+test('an order for an unknown service has no effect', () => {
   const box = boxOfTwoVersions();
   box.take({ type: 'rolloutOrdered', order: { ...ORDER, service: 'nothing' } });
   expect(() => box.pass(500)).not.to.throw();
@@ -219,7 +219,7 @@
   expect(sendsToNew(box, 100)).to.be.greaterThan(10);
 });
 
-test('metrics tell the answers of both versions', async () => {
+test('metrics show the answers of both versions', async () => {
   const box = boxOfTwoVersions();
   const evidence = {
     trial: [{ route: 'lookup', serverId: '', answers: 14, failed: 2, slow: 0 }],
--- a/packages/reedlug-gateway/src/slices/__tests__/shutdown.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/shutdown.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { createServingBox, facts, ofType, only } from '../../__tests__/__fixtures__/box.js';
 
-test('a stream that comes late in a planned stop is refused as not run', () => {
+test('a stream that arrives late in a planned shutdown is refused as not run', () => {
   const box = createServingBox();
   box.take({ type: 'stopAsked' });
   box.pass(4000);
@@ -28,7 +28,7 @@
   expect(ofType(effects, 'send')).to.have.length(1);
 });
 
-test('a short look-up is served until the last second of a planned stop', () => {
+test('a short look-up is served until the last second of a planned shutdown', () => {
   const box = createServingBox();
   box.take({ type: 'stopAsked' });
   box.pass(5000);
@@ -43,7 +43,7 @@
   expect(only(late, 'refuse').status).to.equal(503);
 });
 
-test('the process ends once nothing is open and the balancer has moved on', () => {
+test('the process ends once no request is open and the load balancer has reacted', () => {
   const box = createServingBox();
   box.take({ type: 'stopAsked' });
   expect(ofType(box.pass(1000), 'stopped')).to.have.length(0);
--- a/packages/reedlug-gateway/src/slices/__tests__/storeEra.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/storeEra.test.ts
@@ -7,7 +7,7 @@
 } from '../../__tests__/__fixtures__/box.js';
 import { passAsHolder, takeLease } from '../../__tests__/__fixtures__/lease.js';
 
-test('a box tells once in its log that the store came back, with both eras', () => {
+test('a box logs a restore of the store once, with both eras', () => {
   const box = createBox();
   const linesOf = (era: number) => ofType(box.take({ type: 'storeEra', era }), 'log');
   expect(linesOf(3).map(({ event }) => event)).to.deep.equal(['storeEraFirst']);
@@ -19,7 +19,7 @@
   expect(box.state.storeEra).to.equal(5);
 });
 
-test('the holder of the lease enters the agreed clock again, as it was', () => {
+test('the holder of the lease writes the agreed clock offset again, unchanged', () => {
   const box = createServingBox();
   box.take({ type: 'peerMessage', message: peerMessage({ clockOffsetMs: 77 }) });
   box.take({ type: 'storeClock', storeNowMs: 0 });
@@ -30,7 +30,7 @@
   expect(clockWrites(2000)).to.deep.equal([]);
   box.take({ type: 'storeEra', era: 2 });
   const [write] = clockWrites(1500);
-  if (write?.op.kind !== 'transact') throw new Error('the clock is agreed by a write');
+  if (write?.op.kind !== 'transact') throw new Error('expected a write of the clock offset');
   expect(write.op.writes[0]).to.deep.include({ expectVersion: 0, value: { offsetMs: 77 } });
   const rows = [{ key: 'clock-offset', version: 3, value: { offsetMs: 78 } }];
   const answer = { kind: 'refused' as const, reason: 'conflict' as const, rows };
@@ -39,13 +39,13 @@
   expect(box.state.agreedClockOffsetMs).to.equal(77);
 });
 
-test('an era is heard from a peer as well, and all collections are read anew once', () => {
+test('a new era is also learned from a peer, and all collections are read again once', () => {
   const box = createServingBox();
   box.take({ type: 'storeEra', era: 1 });
-  const hear = (storeEra: number, sequence: number) =>
+  const receive = (storeEra: number, sequence: number) =>
     box.take({ type: 'peerMessage', message: peerMessage({ storeEra, sequence }) });
-  expect(ofType(hear(3, 1), 'readStoreAgain')).to.have.length(1);
-  expect(ofType(hear(3, 2), 'readStoreAgain')).to.have.length(0);
-  expect(ofType(hear(2, 3), 'readStoreAgain')).to.have.length(0);
+  expect(ofType(receive(3, 1), 'readStoreAgain')).to.have.length(1);
+  expect(ofType(receive(3, 2), 'readStoreAgain')).to.have.length(0);
+  expect(ofType(receive(2, 3), 'readStoreAgain')).to.have.length(0);
   expect(ofType(box.take({ type: 'storeEra', era: 3 }), 'readStoreAgain')).to.have.length(0);
 });
--- a/packages/reedlug-gateway/src/slices/__tests__/suspension.test.ts
+++ b/packages/reedlug-gateway/src/slices/__tests__/suspension.test.ts
@@ -11,7 +11,7 @@
 import type { Effect } from '../../types/effect.js';
 import { dutyFence } from '../dutyLease.js';
 
-/** A machine stands still for a time that its steady clock does not count. */
+/** Suspends the machine for a time that its monotonic clock does not count. */
 function suspend(box: TestBox, ms: number): Effect[] {
   box.wallOffsetMs += ms;
   return box.pass(50);
@@ -23,7 +23,7 @@
     .map(({ fields }) => fields['witness']);
 }
 
-test('after a suspension that outlasts the lease a box carries out no duty', () => {
+test('after a suspension that outlasts the lease a box performs no duties', () => {
   const box = createServingBox();
   takeLease(box);
   expect(dutyFence(box.state, box.nowMs)).not.to.equal(undefined);
@@ -31,14 +31,14 @@
   expect(dutyFence(box.state, box.nowMs)).to.equal(undefined);
 });
 
-test('a short suspension leaves the rest of the lease', () => {
+test('a lease stays valid after a suspension shorter than its remaining time', () => {
   const box = createServingBox();
   takeLease(box);
   suspend(box, 300);
   expect(dutyFence(box.state, box.nowMs)).not.to.equal(undefined);
 });
 
-test('the store clock tells of a suspension where the time of day was set back beside', () => {
+test('the store clock shows a suspension when the wall clock was set back at the same time', () => {
   const box = createServingBox();
   takeLease(box);
   box.take({ type: 'storeClock', storeNowMs: box.nowMs + 10_000 });
@@ -48,7 +48,7 @@
   expect(dutyFence(box.state, box.nowMs)).to.equal(undefined);
 });
 
-test('a slow answer of the store, and a clock that is set back, are no suspension', () => {
+test('a slow answer of the store, and a wall clock that is set back, are no suspension', () => {
   const box = createServingBox();
   box.take({ type: 'storeClock', storeNowMs: 10_000 });
   box.pass(2000);
@@ -56,7 +56,7 @@
   expect(suspensions(suspend(box, -5000))).to.deep.equal([]);
 });
 
-test('lent units that a suspension outlasts are not sent', () => {
+test('lent units that expire during a suspension are not used', () => {
   const box = createServingBox();
   const workspace = box.state.active?.configuration.workspaces[0];
   box.take({ type: 'requestArrived', exchangeId: 1, facts: facts() });
@@ -67,7 +67,7 @@
   expect(quota?.loans[0]?.untilMs).to.be.below(box.nowMs);
 });
 
-test('after a suspension a box sends to a limited server as one that takes another box its place', () => {
+test('after a suspension a box sends to a limited server like a box that replaces another', () => {
   const box = createServingBox();
   box.pass(4000);
   const statement = limitStatement(2);
--- a/packages/reedlug-gateway/src/slices/buildGossip.ts
+++ b/packages/reedlug-gateway/src/slices/buildGossip.ts
@@ -1,4 +1,4 @@
-/** Puts news together: of this box, of its group, and of all others for one member. */
+/** Builds gossip messages: for this box, for its group, and for one member the sum of all other boxes. */
 import { GossipScope, type PeerMessage, type ServerLoad } from '../types/peer.js';
 import type { GatewayState, Step } from '../state.js';
 import { addLoads } from '../policy/serverLoad.js';
@@ -14,17 +14,17 @@
 import { ownUsage } from './usage.js';
 import { decisionNews } from './usageDecisions.js';
 
-/** The news of one tick; messages to several peers differ only in what they sum up. */
+/** The gossip of one tick; messages to several peers differ only in what they sum up. */
 export interface GossipMessages {
-  /** This box's figures alone. */
+  /** Returns this box's figures alone. */
   ownMessage: () => PeerMessage;
-  /** The sum of this box and its members. */
+  /** Returns the sum of this box and its members. */
   groupMessage: () => PeerMessage;
-  /** The sum of all boxes but one. */
+  /** Returns the sum of all boxes except one. */
   othersMessage: (peer: PeerView) => PeerMessage;
 }
 
-/** Starts the news of a tick. */
+/** Prepares the gossip of a tick. */
 export function buildGossip(state: GatewayState, step: Step): GossipMessages {
   state.peerSequence += 1;
   const own = ownGossip(state, step);
@@ -97,7 +97,7 @@
   return unread === 0 ? load : { ...load, unreadByUrgency: [...unreadByUrgency] };
 }
 
-/** Adds the news of peers to this box's own; totals come from what was heard since the start, less one peer's part. */
+/** Adds the gossip of peers to this box's own; totals come from what was received since the start, less the contribution of one peer. */
 function summedGossip(
   state: GatewayState,
   step: Step,
@@ -187,7 +187,7 @@
   return sums;
 }
 
-/** Peers whose hub this box is: they tell it their own news, and get everyone else's. */
+/** Returns the peers whose hub this box is: they send it their own gossip, and receive the sum of all others. */
 export function hubMembers(state: GatewayState, nowMs: number): PeerView[] {
   return [...state.peers.values()].filter(
     (peer) => peer.message?.scope === GossipScope.box && isFreshPeer(peer, nowMs),
--- a/packages/reedlug-gateway/src/slices/clock.ts
+++ b/packages/reedlug-gateway/src/slices/clock.ts
@@ -1,8 +1,8 @@
 /**
- * One wall clock for all boxes, from the store's steady clock.
+ * One wall clock for all boxes, based on the store's monotonic clock.
  *
- * The time of day of a box may jump. The first box to start enters in a row how
- * far its wall clock was ahead of the store's clock; all boxes use that figure.
+ * The wall clock of a single box may jump. The first box to start writes to the shared
+ * table how far its wall clock is ahead of the store's clock; all boxes use that offset.
  */
 import type { EventOf } from '../types/event.js';
 import { dutyFence } from './dutyLease.js';
@@ -10,30 +10,30 @@
 import { log, requestTable, type GatewayState, type Step } from '../state.js';
 import { checkStoreEpoch } from './suspension.js';
 
-/** Key of the row in the table. */
+/** Key of the table row that holds the agreed offset. */
 const CLOCK_KEY = 'clock-offset';
-/** Pause between tries to agree, in ms. */
+/** Interval between attempts to write the row, in ms. */
 const CLOCK_RETRY_MS = 1000;
 
 interface ClockRow {
   offsetMs: number;
 }
 
-/** Wall-clock time by the agreed offset; by this box's own clock before there is one. */
+/** Returns the wall-clock time by the agreed offset, or by this box's own clock while no offset is agreed. */
 export function agreedWallClockMs(state: GatewayState, step: Step): number {
   const { storeEpochMs, agreedClockOffsetMs } = state;
   if (storeEpochMs === undefined || agreedClockOffsetMs === undefined) return step.wallClockMs;
   return step.nowMs - storeEpochMs + agreedClockOffsetMs;
 }
 
-/** Notes the store's clock; the least delay gives the truest figure. */
+/** Records the store's clock; the answer with the least delay gives the most accurate value. */
 export function onStoreClock(state: GatewayState, step: Step, event: EventOf<'storeClock'>): void {
   const epochMs = step.nowMs - event.storeNowMs;
   checkStoreEpoch(state, step, epochMs);
   state.storeEpochMs = Math.min(state.storeEpochMs ?? epochMs, epochMs);
 }
 
-/** Proposes this box's offset while none is agreed; the holder of the lease enters again what the store lost. */
+/** Proposes this box's offset while none is agreed; the holder of the duty lease writes the row again if the store has lost it. */
 export function clockTick(state: GatewayState, step: Step): void {
   if (state.storeEpochMs === undefined) return;
   const mustRestoreRow = state.clockRowIsLost && dutyFence(state, step.nowMs) !== undefined;
@@ -48,7 +48,7 @@
   requestTable(step, { kind: 'clock' }, { kind: 'transact', writes });
 }
 
-/** Takes the row, whoever wrote it. */
+/** Adopts the offset in the row, whichever box wrote it. */
 export function onClockRow(state: GatewayState, step: Step, event: EventOf<'tableAnswered'>): void {
   const { answer } = event;
   if (answer.kind === 'unknown') return;
@@ -57,7 +57,7 @@
   if (row?.value !== undefined) adoptClockOffset(state, step, (row.value as ClockRow).offsetMs);
 }
 
-/** Uses an agreed offset, from the row or from a peer. */
+/** Adopts an agreed offset, from the row or from a peer; a later one does not replace it. */
 export function adoptClockOffset(state: GatewayState, step: Step, offsetMs: number): void {
   if (state.agreedClockOffsetMs !== undefined) return;
   state.agreedClockOffsetMs = offsetMs;
--- a/packages/reedlug-gateway/src/slices/crashGossip.ts
+++ b/packages/reedlug-gateway/src/slices/crashGossip.ts
@@ -1,9 +1,9 @@
 /**
- * News of requests under which servers crashed.
+ * Gossip about requests under which servers crashed.
  *
- * What a box has seen goes out with its next tick: to all boxes in a small fleet, else by
- * way of the hubs, which hand on what is new to them. Now and then everything is told
- * again, for boxes that start, were cut off, or lost a datagram.
+ * Each tick sends what a box has observed since the last one: to all boxes in a small fleet,
+ * otherwise through the hubs, which forward what is new to them. At longer intervals
+ * everything is sent again, for boxes that start, were partitioned, or lost a datagram.
  */
 import type { GatewayState, Step } from '../state.js';
 import type {
@@ -26,18 +26,19 @@
 import { isFiniteNumber, isFiniteNumberOrNull } from './rowValues.js';
 import { gossipTargets } from './gossipTargets.js';
 
-/** Suspects in one message, so that it stays far under what a datagram holds; those with the most crashes matter most. */
+/** Maximum number of suspects in one message, so that it stays far below the maximum size of a datagram; those with the highest priority come first. */
 const MAX_SUSPECTS_PER_MESSAGE = 24;
-/** Pause between messages that tell all, in ms: a third of the time in which news must have come. */
+/** Interval between messages that contain everything, in ms: a third of the time within which gossip must arrive. */
 const FULL_GOSSIP_INTERVAL_MS = 1000;
 
-/** Crashes of others that are told beside, by their age in ms, and at most. */
+/** Maximum age of the recent crashes that a message lists besides those of the suspects, in ms. */
 const RECENT_CRASH_MAX_AGE_MS = 2000;
+/** Maximum number of such recent crashes in one message. */
 const MAX_RECENT_CRASHES_PER_MESSAGE = 64;
-/** Two tellings of one good run differ by less, in ms. */
+/** Two reports of one good run differ by less than this, in ms. */
 const SAME_RUN_TOLERANCE_MS = 500;
 
-/** Tells what is new, or everything when it is time. */
+/** Sends what is new, or everything when that is due. */
 export function crashGossipTick(state: GatewayState, step: Step): void {
   if (state.crashSuspects.size === 0) return;
   const isFull = step.nowMs - state.fullCrashGossipSentAtMs >= FULL_GOSSIP_INTERVAL_MS;
@@ -61,7 +62,7 @@
   step.effects.push({ type: 'sendPeers', message, to });
 }
 
-/** The suspects that matter most, as many as a message holds. */
+/** Returns the suspects with the highest priority, as many as fit in one message. */
 export function highestPrioritySuspects(suspects: readonly CrashSuspect[]): CrashSuspect[] {
   const byStrength = [...suspects].sort(
     (a, b) => suspectPriority(b) - suspectPriority(a) || b.seenAtMs - a.seenAtMs,
@@ -69,7 +70,7 @@
   return byStrength.slice(0, MAX_SUSPECTS_PER_MESSAGE);
 }
 
-/** A suspect as it is told. */
+/** Encodes a suspect for messages and for the table row: all times become ages. */
 export function suspectGossip(suspect: CrashSuspect, nowMs: number): CrashSuspectGossip {
   const { key, crashes, goodRunAtMs, blockedSinceMs, seenAtMs } = suspect;
   const ageOf = (atMs: number): number => Math.round(nowMs - atMs);
@@ -89,7 +90,7 @@
   return [serverId, bornAtMs ?? null, Math.round(nowMs - sentAtMs), Math.round(nowMs - endedAtMs)];
 }
 
-/** Whether a value is news of a suspect: datagrams and rows come from other versions too. */
+/** Returns whether a value is valid gossip about a suspect: datagrams and rows may come from other versions of the gateway. */
 export function isSuspectGossip(value: unknown): value is CrashSuspectGossip {
   if (typeof value !== 'object' || value === null) return false;
   const { key, crashes, goodRunAgeMs, keptOutAgeMs, seenAgeMs } =
@@ -105,7 +106,7 @@
   return isFiniteNumberOrNull(entry[1]) && isFiniteNumber(entry[2]) && isFiniteNumber(entry[3]);
 }
 
-/** Takes what another box knows. */
+/** Merges the suspects and crashes that another box reports. */
 export function onCrashSuspects(
   state: GatewayState,
   step: Step,
@@ -120,19 +121,19 @@
   }
 }
 
-/** Takes what is told of a suspect, with ages as of a time, by default now; tells whether anything was new. */
+/** Merges gossip about a suspect, whose ages count from `asOfMs`, by default now; returns whether anything was new. */
 export function mergeSuspect(
   state: GatewayState,
   step: Step,
   gossip: CrashSuspectGossip,
   asOfMs = step.nowMs,
 ): boolean {
-  // What is told is as old as it says: else boxes would renew for each other what is to be forgotten.
+  // The reported age is kept: with the time of receipt, boxes would renew a suspect for each other and never remove it.
   const seenAtMs = asOfMs - gossip.seenAgeMs;
   const suspect = getOrCreateSuspect(state, gossip.key, seenAtMs);
   const goodRunAtMs = asOfMs - (gossip.goodRunAgeMs ?? Number.POSITIVE_INFINITY);
   const before = { crashes: suspect.crashes.length, goodRunAtMs: suspect.goodRunAtMs };
-  // The same good run told again comes a way later.
+  // The same good run, reported again, appears later by a network delay.
   if (goodRunAtMs > suspect.goodRunAtMs + SAME_RUN_TOLERANCE_MS)
     applyGoodRun(step, suspect, goodRunAtMs);
   for (const entry of gossip.crashes) addCrash(state, suspect, crashOf(entry, asOfMs));
--- a/packages/reedlug-gateway/src/slices/crashRefusal.ts
+++ b/packages/reedlug-gateway/src/slices/crashRefusal.ts
@@ -1,4 +1,4 @@
-/** Refusals of requests that may crash the servers that run them. */
+/** Refuses requests that may crash the servers that run them. */
 import { hashString } from 'reedlug-coordination';
 import { CRASHES_TO_KEEP_OUT } from '../policy/crashVerdict.js';
 import { log, type GatewayState, type Step } from '../state.js';
@@ -8,10 +8,10 @@
 import { CRASHES_SERVERS_REASON, suspectOf } from './crashSuspects.js';
 import { boxesRankedBefore, isFreshPeer, usesHubs } from './fleet.js';
 
-/** When such a request may come back to another box, in ms: the one send that is under way has shown by then whether its server crashes. */
+/** Retry-After while a trial send of such a request is in progress, in ms: by then it is known whether the server of the trial crashes. */
 const TRIAL_RETRY_AFTER_MS = 500;
 
-/** What a request that has come is refused with, if it is to be sent to no server. */
+/** The answer to a request that must not be sent to any server. */
 export interface CrashRefusal {
   status: number;
   reason: string;
@@ -19,9 +19,10 @@
 }
 
 /**
- * Whether a request that has come is sent to no server, for good or until it is judged. For
- * good: the failure is the servers' own, and coming back changes nothing, so it is a 500
- * without a time; a 503 would be taken for overload and tried again.
+ * Returns the refusal of a request that must not be sent to any server, permanently or until
+ * it is evaluated; undefined when it may be sent. A permanent refusal is a 500 without
+ * Retry-After: the failure is the servers' own and a retry changes nothing, but callers would
+ * take a 503 for overload and retry.
  */
 export function crashRefusal(
   state: GatewayState,
@@ -59,9 +60,9 @@
 }
 
 /**
- * Whether this box sends a suspect with three crashes whose case is open: one box does, the
- * first by rank of those that are heard, one send at a time. The users allow three further
- * sends in all, and copies that come at once to several boxes would make more.
+ * Returns whether this box sends a suspect that has three crashes and no verdict. Only the box
+ * that ranks first among those not silent does, one send at a time: the users allow three
+ * further sends in all, and copies that arrive at several boxes at once would exceed that.
  */
 function maySendTrial(state: GatewayState, suspect: CrashSuspect, nowMs: number): boolean {
   const viaHubs = usesHubs(state);
--- a/packages/reedlug-gateway/src/slices/crashRow.ts
+++ b/packages/reedlug-gateway/src/slices/crashRow.ts
@@ -1,11 +1,11 @@
 /**
- * Requests under which servers crashed, in the shared table, for boxes that start when no
- * other one is there to tell them.
+ * Requests under which servers crashed, in a row of the shared table, for boxes that start
+ * when no other box is running that could send them gossip.
  *
- * Each box reads the row once after its start. The holder of the duty lease keeps it true;
- * a box whose own sends showed something writes at once, since the holder may be gone with
- * all others before it has heard. Writes are conditional, and what another one wrote in
- * between is taken in before the next.
+ * Each box reads the row once after its start. The holder of the duty lease keeps it up to
+ * date; a box whose own sends revealed something writes it at once, since the holder may
+ * fail together with all other boxes before it receives the gossip. Writes are conditional,
+ * and what another box wrote in the meantime is merged before the next write.
  */
 import { describeRevision, type TableRow } from 'reedlug-coordination';
 import { log, requestTable, type GatewayState, type Step } from '../state.js';
@@ -25,16 +25,16 @@
 import { dutyFence } from './dutyLease.js';
 import { rowsOf } from './tableRows.js';
 
-/** Pause between calls, in ms: the store answers in some ms, a busy one is asked again. */
+/** Interval between calls to the table, in ms: the store usually answers within a few ms, and a busy store is called again. */
 const TABLE_CALL_INTERVAL_MS = 250;
-/** Pause between tries to read the row after the start, in ms. */
+/** Interval between attempts to read the row after the start, in ms. */
 const READ_RETRY_MS = 1000;
-/** Pause after which the holder of the lease reads it again, in ms: a box that wrote it may be gone. */
+/** Time since the last call after which the holder of the lease reads the row again, in ms: a box that wrote it may be gone. */
 const REREAD_INTERVAL_MS = 5000;
-/** Crashes from which a suspect is worth a row's place: one alone is most often an innocent's. */
+/** Minimum number of crashes for a suspect to be stored in the row: a request with a single crash is most often innocent. */
 const MIN_RECORDED_CRASHES = 2;
 
-/** Reads the row after the start, and writes it where it lacks something. */
+/** Reads the row after the start, and writes it when its content is out of date. */
 export function crashRowTick(state: GatewayState, step: Step): void {
   const { crashRow } = state;
   const sinceMs = step.nowMs - crashRow.requestedAtMs;
@@ -63,7 +63,7 @@
   requestTable(step, { kind: 'crashSuspects', writes: true }, op);
 }
 
-/** The store came back: whoever keeps the row true reads whether it says what it should. */
+/** Discards what is known of the row after a restore of the store, so that the boxes that maintain the row read it again. */
 export function forgetCrashRow(state: GatewayState, step: Step): void {
   if (mayWrite(state, step)) state.crashRow.version = undefined;
 }
@@ -82,7 +82,7 @@
   );
 }
 
-/** What a row says in short: it is written again when this changes. */
+/** Returns a summary of the row's content; the row is written again when the summary changes. */
 function signatureOf(suspects: readonly CrashSuspectGossip[]): string {
   const parts = suspects.map(({ key, crashes, keptOutAgeMs }) =>
     keptOutAgeMs === undefined ? `${key}:${crashes.length}` : `${key}:out`,
@@ -90,7 +90,7 @@
   return parts.sort().join(' ');
 }
 
-/** Takes the table's answer. */
+/** Handles the table's answer. */
 export function onCrashRow(
   state: GatewayState,
   step: Step,
@@ -101,7 +101,7 @@
   const { answer } = event;
   const rows = rowsOf(answer);
   if (rows === undefined) {
-    // The write may have been done: the row is read before the next one.
+    // The write may have been applied, so the row is read before the next write.
     crashRow.version = undefined;
     return;
   }
--- a/packages/reedlug-gateway/src/slices/crashSuspects.ts
+++ b/packages/reedlug-gateway/src/slices/crashSuspects.ts
@@ -1,11 +1,11 @@
 /**
- * Requests under which servers crash: who is one, and that none is sent for ever.
+ * Identifies requests under which servers crash, and blocks them from being sent again.
  *
- * A box's knowledge of a request must not end with its exchange or with the box: such a
- * request comes again, under another id, at any box, and takes a server with all that it
- * works on each time. So boxes know it by workspace and digest, count crashes of server
- * lives and not reports, and tell each other; the sets only grow until a good run, so the
- * order, repetition and loss of news change nothing.
+ * What is known of such a request must outlive its exchange and the box: the request arrives
+ * again, under another id, at any box, and each time crashes a server with all the work in
+ * progress there. So boxes identify it by workspace and digest, count crashes of server
+ * incarnations instead of reports, and exchange gossip. The sets of crashes only grow until
+ * a good run, so the order, repetition and loss of messages make no difference.
  */
 import {
   AGE_ERROR_MS,
@@ -18,48 +18,49 @@
 import type { Attempt, RequestRecord } from '../types/request.js';
 import { giveUp } from './ending.js';
 
-/** Suspects known at most; the ones with the fewest crashes, then those unseen for the longest, go first. */
+/** Maximum number of suspects; those with the fewest crashes, then those not seen for the longest, are removed first. */
 const MAX_SUSPECTS = 512;
-/** Crashes kept of one suspect, the newest; more say nothing new. */
+/** Maximum number of crashes kept per suspect, the newest ones; more add no information. */
 const MAX_CRASHES_PER_SUSPECT = 12;
-/** Time since it last came after which a suspect, or one that is kept out, is forgotten, in ms. */
+/** Time since it was last seen after which a suspect that is not blocked is removed, in ms. */
 const SUSPECT_RETENTION_MS = 600_000;
+/** Time since it was last seen after which a blocked suspect is removed, in ms. */
 const BLOCKED_RETENTION_MS = 3_600_000;
-/** Time for which crashes count beside those of a suspect, in ms: as long as one may take to come three times. */
+/** Time for which crashes under any request are kept for comparison with those of a suspect, in ms: as long as one request may take to arrive three times. */
 const RECENT_CRASH_RETENTION_MS = 30_000;
-/** Recent crashes known at most: more than a third of the servers of a large fleet's zone. */
+/** Maximum number of recent crashes kept: more than a third of the servers in a zone of a large fleet. */
 const MAX_RECENT_CRASHES = 256;
-/** Pause between looks for what is to be forgotten, in ms. */
+/** Interval between removals of expired suspects and crashes, in ms. */
 const PRUNE_INTERVAL_MS = 1000;
 
 /**
  * Time since its first event after which a run is past the point at which servers crash,
- * in ms: a server crashes as it begins with one, before its first event.
+ * in ms: a server crashes as it starts on a request, before the first event.
  */
 const CRASH_POINT_MS = 1000;
 
 /**
- * Time from a crash that may decide to the judgement, in ms: half of the users' time for
- * news. By then the other boxes' word is here, and a run of the same request elsewhere has
- * ended or passed the point, if it is innocent.
+ * Time from a crash that may decide the verdict to the evaluation, in ms: half of the time
+ * that the users allow for gossip. By then the gossip of the other boxes has arrived, and a
+ * run of the same request elsewhere has finished or passed the crash point, if it is innocent.
  */
 const EVALUATION_DELAY_MS = 1500;
 
-/** Why a request that crashes servers is refused or given up. */
+/** Reason with which a request that crashes servers is refused or ended. */
 export const CRASHES_SERVERS_REASON = 'crashesServers';
 
-/** How a request is known when it comes again. */
+/** Returns the key that identifies a request when it arrives again. */
 export function suspectKey(workspace: string | undefined, digest: string): string {
   return `${workspace ?? ''}/${digest}`;
 }
 
-/** What is known of a request in progress; undefined for all but a few. */
+/** Returns the suspect that a request in progress belongs to; undefined for all but a few requests. */
 export function suspectOf(state: GatewayState, record: RequestRecord): CrashSuspect | undefined {
   if (state.crashSuspects.size === 0) return undefined;
   return state.crashSuspects.get(suspectKey(record.workspace, record.facts.digest));
 }
 
-/** A request was open at a server that crashed. */
+/** Records that a request was open at a server that crashed. */
 export function recordCrash(
   state: GatewayState,
   step: Step,
@@ -82,15 +83,15 @@
   scheduleEvaluation(state, step, suspect);
 }
 
-/** After a crash that may decide, the others' word on it is awaited, and nothing is sent meanwhile. */
+/** Schedules the evaluation after a crash that may decide the verdict; until then gossip of other boxes arrives, and the request is not sent. */
 export function scheduleEvaluation(state: GatewayState, step: Step, suspect: CrashSuspect): void {
   if (suspect.crashes.length < CRASHES_TO_KEEP_OUT || suspect.blockedSinceMs !== undefined) return;
-  // Of what happened before its start, a box knows too little to judge; others have.
+  // A box knows too little of what happened before its start; other boxes have evaluated that.
   if ((suspect.crashes.at(-1)?.endedAtMs ?? 0) < state.startedAtMs) return;
   suspect.evaluationDueAtMs ??= step.nowMs + EVALUATION_DELAY_MS;
 }
 
-/** The suspect of a key; a new one where none is known. */
+/** Returns the suspect of a key, and creates it if none is known. */
 export function getOrCreateSuspect(
   state: GatewayState,
   key: string,
@@ -110,7 +111,7 @@
   return suspect;
 }
 
-/** Whether a run of the same request is in progress that is past the point of a crash. */
+/** Returns whether a run of the same request is in progress that is past the crash point. */
 function hasRunPastCrashPoint(state: GatewayState, step: Step, key: string): boolean {
   for (const record of state.requests.values()) {
     if (suspectKey(record.workspace, record.facts.digest) !== key) continue;
@@ -121,16 +122,16 @@
   return false;
 }
 
-/** Whether an attempt has run for longer than one that crashes its server does. */
+/** Returns whether an attempt has run for longer than one that crashes its server does. */
 export function isPastCrashPoint({ firstOutputAtMs }: Attempt, nowMs: number): boolean {
   return firstOutputAtMs !== undefined && nowMs - firstOutputAtMs >= CRASH_POINT_MS;
 }
 
-/** Notes a crash whoever was there: those of a moment tell a common cause from a request. */
+/** Records a crash, whichever requests were open there: several crashes at one moment indicate a common cause rather than one request. */
 export function recordRecentCrash({ recentCrashes }: GatewayState, crash: ServerCrash): void {
   const known = recentCrashes.find((other) => isSameCrash(other, crash));
   if (known !== undefined) {
-    // Whoever lost a send first saw the end first.
+    // The box that lost a send first observed the end first.
     known.endedAtMs = Math.min(known.endedAtMs, crash.endedAtMs);
     return;
   }
@@ -138,13 +139,13 @@
   if (recentCrashes.length > MAX_RECENT_CRASHES) recentCrashes.shift();
 }
 
-/** Whether a life of a server is known to have ended before a request was sent there. */
+/** Returns whether an incarnation of a server is known to have ended before a request was sent there. */
 export function hasEndedBefore({ recentCrashes }: GatewayState, crash: ServerCrash): boolean {
   const known = recentCrashes.find((other) => isSameCrash(other, crash));
   return known !== undefined && crash.sentAtMs > known.endedAtMs + AGE_ERROR_MS;
 }
 
-/** Adds a crash; false when it is known, or a good run came after the send. */
+/** Adds a crash; returns false when it is known, when a good run came after the send, or when the maximum number of later ones is kept. */
 export function addCrash(state: GatewayState, suspect: CrashSuspect, crash: ServerCrash): boolean {
   recordRecentCrash(state, crash);
   const { crashes } = suspect;
@@ -158,14 +159,14 @@
   return true;
 }
 
-/** A run went well, or past the moment of its crashes: whatever crashed before, it was not this request. */
+/** Records that a run succeeded or passed the crash point: this request did not cause the crashes before. */
 export function recordGoodRun(state: GatewayState, step: Step, record: RequestRecord): void {
   const suspect = suspectOf(state, record);
   if (suspect === undefined) return;
   if (applyGoodRun(step, suspect, step.nowMs)) state.crashGossipDue.add(suspect.key);
 }
 
-/** Takes a good run into account, this box's own or one that is told; tells whether it changed anything. */
+/** Applies a good run, this box's own or one that a peer reports; returns whether it changed anything. */
 export function applyGoodRun(step: Step, suspect: CrashSuspect, goodRunAtMs: number): boolean {
   if (goodRunAtMs <= suspect.goodRunAtMs) return false;
   suspect.goodRunAtMs = goodRunAtMs;
@@ -180,14 +181,14 @@
   return true;
 }
 
-/** A request that is kept out, as operators see it. */
+/** A blocked request, as operators see it. */
 export interface BlockedSuspect {
   key: string;
   crashes: number;
   keptOutForMs: number;
 }
 
-/** Requests that are kept out. */
+/** Returns the blocked requests. */
 export function blockedSuspects(state: GatewayState, nowMs: number): BlockedSuspect[] {
   return [...state.crashSuspects.values()].flatMap(({ key, crashes, blockedSinceMs }) => {
     if (blockedSinceMs === undefined) return [];
@@ -197,9 +198,9 @@
 }
 
 /**
- * An operator lets a request in again, say after a mend of the servers' software. It counts
- * as a good run, so that all boxes learn of it in the same way, and its crashes up to now
- * are forgotten; it is kept out again after as many new ones.
+ * Unblocks a request for an operator, for example after a fix in the servers' software. This
+ * counts as a good run, so that it reaches all boxes in the same way, and the crashes up to
+ * now are removed; the request is blocked again after as many new ones.
  */
 export function liftVerdict(state: GatewayState, step: Step, key: string): void {
   const suspect = state.crashSuspects.get(key);
@@ -210,7 +211,7 @@
   state.crashRow.hasUnwrittenObservations = true;
 }
 
-/** Keeps a suspect out where its crashes say so. */
+/** Blocks a suspect if its crashes show that it causes them. */
 function evaluateSuspect(state: GatewayState, step: Step, suspect: CrashSuspect): void {
   suspect.evaluationDueAtMs = undefined;
   if (suspect.blockedSinceMs !== undefined) return;
@@ -221,7 +222,7 @@
   state.crashRow.hasUnwrittenObservations = true;
 }
 
-/** Sends a request to no server any more, and ends what has not begun of it. */
+/** Blocks a request from being sent to any server, and ends those in progress that have no output yet. */
 export function blockSuspect(
   state: GatewayState,
   step: Step,
@@ -243,7 +244,7 @@
   }
 }
 
-/** Judges those that are due; forgets what has not come for long, and the least of too many. */
+/** Evaluates the suspects that are due; removes those not seen for long and, above the maximum number, those with the lowest priority. */
 export function crashSuspectsTick(state: GatewayState, step: Step): void {
   const { crashSuspects } = state;
   if (crashSuspects.size === 0) return;
@@ -270,7 +271,7 @@
   }
 }
 
-/** What speaks for keeping a suspect in mind. */
+/** Returns the priority of a suspect for being kept and sent: blocked ones first, then those with the most crashes. */
 export function suspectPriority({ crashes, blockedSinceMs }: CrashSuspect): number {
   return blockedSinceMs === undefined ? crashes.length : MAX_CRASHES_PER_SUSPECT + 1;
 }
--- a/packages/reedlug-gateway/src/slices/dutyLease.ts
+++ b/packages/reedlug-gateway/src/slices/dutyLease.ts
@@ -1,13 +1,13 @@
-/** The lease under which one box carries out the duties for all. */
+/** The duty lease: the box that holds it performs the tasks that one box does for the whole fleet. */
 import { leaseAnswered, leaseTick, usableFence } from 'reedlug-coordination';
 import type { EventOf } from '../types/event.js';
 import { startDelayMs } from './fleet.js';
 import { log, requestTable, type GatewayState, type Step } from '../state.js';
 
-/** How recently a peer must have said that it holds the lease for this box to leave the row alone, in ms. */
+/** Time since the last message of a peer that names a holder of the lease after which this box tries to acquire it, in ms. */
 const HOLDER_SILENT_AFTER_MS = 1500;
 
-/** Renews the lease, or tries for it when no peer holds it. */
+/** Renews the lease, or tries to acquire it when no peer holds it. */
 export function dutyLeaseTick(state: GatewayState, step: Step): void {
   if (state.settings.cloud === undefined) return;
   const { lease } = state;
@@ -19,7 +19,7 @@
   if (op !== undefined) requestTable(step, { kind: 'lease' }, op);
 }
 
-/** In a large fleet only hubs try, so that few boxes ask for the row. */
+/** Returns whether this box may try to acquire the lease. In a large fleet only hubs try, so that few boxes read the row. */
 function mayAcquireLease(state: GatewayState, step: Step): boolean {
   if (state.hubId !== undefined) return false;
   if (step.nowMs - state.startedAtMs < startDelayMs(state)) return false;
@@ -30,7 +30,7 @@
   return true;
 }
 
-/** Takes the store's answer about the lease's row. */
+/** Handles the store's answer about the row of the lease. */
 export function onLeaseRow(state: GatewayState, step: Step, event: EventOf<'tableAnswered'>): void {
   const fenceBefore = state.lease.held?.fence;
   leaseAnswered(state.lease, event.answer, { sentAtMs: event.sentAtMs, nowMs: step.nowMs });
@@ -39,13 +39,13 @@
   log(step, fence === undefined ? 'leaseLost' : 'leaseTaken', { fence: fence ?? fenceBefore ?? 0 });
 }
 
-/** The fence under which duties may be done now, or undefined. */
+/** Returns the fence (fencing token of the lease) under which this box may perform duties now, or undefined. */
 export function dutyFence(state: GatewayState, nowMs: number): number | undefined {
   if (state.stoppingSinceMs !== undefined) return undefined;
   return usableFence(state.lease, nowMs, true);
 }
 
-/** Gives duties up after the platform refused this box's fence. */
+/** Drops the lease after the platform refused this box's fence. */
 export function dropLease(state: GatewayState, step: Step): void {
   if (state.lease.held === undefined) return;
   log(step, 'leaseRefused', { fence: state.lease.held.fence });
--- a/packages/reedlug-gateway/src/slices/fleet.ts
+++ b/packages/reedlug-gateway/src/slices/fleet.ts
@@ -1,56 +1,60 @@
-/** The boxes that this one knows: how many there are, whose news count, and who is its hub. */
+/**
+ * The boxes that this one knows: how many there are, whose gossip counts, and which is its hub.
+ *
+ * A large fleet is divided into groups. The hub of a group sums up the gossip of its members.
+ */
 import { hashId, hashString, rendezvousWeight } from 'reedlug-coordination';
 import { groupBoxes, needsHubs } from '../policy/peerGroups.js';
 import { GossipScope, type PeerAddress, type PeerMessage } from '../types/peer.js';
 import type { GatewayState } from '../state.js';
 import type { PeerView } from '../types/views.js';
 
-/** Silence after which a peer's news no longer count, in ms: five of its messages lost in a row. */
+/** Silence after which a peer's gossip no longer counts, in ms: five of its messages lost in a row. */
 export const SILENT_AFTER_MS = 1000;
-/** Silence after which another hub is taken, in ms: three messages lost in a row. */
+/** Silence after which another hub is chosen, in ms: three messages lost in a row. */
 const HUB_SILENT_AFTER_MS = 700;
-/** Time since a hub's last word from the store after which its members follow the store themselves, in ms: a poll is held for 2 s. */
+/** Time since a hub's last contact with the store after which its members follow the store themselves, in ms: the store holds a poll open for 2 s. */
 const HUB_STORE_TIMEOUT_MS = 3000;
-/** Time from its start in which a box that has read the store waits for a hub to tell it of changes, in ms: the list of boxes and three of a hub's messages. */
+/** Time from its start for which a box that has read the store waits for changes from a hub, in ms: enough for the list of boxes and three messages of a hub. */
 const HUB_DISCOVERY_MS = 600;
-/** Silence after which a peer is taken to be gone for good, in ms: longer than the cuts the users describe. */
+/** Silence after which a peer is considered gone for good, in ms: longer than the network partitions that the users describe. */
 export const PEER_GONE_AFTER_MS = 10_000;
 
-/** Time from its start in which a box hears of all others, in ms: hubs are found and have told their sums. */
+/** Time from its start by which a box has received the gossip of all others, in ms: hubs are found and have sent their sums. */
 const FLEET_DISCOVERY_MS = 3000;
 
-/** When a box that has started has heard of all others. */
+/** Returns when this box has received the gossip of all others after its start. */
 export function fleetDiscoveredAtMs(state: GatewayState): number {
   return state.startedAtMs + FLEET_DISCOVERY_MS;
 }
 
-/** Boxes begin with what one of them does for all spread over this time, in ms, so that one is done before the others ask. */
+/** Time over which boxes spread their first attempts at a task that one box does for all, in ms, so that one is done before the others try. */
 const START_SPREAD_MS = 1000;
 
-/** Pause of this box after its start before it tries what one box does for all, in ms. */
+/** Returns how long this box waits after its start before it attempts a task that one box does for all, in ms. */
 export function startDelayMs(state: GatewayState): number {
   return hashString(state.settings.box.id) % START_SPREAD_MS;
 }
 
-/** A peer that has been heard. */
+/** A peer from which a message has been received. */
 export type PeerWithMessage = PeerView & { message: PeerMessage };
 
-/** Whether a peer's last message is still news. */
+/** Returns whether a peer's last message is recent enough to count. */
 export function isFreshPeer(peer: PeerView, nowMs: number): boolean {
   return nowMs - peer.lastReceivedAtMs <= SILENT_AFTER_MS;
 }
 
-/** Whether a peer is the hub of another group, as its last news said. */
+/** Returns whether a peer is the hub of another group, according to a recent message. */
 export function isFreshHub(peer: PeerView, nowMs: number): boolean {
   return peer.message?.scope === GossipScope.group && isFreshPeer(peer, nowMs);
 }
 
-/** A seed is known by its address alone until it is heard or listed. */
+/** Returns whether a peer is a seed, which is known by its address alone until it sends a message or is listed. */
 export function isSeed(peer: PeerView): boolean {
   return peer.boxId === peer.address.host;
 }
 
-/** Boxes of the fleet, this one included: those listed or heard; before there is a list, as many as a hub speaks for. */
+/** Returns the number of boxes in the fleet, this one included: those listed or received from; before there is a list, at least as many as a hub covers. */
 export function fleetSize(state: GatewayState): number {
   let known = 1;
   let announced = 0;
@@ -64,17 +68,17 @@
   return isListed ? known : Math.max(known, announced);
 }
 
-/** Whether boxes of this fleet tell their news by hubs. */
+/** Returns whether the boxes of this fleet exchange gossip through hubs. */
 export function usesHubs(state: GatewayState): boolean {
   return needsHubs(fleetSize(state));
 }
 
-/** Whether this box hands on what it is told: it is the hub of others. */
+/** Returns whether this box is a hub, which forwards the gossip that it receives. */
 export function forwardsGossip(state: GatewayState): boolean {
   return usesHubs(state) && state.hubId === undefined;
 }
 
-/** How many boxes rank before this one for a key, among the peers that count. */
+/** Returns how many boxes rank before this one for a key, among the peers that are included. */
 export function boxesRankedBefore(
   state: GatewayState,
   keyHash: number,
@@ -89,7 +93,7 @@
   return before;
 }
 
-/** The peers whose figures, with this box's own, make up the fleet's; none is covered twice. */
+/** Returns the peers whose figures, with this box's own, make up those of the fleet; no box is covered twice. */
 export function countedPeers(state: GatewayState, nowMs: number): PeerWithMessage[] {
   const viaHubs = usesHubs(state);
   const counted: PeerWithMessage[] = [];
@@ -103,12 +107,12 @@
   return peer.message !== undefined;
 }
 
-/** Boxes that the news of some peers cover, this one included. */
+/** Returns the number of boxes that the gossip of some peers covers, this one included. */
 export function boxesCovered(peers: readonly PeerWithMessage[]): number {
   return 1 + peers.reduce((sum, { message }) => sum + message.boxes, 0);
 }
 
-/** Whether a message adds to the fleet's figures as this box sees them. */
+/** Returns whether a peer's message adds to the fleet's figures as this box knows them. */
 export function isCounted(state: GatewayState, peer: PeerWithMessage, nowMs: number): boolean {
   return addsToFleet(state, peer, usesHubs(state), nowMs);
 }
@@ -125,7 +129,7 @@
   return scope !== GossipScope.others && !peer.message.isProbe && isFreshPeer(peer, nowMs);
 }
 
-/** This box as its peers know it. */
+/** Returns this box's address as its peers know it. */
 export function ownAddress(state: GatewayState): PeerAddress {
   const { box, listen } = state.settings;
   const { id: boxId, ip: host, zone, processorCores } = box;
@@ -133,9 +137,10 @@
 }
 
 /**
- * Whether this box follows the store itself: it does unless its hub hands on what
- * the store says. While a box of a large fleet has yet to hear of its hub, each
- * would ask for changes that its hub tells in a moment: two calls a box and start.
+ * Returns whether this box follows the store itself: it does unless its hub forwards the
+ * changes of the store. A box that has just started waits for its hub: otherwise each box
+ * of a large fleet would request changes that its hub sends a moment later, two calls
+ * per box and start.
  */
 export function followsStore(state: GatewayState, nowMs: number): boolean {
   if (nowMs - state.startedAtMs < HUB_DISCOVERY_MS) return false;
@@ -148,7 +153,7 @@
   return nowMs - hub.lastReceivedAtMs + ageMs > HUB_STORE_TIMEOUT_MS;
 }
 
-/** Groups of the fleet as this box knows it, the best hub first in each: the one that it is in, and the others. */
+/** Returns the groups of the fleet as this box knows it, the best hub first in each: the group that it is in, and the others. */
 export function knownGroups(state: GatewayState): {
   own: PeerAddress[];
   others: PeerAddress[][];
@@ -163,18 +168,18 @@
   return { own, others: groups.filter((members) => members !== own) };
 }
 
-/** The best box of a group that is not silent; undefined when that is this box itself. */
+/** Returns the best hub of a group that is not suspected to be silent; undefined when that is this box itself. */
 export function chooseHub(state: GatewayState, group: readonly PeerAddress[]): string | undefined {
   const best = group.find(({ boxId }) => state.peers.get(boxId)?.isSuspected !== true);
   return best?.boxId === state.settings.box.id ? undefined : best?.boxId;
 }
 
-/** Whether the hub of this box has been silent too long, counted from when it was taken. */
+/** Returns whether this box's hub has been silent for too long, counted from when it was chosen at the earliest. */
 export function isHubSilent(state: GatewayState, hub: PeerView, nowMs: number): boolean {
   return nowMs - Math.max(hub.lastReceivedAtMs, state.hubSinceMs) > HUB_SILENT_AFTER_MS;
 }
 
-/** Silent boxes of this box's group that would be better hubs than the one taken. */
+/** Returns the boxes of this box's group that would be better hubs than the current one, but are suspected to be silent. */
 export function betterHubs(
   state: GatewayState,
   group: readonly PeerAddress[],
--- a/packages/reedlug-gateway/src/slices/gossipTargets.ts
+++ b/packages/reedlug-gateway/src/slices/gossipTargets.ts
@@ -1,10 +1,10 @@
-/** Ways by which news that must reach all boxes soon go: each box tells its neighbours, and hubs hand on. */
+/** Chooses the recipients of gossip that must reach all boxes soon: in a large fleet each box sends it to a few others, and hubs forward it. */
 import type { GatewayState } from '../state.js';
 import type { PeerAddress } from '../types/peer.js';
 import { isFreshHub, usesHubs } from './fleet.js';
 import { hubMembers } from './buildGossip.js';
 
-/** The boxes that this one tells: all others in a small fleet, else its hub, or as a hub other hubs and its members. */
+/** Returns the recipients: all other boxes in a small fleet; in a large one the hub of this box or, if this box is a hub, the other hubs and its members. */
 export function gossipTargets(state: GatewayState, nowMs: number): PeerAddress[] {
   if (!usesHubs(state)) return [...state.peers.values()].map(({ address }) => address);
   const hub = state.peers.get(state.hubId ?? '');
--- a/packages/reedlug-gateway/src/slices/peers.ts
+++ b/packages/reedlug-gateway/src/slices/peers.ts
@@ -1,4 +1,4 @@
-/** What peers tell: totals, versions, addresses. */
+/** Handles gossip from peers: totals, versions, addresses. */
 import type { EventOf } from '../types/event.js';
 import { GossipScope, type PeerAddress, type PeerMessage } from '../types/peer.js';
 import { createReceivedTotals, log, type GatewayState, type Step } from '../state.js';
@@ -13,12 +13,12 @@
 import { mayShowBackup, onStoreEra } from './storeEra.js';
 import { mergeDecisions, mergeUsage } from './usage.js';
 
-/** How long a peer's newer configuration or registry may be known before it is asked for, in ms: the store's feed usually brings it sooner. */
+/** Time for which a peer's newer configuration or registry may be known before it is requested, in ms: the store's feed usually brings it sooner. */
 const BEHIND_GRACE_MS = 300;
-/** Pause between questions to one peer for newer versions, in ms. */
+/** Interval between requests to one peer for newer versions, in ms. */
 const STATE_REQUEST_INTERVAL_MS = 400;
 
-/** Takes a peer's news. */
+/** Handles a peer's gossip message. */
 export function onPeerMessage(
   state: GatewayState,
   step: Step,
@@ -48,7 +48,7 @@
   requestNewerState(state, step, peer, message);
 }
 
-/** Follows the registry by the hub's changes. */
+/** Follows the registry through the hub's changes. */
 function followHub(state: GatewayState, step: Step, hub: PeerWithMessage): void {
   const { message } = hub;
   const isUpToDate = state.serversKnown && state.serversRevision >= message.serversRevision;
@@ -64,15 +64,16 @@
   }
 }
 
-/** Takes a box's counts, for the one that holds the lease. */
+/** Merges the usage counts that a box sends to the holder of the lease. */
 export function onPeerUsage(state: GatewayState, _step: Step, event: EventOf<'peerUsage'>): void {
   const { boxId, incarnation, usage } = event.message;
   mergeUsage(state, `${boxId}/${incarnation}`, usage);
 }
 
 /**
- * Whether a message is one that was overtaken. A life is numbered by the time of day, which may be
- * set back between two of them: beside a life that has gone silent an earlier number is the next one.
+ * Returns whether a message was overtaken by a later one. Incarnations are numbered by the wall
+ * clock, which may be set back between two of them: once the known incarnation is silent, a
+ * lower number belongs to the next one.
  */
 function isOutdated(message: PeerMessage, known: PeerMessage, isKnownFresh: boolean): boolean {
   if (message.incarnation === known.incarnation) return message.sequence <= known.sequence;
@@ -85,7 +86,7 @@
     known.address = address;
     return known;
   }
-  // A seed was known by its address alone.
+  // A seed is stored under its address until its id is known.
   state.peers.delete(address.host);
   const peer: PeerView = {
     boxId: address.boxId,
@@ -113,8 +114,9 @@
 }
 
 /**
- * Adds what a peer's totals have grown by. The first message of a peer, of its
- * new life or with another scope has nothing to compare with: what it tells may be long ago.
+ * Adds the growth of a peer's totals. The first message of a peer or with another scope, and a
+ * hub's first one of a new incarnation, are skipped, since there is nothing to compare them
+ * with: their totals may date from long ago.
  */
 function addReceivedTotals(
   state: GatewayState,
@@ -143,7 +145,7 @@
   peer.contribution.workTokens += tokens;
 }
 
-/** Asks a peer for what the store does not give this box, or not in time. */
+/** Requests from a peer what the store does not send to this box, or not in time. */
 function requestNewerState(
   state: GatewayState,
   step: Step,
@@ -169,13 +171,13 @@
   step.effects.push({ type: 'askPeer', peer: peer.address, withServers });
 }
 
-/** Takes addresses from the settings or the store. */
+/** Handles addresses from the settings or the store. */
 export function onPeersListed(
   state: GatewayState,
   step: Step,
   event: EventOf<'peersListed'>,
 ): void {
-  // A box that the copy lacks enters itself again: until then its part of the limits is still its own.
+  // A box that the backup lacks registers itself again: until then its share of the limits is still its own.
   const isComplete = event.whole === true && !mayShowBackup(state, step.nowMs);
   if (isComplete) for (const peer of state.peers.values()) peer.listed = false;
   for (const { boxId, address } of event.changes) {
@@ -196,7 +198,7 @@
   return [...state.peers.values()].some((peer) => peer.address.host === host);
 }
 
-/** A listed box that is silent is kept by its address: it may be cut off. */
+/** Removes peers that have been silent for long; a listed box stays known by its address, since it may be partitioned. */
 export function forgetGonePeers(state: GatewayState, step: Step): void {
   for (const peer of state.peers.values()) {
     if (step.nowMs - peer.lastReceivedAtMs < PEER_GONE_AFTER_MS) continue;
@@ -208,7 +210,7 @@
 
 function forget(state: GatewayState, peer: PeerView): void {
   state.peers.delete(peer.boxId);
-  // Its part is no longer taken off when it is told the others' sum, so it must not be in that sum.
+  // Its contribution is no longer subtracted from the sum of the others that is sent to it, so it must not be in that sum.
   for (const [workspace, units] of peer.contribution.admitted) {
     const { admitted } = state.totalsFromBoxes;
     admitted.set(workspace, (admitted.get(workspace) ?? 0) - units);
--- a/packages/reedlug-gateway/src/slices/rolloutEvaluation.ts
+++ b/packages/reedlug-gateway/src/slices/rolloutEvaluation.ts
@@ -1,4 +1,4 @@
-/** The judgement of roll-outs in progress, on every box by what it has heard, and the layout of their samples. */
+/** Evaluates roll-outs in progress, on every box by the gossip it has received, and chooses their samples. */
 import { hashString } from 'reedlug-coordination';
 import { highestRanked } from '../policy/highestRanked.js';
 import { nextPhase, shareOfPhase, spreadSample } from '../policy/rolloutStep.js';
@@ -11,14 +11,14 @@
 import { enterPhase, isFinished } from './rollouts.js';
 import { isBarred, isTarget, sampleShare } from './versionRule.js';
 
-/** Pause between looks at the evidence, in ms: as often as peers tell theirs. */
+/** Interval between evaluations, in ms: as often as peers send their evidence. */
 const EVALUATION_INTERVAL_MS = 200;
-/** Spans that are judged by themselves, in ms: a version that turns bad shows in the shorter one first, in the longer one by fewer answers. */
+/** Spans that are evaluated separately, in ms: the shorter one shows first that a version turns bad, the longer one shows it at a lower rate of answers. */
 const RECENT_SPANS_MS = [800, 2500] as const;
-/** Servers of the sample at least: a single failing one must not decide. */
+/** Minimum number of servers in the sample: a single failing one must not decide. */
 const MIN_SAMPLE_SERVERS = 4;
 
-/** Judges roll-outs in progress and lays out their samples. */
+/** Evaluates roll-outs in progress and chooses their samples. */
 export function rolloutEvaluationTick(state: GatewayState, step: Step): void {
   if (
     state.rollouts.size === 0 ||
@@ -66,7 +66,7 @@
   });
 }
 
-/** What was seen within each of the recent times; notes the look for later ones. */
+/** Returns what was observed within each of the recent spans, and records the evidence for later evaluations. */
 function recentEvidence(
   view: RolloutView,
   evidence: RolloutEvidence,
@@ -89,7 +89,7 @@
   );
 }
 
-/** Few servers take the sample, so that each carries as much as one of the old version does. */
+/** Chooses the servers of the sample and its share of each route. Few servers take it, so that each carries as much load as one of the old version. */
 function chooseSample(
   state: GatewayState,
   view: RolloutView,
--- a/packages/reedlug-gateway/src/slices/rolloutEvidence.ts
+++ b/packages/reedlug-gateway/src/slices/rolloutEvidence.ts
@@ -1,4 +1,4 @@
-/** What sends show of both versions of a service during a roll-out. */
+/** Collects evidence from sends about both versions of a service during a roll-out. */
 import { serverOf } from './ending.js';
 import { modelOf } from './engineModels.js';
 import type { PeerWithMessage } from './fleet.js';
@@ -12,16 +12,16 @@
   type RolloutView,
 } from '../types/rollout.js';
 
-/** How many times longer than expected an answer takes that counts as slow: several times, in the users' words. */
+/** Multiple of the expected time above which an answer counts as slow: "several times" in the users' words. */
 const SLOW_FACTOR = 3;
-/** Shortest time that is expected of an answer here, in ms: below it, network and timers decide. */
+/** Minimum expected time of an answer, in ms: below it, network and timers dominate. */
 const MIN_EXPECTED_MS = 40;
 
-/** How an answer ended for the judgement of its version. */
+/** How an answer ended, for the evaluation of its version. */
 export const AnswerEnd = { good: 'good', failed: 'failed' } as const;
 export type AnswerEnd = (typeof AnswerEnd)[keyof typeof AnswerEnd];
 
-/** Counts an answer, or what came in its place. A stream that is cut after its first event counts once more, as failed. */
+/** Counts an answer, or the failure in its place. A stream that is cut after its first event counts once more, as failed. */
 export function recordAnswer(
   state: GatewayState,
   step: Step,
@@ -36,7 +36,7 @@
   else if (isSlow(state, step, record, attempt)) tally.slow += 1;
 }
 
-/** A lost answer counts as failed, unless its server leaves or a zone is cut off: that is no fault of a version. */
+/** Counts a lost answer as failed, unless its server is draining or gone or a zone is partitioned: neither is the version's fault. */
 export function recordLostAnswer(
   state: GatewayState,
   step: Step,
@@ -47,7 +47,7 @@
   recordAnswer(state, step, { ...lost, end: AnswerEnd.failed });
 }
 
-/** A slow answer that is not awaited to its first event, as its caller left or its server is silent, says as much as one that came. */
+/** Counts a slow answer whose first event is no longer awaited, because its caller left or its server is silent: it shows as much as one that arrived. */
 export function recordAbandonedAnswer(
   state: GatewayState,
   step: Step,
@@ -65,9 +65,9 @@
 }
 
 /**
- * The time expected of an answer. A server of the new version has read no prompt
- * before: what it is taken to keep counts as read. Without that, many first
- * answers of a sound version count as slow.
+ * Returns the expected time of an answer, in ms. A server of the new version has read no
+ * prompt before, so the time to read the tokens assumed to be cached is added. Without that,
+ * many first answers of a healthy version count as slow.
  */
 function expectedAnswerMs(
   state: GatewayState,
@@ -109,7 +109,7 @@
   return known;
 }
 
-/** What this box saw, with what peers told of the same order. */
+/** Returns what this box observed, with what peers reported for the same order. */
 export function evidenceOf(view: RolloutView, peers: readonly PeerWithMessage[]): RolloutEvidence {
   const own = { trial: [...view.trial.values()], usual: [...view.usual.values()] };
   const received = peers.flatMap(({ message }) => message.rollouts ?? []);
--- a/packages/reedlug-gateway/src/slices/rolloutRecords.ts
+++ b/packages/reedlug-gateway/src/slices/rolloutRecords.ts
@@ -1,10 +1,10 @@
 /**
- * Roll-outs in the shared table, written by the holder of the duty lease.
+ * Records of roll-outs in the shared table, written by the holder of the duty lease.
  *
- * The record says how far a roll-out is, for boxes that start and for the next
- * holder; an end that is written is never written over. Each write is conditional
- * on the record's version, so a holder that has lost the lease without knowing
- * cannot undo what the next one wrote.
+ * A record holds the phase of a roll-out, for boxes that start and for the next
+ * holder; a final phase is never overwritten. Each write is conditional on the
+ * record's version, so a holder that has lost the lease without knowing it
+ * cannot overwrite what the next one wrote.
  */
 import { eraOf, type TableRow } from 'reedlug-coordination';
 import { isUsableDuration, laterPhase } from '../policy/rolloutStep.js';
@@ -20,10 +20,10 @@
 import { blockedVersionsAfter, enterPhase, isFinished } from './rollouts.js';
 import { rowsOf } from './tableRows.js';
 
-/** Pause between calls for one roll-out, in ms: the store answers in some ms, a busy one is asked again. */
+/** Interval between table calls for one roll-out, in ms: the store usually answers within a few ms, and a busy store is called again. */
 const TABLE_CALL_INTERVAL_MS = 250;
 
-/** Reads and writes the records, while this box holds the lease. */
+/** Reads and writes the records while this box holds the lease. */
 export function rolloutRecordsTick(state: GatewayState, step: Step): void {
   if (state.rollouts.size === 0 || dutyFence(state, step.nowMs) === undefined) return;
   for (const view of state.rollouts.values()) updateRecord(state, step, view);
@@ -50,13 +50,13 @@
   return `${ROLLOUT_KEY_PREFIX}${service}`;
 }
 
-/** What the record should say and does not; undefined when it says it. */
+/** Returns the phase that the record lacks; undefined when the record is up to date. */
 function phaseToWrite(view: RolloutView): RolloutPhase | undefined {
   if (view.recordVersion === undefined) return view.phase;
   const { phase, wantsCompletion, recordedPhase } = view;
   if (isFinished(view)) return recordedPhase === phase ? undefined : phase;
   if (wantsCompletion) return RolloutPhase.completed;
-  // What lies between is for the boxes alone; after a loss of all they begin with the small sample.
+  // Phases in between are only exchanged between boxes; after a loss of all boxes a roll-out restarts with the small sample.
   return recordedPhase === undefined ? RolloutPhase.sampling : undefined;
 }
 
@@ -71,7 +71,7 @@
   };
 }
 
-/** Takes the table's answer. */
+/** Handles the table's answer. */
 export function onRolloutRow(
   state: GatewayState,
   step: Step,
@@ -83,7 +83,7 @@
   const { answer } = event;
   const rows = rowsOf(answer);
   if (rows === undefined) {
-    // The write may have been done: the record is read before the next one.
+    // The write may have been applied, so the record is read before the next write.
     view.recordVersion = undefined;
     log(step, 'rolloutRecordUnknown', { service: purpose.service, answer: answer.kind });
     return;
@@ -115,7 +115,7 @@
   enterPhase(step, view, laterPhase(view.phase, record.phase), { source: 'table' });
 }
 
-/** An order that was written again after the store lost it has another revision than its record. */
+/** Returns whether a record belongs to an order. An order that was written again after the store lost it has another revision than its record. */
 function isOfOrder({ order, earlierRevisions }: RolloutView, record: RolloutRecord): boolean {
   if (record.revision === order.revision) return true;
   if (earlierRevisions.includes(record.revision)) return false;
@@ -124,7 +124,7 @@
   );
 }
 
-/** The record of an earlier order, which this one follows: a version that was not completed stays barred. */
+/** Applies the record of an earlier order, which this one follows: a version whose roll-out was not completed stays blocked. */
 function applyEarlierRecord(view: RolloutView, record: RolloutRecord): void {
   view.barred = blockedVersionsAfter({
     barred: [...view.barred, ...record.barred],
--- a/packages/reedlug-gateway/src/slices/rollouts.ts
+++ b/packages/reedlug-gateway/src/slices/rollouts.ts
@@ -1,7 +1,7 @@
 /**
- * Roll-outs as a box knows them: orders from the store or from peers, and how far each is.
+ * Roll-outs as a box knows them: orders from the store or from peers, and the phase of each.
  *
- * Phases only go forward, so boxes that tell each other theirs come to the same one.
+ * Phases only move forward, so boxes that exchange theirs converge on the same one.
  */
 import { describeRevision, eraOf, versionOf } from 'reedlug-coordination';
 import { isUsableDuration, laterPhase } from '../policy/rolloutStep.js';
@@ -16,13 +16,13 @@
 import type { PeerWithMessage } from './fleet.js';
 import { evidenceOf } from './rolloutEvidence.js';
 
-/** Versions kept as barred for a service: the newest ones; earlier ones have left the registry long ago. */
+/** Maximum number of blocked versions kept per service, the newest ones; earlier ones left the registry long ago. */
 const MAX_BLOCKED_VERSIONS = 8;
 
-/** Earlier orders of a service that are known, in number: more than are given within any copy's age. */
+/** Maximum number of earlier orders kept per service: more than are given within the age of any backup of the store. */
 const MAX_EARLIER_ORDERS = 8;
 
-/** Takes an order that the store or a peer told. */
+/** Handles an order from the store. */
 export function onRolloutOrdered(
   state: GatewayState,
   step: Step,
@@ -84,31 +84,31 @@
   return view;
 }
 
-/** An earlier order that came back with a copy of the store: it has the version that it was given in an era before. */
+/** Returns whether an order is an earlier one that a restore of the store brought back: it has the version of an order of an earlier era. */
 function isFromBackup({ earlierRevisions }: RolloutView, received: RolloutOrder): boolean {
   return earlierRevisions.some((revision) => versionOf(revision) === versionOf(received.revision));
 }
 
-/** Whether an order of a later era is the one that is known: it stood in the copy, or was written again. */
+/** Returns whether an order of a later era is the one that is known: it was in the backup, or was written again. */
 function isSameOrder(known: RolloutOrder, received: RolloutOrder): boolean {
   const isSameTime = Object.is(known.durationMs, received.durationMs);
   return isSameTime && known.targetVersion === received.targetVersion;
 }
 
-/** What the table says of a roll-out is not known any more. */
+/** Discards what is known of a roll-out's record in the table. */
 export function forgetRecord(view: RolloutView): void {
   view.recordVersion = undefined;
   view.recordedPhase = undefined;
 }
 
-/** A version that carries the load already has nothing to prove when it is ordered again: held, its service would stand still. */
+/** Returns the first phase of an order. A version that already carries the load and is ordered again is completed at once: held, its service would stop. */
 function initialPhase(known: RolloutView | undefined, order: RolloutOrder): RolloutPhase {
   const isInService =
     known?.phase === RolloutPhase.completed && known.order.targetVersion === order.targetVersion;
   return isInService ? RolloutPhase.completed : RolloutPhase.held;
 }
 
-/** Versions that get nothing after a later order: those barred before, and the target of an earlier roll-out that did not end well, unless it is the next one. */
+/** Returns the versions that receive no requests after a later order: those blocked before, and the target of an earlier roll-out that was not completed, unless it is the new target. */
 export function blockedVersionsAfter(params: {
   barred: readonly string[];
   earlier: { targetVersion: string; phase: RolloutPhase } | undefined;
@@ -122,7 +122,7 @@
   return [...barred].slice(-MAX_BLOCKED_VERSIONS);
 }
 
-/** Takes what a peer tells of roll-outs. */
+/** Merges a peer's gossip about roll-outs. */
 export function mergeRolloutGossip(
   state: GatewayState,
   step: Step,
@@ -138,7 +138,7 @@
   }
 }
 
-/** Moves a roll-out to a phase; the same one is no change. */
+/** Moves a roll-out to a phase; does nothing if it is already there. */
 export function enterPhase(
   step: Step,
   view: RolloutView,
@@ -158,7 +158,7 @@
   });
 }
 
-/** What this box tells of roll-outs, with what the boxes that it sums up told. */
+/** Returns this box's gossip about roll-outs, with the evidence of the peers that it sums up. */
 export function rolloutGossip(
   state: GatewayState,
   nowMs: number,
@@ -173,7 +173,7 @@
   }));
 }
 
-/** Whether a roll-out has come to its end. */
+/** Returns whether a roll-out has ended. */
 export function isFinished({ phase }: RolloutView): boolean {
   return phase === RolloutPhase.completed || phase === RolloutPhase.rolledBack;
 }
--- a/packages/reedlug-gateway/src/slices/rowValues.ts
+++ b/packages/reedlug-gateway/src/slices/rowValues.ts
@@ -1,11 +1,11 @@
-/** Values of rows that boxes tell each other or keep in the table: they come from other versions too. */
+/** Checks values of rows that boxes exchange or store in the table, which may come from other versions of the gateway. */
 
-/** Whether a value is a number that can be counted with. */
+/** Returns whether a value is a finite number. */
 export function isFiniteNumber(value: unknown): value is number {
   return typeof value === 'number' && Number.isFinite(value);
 }
 
-/** The same, or null for what is not told. */
+/** Returns whether a value is a finite number, or null for an unknown one. */
 export function isFiniteNumberOrNull(value: unknown): value is number | null {
   return value === null || isFiniteNumber(value);
 }
--- a/packages/reedlug-gateway/src/slices/sendGossip.ts
+++ b/packages/reedlug-gateway/src/slices/sendGossip.ts
@@ -1,8 +1,8 @@
 /**
- * Tells peers this box's news: load, limits, usage, versions.
+ * Sends this box's gossip to peers: load, limits, usage, versions.
  *
- * In a small fleet each box tells all others. In a larger one boxes tell their
- * news to the hub of their group, which gives them the sum of all others back.
+ * In a small fleet each box sends to all others. In a larger one boxes send their
+ * gossip to the hub of their group, which sends the sum of all others back.
  */
 import type { PeerAddress, PeerMessage } from '../types/peer.js';
 import type { HostPort } from '../types/server.js';
@@ -23,16 +23,16 @@
 import { updateSilentZones } from './silentZones.js';
 import { ownUsage } from './usage.js';
 
-/** Pause between messages, in ms: short against an engine's backlog, long against the price of a wake-up. */
+/** Interval between messages, in ms: short compared with an engine's backlog, long compared with the cost of a wake-up. */
 const GOSSIP_INTERVAL_MS = 200;
-/** Pause between messages to a peer that is not heard, in ms: enough to find it again a moment after a cut. */
+/** Interval between messages to a silent peer, in ms: short enough to find it again soon after a network partition. */
 const PROBE_INTERVAL_MS = 1000;
-/** Boxes of another group that are tried while its hub is not heard: any two of them may be away. */
+/** Maximum number of boxes of another group that are probed while its hub is silent: any two of them may be unreachable. */
 const MAX_PROBED_BOXES = 3;
-/** Pause between counts of usage told to the holder of the lease where hubs sum up the news, in ms: a tenth of the shortest window. */
+/** Interval between usage counts sent to the holder of the lease in fleets with hubs, in ms: a tenth of the shortest usage window. */
 const USAGE_INTERVAL_MS = 500;
 
-/** Sends this box's news when it is time. */
+/** Sends this box's gossip when it is due. */
 export function gossipTick(state: GatewayState, step: Step): void {
   if (step.nowMs - state.gossipSentAtMs < GOSSIP_INTERVAL_MS) return;
   state.gossipSentAtMs = step.nowMs;
@@ -58,7 +58,7 @@
   }
 }
 
-/** A silent peer is told less often. */
+/** Returns whether a message to a peer is due; silent peers receive fewer messages. */
 function isDue(peer: PeerView, nowMs: number): boolean {
   const isActive = nowMs - peer.lastReceivedAtMs <= PEER_GONE_AFTER_MS;
   return isActive || nowMs - peer.gossipSentAtMs >= PROBE_INTERVAL_MS;
@@ -69,7 +69,7 @@
   step.effects.push({ type: 'sendPeers', message, to: [peer.address] });
 }
 
-/** Takes the best box of the group as hub; one that stays silent is passed over until it is heard again. */
+/** Chooses the best box of the group as hub; one that stays silent is skipped until a message of it arrives. */
 function updateHub(state: GatewayState, step: Step, group: readonly PeerAddress[]): void {
   const current = state.hubId === undefined ? undefined : state.peers.get(state.hubId);
   const isLost = current !== undefined && isHubSilent(state, current, step.nowMs);
@@ -77,14 +77,14 @@
   const hubId = chooseHub(state, group);
   if (hubId === state.hubId) return;
   const hub = hubId === undefined ? undefined : state.peers.get(hubId);
-  // Changes that it told while it was no hub of this box were not followed.
+  // Changes that it sent while it was not this box's hub were not applied.
   if (hub !== undefined) hub.registryNumber = undefined;
   log(step, 'hubTaken', { hub: hubId ?? state.settings.box.id, before: state.hubId ?? '' });
   state.hubId = hubId;
   state.hubSinceMs = step.nowMs;
 }
 
-/** Tells the hub; silent boxes that would be better ones are asked now and then whether they are back. */
+/** Sends to the hub, and probes silent boxes that would be better hubs at longer intervals. */
 function sendToHub(
   state: GatewayState,
   step: Step,
@@ -117,7 +117,7 @@
   }
 }
 
-/** The sums of hubs leave usage out: it is told by each box to the one that reports it. */
+/** Sends this box's usage counts to the box that reports them: the sums of hubs leave usage out. */
 function sendUsage(state: GatewayState, step: Step): void {
   if (step.nowMs - state.usageSentAtMs < USAGE_INTERVAL_MS) return;
   const holder = findLeaseHolder(state, step.nowMs);
@@ -130,7 +130,7 @@
   step.effects.push({ type: 'sendPeers', message, to: [holder] });
 }
 
-/** Where the holder of the lease listens, as a peer last told. */
+/** Returns the address of the holder of the lease, according to the last message of a peer. */
 function findLeaseHolder(state: GatewayState, nowMs: number): HostPort | undefined {
   for (const peer of state.peers.values()) {
     const holder = peer.message?.leaseHolder;
--- a/packages/reedlug-gateway/src/slices/sharedState.ts
+++ b/packages/reedlug-gateway/src/slices/sharedState.ts
@@ -1,26 +1,27 @@
 /**
- * Configuration and registry whole, as one box gives them to another that asks.
+ * The whole configuration and registry, as one box sends them to another on request.
  *
- * The registry is left out where it is not asked for: 3,000 entries are 481 KB, and
- * when thirty members of a hub asked for them with each version of the configuration,
- * its link of 10 Mbit/s was full for seconds and the version 3.8 s late (300 boxes).
+ * The registry is left out unless it is requested: 3,000 entries are 481 KB, and when
+ * thirty members of a hub request them with each version of the configuration, the
+ * hub's link of 10 Mbit/s is saturated for seconds and the version arrives 3.8 s late
+ * (in a fleet of 300 boxes).
  */
 import type { GatewayState } from '../state.js';
 import type { Configuration } from '../types/configuration.js';
 import type { EventBody } from '../types/event.js';
 import type { ServerChange } from '../types/server.js';
 
-/** What a box gives to a peer that asks. */
+/** The state that a box sends to a peer on request. */
 export interface SharedState {
   configuration: Configuration | undefined;
-  /** Undefined where only the configuration was asked for. */
+  /** Undefined when only the configuration was requested. */
   servers: readonly ServerChange[] | undefined;
   serversRevision: number;
   boxId: string;
   registryNumber: number;
 }
 
-/** What this box gives. */
+/** Returns the state that this box sends. */
 export function sharedStateOf(state: GatewayState, withServers: boolean): SharedState {
   const entries = withServers ? [...state.servers.values()] : undefined;
   return {
@@ -32,7 +33,7 @@
   };
 }
 
-/** The events of a box that got it. */
+/** Returns the events that apply the state at the box that requested it. */
 export function eventsOfSharedState(shared: SharedState): EventBody[] {
   const { configuration, servers, serversRevision, boxId, registryNumber } = shared;
   const events: EventBody[] = [];
--- a/packages/reedlug-gateway/src/slices/shutdown.ts
+++ b/packages/reedlug-gateway/src/slices/shutdown.ts
@@ -1,18 +1,18 @@
-/** A planned stop: no longer ready, what is open ends, then the process. */
+/** Planned shutdown: the box is no longer ready, open requests finish, then the process ends. */
 import { RouteKind } from '../types/configuration.js';
 import { log, type GatewayState, type Step } from '../state.js';
 
-/** Time in which the platform's balancer stops sending new connections, in ms: two checks, a second each, and one on the way. */
+/** Time within which the platform's load balancer stops sending new connections, in ms: two health checks a second apart, and one in flight. */
 const BALANCER_REACTION_MS = 3200;
-/** Kept before the forced end for the last bytes, in ms. */
+/** Time reserved for the last bytes before the process is forced to end, in ms. */
 const SHUTDOWN_MARGIN_MS = 400;
 
-/** Time into a planned stop up to which streams are taken, in ms: the users' figure, 3 s, less one way. */
+/** Time from the start of a shutdown for which streams are accepted, in ms: the 3 s that the users require, less a network delay. */
 const STREAM_ACCEPT_MS = 2800;
-/** What is left to a plain request at least when it is taken, in ms: over the longest plain deadline. */
+/** Minimum time left for a plain request to be accepted, in ms: above the longest deadline of a plain request. */
 const MIN_PLAIN_REQUEST_MS = 1200;
 
-/** Whether a planned stop leaves too little time for a request that comes now. */
+/** Returns whether a shutdown leaves too little time for a request that arrives now. */
 export function isTooLateToAccept(state: GatewayState, nowMs: number, kind: RouteKind): boolean {
   if (state.stoppingSinceMs === undefined) return false;
   const sinceMs = nowMs - state.stoppingSinceMs;
@@ -20,14 +20,14 @@
   return sinceMs > state.settings.bounds.graceMs - SHUTDOWN_MARGIN_MS - MIN_PLAIN_REQUEST_MS;
 }
 
-/** Begins the stop; a second signal changes nothing. */
+/** Starts the shutdown; a second signal has no effect. */
 export function onStopAsked(state: GatewayState, step: Step): void {
   if (state.stoppingSinceMs !== undefined) return;
   state.stoppingSinceMs = step.nowMs;
   log(step, 'stopping', { openRequests: state.requests.size });
 }
 
-/** Ends the process once nothing is open, or its time is up. */
+/** Ends the process once no request is open and the load balancer has reacted, or the grace period is over. */
 export function shutdownTick(state: GatewayState, step: Step): void {
   if (state.stoppingSinceMs === undefined || state.stopped) return;
   const sinceMs = step.nowMs - state.stoppingSinceMs;
@@ -39,7 +39,7 @@
   step.effects.push({ type: 'stopped' });
 }
 
-/** Whether the balancer may send callers here. */
+/** Returns whether the load balancer may send requests to this box. */
 export function isReady(state: GatewayState): boolean {
   return state.active !== undefined && state.serversKnown && state.stoppingSinceMs === undefined;
 }
--- a/packages/reedlug-gateway/src/slices/silentZones.ts
+++ b/packages/reedlug-gateway/src/slices/silentZones.ts
@@ -1,8 +1,8 @@
-/** Availability zones of which no box is heard: they, or this box's own zone, are likely cut off. */
+/** Availability zones from which no gossip arrives: they, or this box's own zone, are probably partitioned. */
 import type { GatewayState } from '../state.js';
 import { isFreshPeer, fleetDiscoveredAtMs, isSeed } from './fleet.js';
 
-/** Finds the zones anew; under a hub they are those that it told. */
+/** Updates the silent zones; a box that has a hub uses those that the hub reports. */
 export function updateSilentZones(state: GatewayState, nowMs: number): void {
   const hub = state.hubId === undefined ? undefined : state.peers.get(state.hubId);
   if (hub !== undefined) {
--- a/packages/reedlug-gateway/src/slices/storeEra.ts
+++ b/packages/reedlug-gateway/src/slices/storeEra.ts
@@ -1,6 +1,7 @@
 /**
- * Eras of the store. It may come back from a copy some seconds old: rows are as they were then,
- * and versions since then are given out again. A new era is how boxes know.
+ * Eras of the store. The store may be restored from a backup that is some seconds old: rows are
+ * as they were then, and versions assigned since then are assigned again. Each restore starts
+ * a new era, by which boxes detect it.
  */
 import { noteLeaseEra } from 'reedlug-coordination';
 import { forgetCrashRow } from './crashRow.js';
@@ -9,15 +10,15 @@
 import { tellDecisions } from './usageDecisions.js';
 import { log, type GatewayState, type Step } from '../state.js';
 
-/** Time from the store's return in which a whole collection may be that of the copy, in ms: what was lost is written again within 2 s, and the list of boxes is read a second later. */
+/** Time from a restore of the store for which a whole collection may be that of the backup, in ms: what was lost is written again within 2 s, and the list of boxes is read a second later. */
 const RESTORE_SETTLE_MS = 5000;
 
-/** Whether an era is news: most answers tell the one that is known already. */
+/** Returns whether an era is later than the known one; most answers carry the known one. */
 export function isNewEra({ storeEra }: GatewayState, era: number): boolean {
   return storeEra === undefined || era > storeEra;
 }
 
-/** Takes the era of an answer, or of a peer's news. */
+/** Handles the era in an answer of the store or in a peer's gossip. */
 export function onStoreEra(
   state: GatewayState,
   step: Step,
@@ -42,7 +43,7 @@
   tellDecisions(state, step);
 }
 
-/** Whether a whole collection that is read now may lack what was there, and show what is gone. */
+/** Returns whether a whole collection that is read now may lack entries, or contain entries that are gone, since it may be that of a backup. */
 export function mayShowBackup({ storeRestoredAtMs }: GatewayState, nowMs: number): boolean {
   return nowMs - storeRestoredAtMs < RESTORE_SETTLE_MS;
 }
--- a/packages/reedlug-gateway/src/slices/suspension.ts
+++ b/packages/reedlug-gateway/src/slices/suspension.ts
@@ -1,21 +1,22 @@
 /**
- * A machine that was suspended: its steady clock has not counted the time.
+ * Detects that the machine was suspended, a time that its monotonic clock does not count.
  *
- * Whatever counts from a moment before would seem fresh for as long again: a lease that
- * another box has taken, units that are no longer lent, a part of a server's limit that
- * another box sends. The time of day tells at the first event after it; where that was set
- * at the same time, the store's clock does with its next answer. A clock that was only set
- * ahead costs a renewal of the lease, so what would end callers' requests stays as it is.
+ * Anything timed from a moment before would seem valid for longer than it is: a lease that
+ * another box has acquired, units that are no longer lent, a share of a server's limit that
+ * another box uses. The wall clock shows the suspension at the first event after it; if the
+ * wall clock was set at the same time, the store's clock shows it with its next answer. A wall
+ * clock that was only set ahead costs a renewal of the lease, so timers whose end would end
+ * callers' requests are left as they are.
  */
 import { ageLease } from 'reedlug-coordination';
 import { log, type GatewayState, type Step } from '../state.js';
 
-/** Least time that counts as a suspension, in ms: several ticks, and more than clocks are corrected by. */
+/** Minimum time that counts as a suspension, in ms: several ticks, and more than clocks are corrected by. */
 const MIN_SUSPENSION_MS = 250;
-/** Time in which the store's clock tells of the suspension that the time of day told of, in ms. */
+/** Time within which the store's clock shows the suspension that the wall clock has already shown, in ms. */
 const SAME_SUSPENSION_MS = 5000;
 
-/** Looks at the time of day before an event is handled. */
+/** Checks the wall clock before an event is handled. */
 export function checkWallClock(state: GatewayState, step: Step): void {
   const aheadMs = step.wallClockMs - step.nowMs;
   const lostMs = aheadMs - (state.wallClockAheadMs ?? aheadMs);
@@ -23,14 +24,14 @@
   if (lostMs >= MIN_SUSPENSION_MS) applySuspension(state, step, lostMs, 'timeOfDay');
 }
 
-/** Looks at the store's clock: time since its zero can seem longer than it is, never shorter. */
+/** Checks the store's clock: a slow answer makes its time 0 seem later, never earlier, so it does not look like a suspension. */
 export function checkStoreEpoch(state: GatewayState, step: Step, epochMs: number): void {
   const lostMs = (state.storeEpochMs ?? epochMs) - epochMs;
   const isKnown = step.nowMs - state.resumedAtMs < SAME_SUSPENSION_MS;
   if (lostMs >= MIN_SUSPENSION_MS && !isKnown) applySuspension(state, step, lostMs, 'storeClock');
 }
 
-/** Takes everything that is only safe for a time as that much older. */
+/** Ages everything that is valid for a limited time by the time that was lost. */
 function applySuspension(state: GatewayState, step: Step, lostMs: number, witness: string): void {
   state.resumedAtMs = step.nowMs;
   log(step, 'suspended', { lostMs: Math.round(lostMs), witness });
--- a/packages/reedlug-gateway/src/slices/tableRows.ts
+++ b/packages/reedlug-gateway/src/slices/tableRows.ts
@@ -1,7 +1,7 @@
-/** What an answer of the shared table says of its rows. */
+/** Extracts rows from an answer of the shared table. */
 import type { TableAnswer, TableRow } from 'reedlug-coordination';
 
-/** The rows as they are now; undefined where the answer leaves open what the call has done. */
+/** Returns the current rows; undefined when the answer leaves open what the call has done. */
 export function rowsOf(answer: TableAnswer): readonly TableRow[] | undefined {
   switch (answer.kind) {
     case 'done':
