--- a/packages/reedlug-gateway/src/slices/crashGossip.ts
+++ b/packages/reedlug-gateway/src/slices/crashGossip.ts
@@ -64,10 +64,10 @@
 
 /** Returns the suspects with the highest priority, as many as fit in one message. */
 export function highestPrioritySuspects(suspects: readonly CrashSuspect[]): CrashSuspect[] {
-  const byStrength = [...suspects].sort(
+  const byPriority = [...suspects].sort(
     (a, b) => suspectPriority(b) - suspectPriority(a) || b.seenAtMs - a.seenAtMs,
   );
-  return byStrength.slice(0, MAX_SUSPECTS_PER_MESSAGE);
+  return byPriority.slice(0, MAX_SUSPECTS_PER_MESSAGE);
 }
 
 /** Encodes a suspect for messages and for the table row: all times become ages. */
--- a/packages/reedlug-gateway/src/slices/rolloutEvidence.ts
+++ b/packages/reedlug-gateway/src/slices/rolloutEvidence.ts
@@ -42,8 +42,8 @@
   step: Step,
   lost: { record: RequestRecord; attempt: Attempt },
 ): void {
-  const isLeaving = serverOf(state, lost.attempt)?.leaving !== false;
-  if (isLeaving || state.silentZones.size > 0) return;
+  const isDrainingOrGone = serverOf(state, lost.attempt)?.leaving !== false;
+  if (isDrainingOrGone || state.silentZones.size > 0) return;
   recordAnswer(state, step, { ...lost, end: AnswerEnd.failed });
 }
 
