--- a/packages/reedlug-gateway/src/policy/chooseServer.ts
+++ b/packages/reedlug-gateway/src/policy/chooseServer.ts
@@ -13,7 +13,7 @@
 import type { ServerLoad } from '../types/peer.js';
 import type { GatewayState } from '../state.js';
 import type { ServerView } from '../types/views.js';
-import { countedPeers, type HeardPeer } from '../slices/fleet.js';
+import { countedPeers, type PeerWithMessage } from '../slices/fleet.js';
 import { isLimitRefreshDue, isEligible, isLimited } from '../slices/statements/eligibility.js';
 import { modelOf } from '../slices/engineModels.js';
 import { highestRanked } from './highestRanked.js';
@@ -199,7 +199,7 @@
 }
 
 /** Returns the open work at a server: this box's own and the work last reported by peers. */
-function totalLoad(view: ServerView, peers: readonly HeardPeer[]): ServerLoad {
+function totalLoad(view: ServerView, peers: readonly PeerWithMessage[]): ServerLoad {
   let total: ServerLoad = view;
   for (const peer of peers) {
     const load = peer.message.loads[view.entry.id];
--- a/packages/reedlug-gateway/src/slices/attempts.ts
+++ b/packages/reedlug-gateway/src/slices/attempts.ts
@@ -8,13 +8,13 @@
 import { removeUnreadPrompt } from '../policy/serverLoad.js';
 import { recordActivity } from '../policy/serverSilence.js';
 import { closeAttempt, giveUp, reachWhenLost, serverOf } from './requestCompletion.js';
-import { isPastPoint, noteGoodRun } from './crashSuspects.js';
+import { isPastCrashPoint, recordGoodRun } from './crashSuspects.js';
 import { recordSuccessfulEnd, recordFirstEvent } from './engineModels.js';
 import { recordLoss } from './lostServers.js';
 import { recordServedProbe } from './statements/pauses.js';
 import { applyAnswerStatements, applyRefusal } from './statements/answerStatements.js';
 import { retryAfterLoss, reserveRerun, retryNotRun, type RequestAttempt } from './retries.js';
-import { AnswerEnd, noteAnswer, noteLost } from './rolloutEvidence.js';
+import { AnswerEnd, recordAnswer, recordLostAnswer } from './rolloutEvidence.js';
 import { removeServer } from './servers.js';
 import { countStarted } from './usage.js';
 import { chargeFurtherSend } from './quotas.js';
@@ -82,7 +82,7 @@
     case 'invalid': {
       const view = closeAttempt(state, attempt, Reach.maybe);
       if (view !== undefined) recordFailure(view, step.nowMs);
-      noteAnswer(state, step, { record, attempt, end: AnswerEnd.failed });
+      recordAnswer(state, step, { record, attempt, end: AnswerEnd.failed });
       step.effects.push({ type: 'cancelAttempt', attemptId: attempt.attemptId });
       return retryAfterLoss(state, step, { record, attempt }, 'invalidAnswer');
     }
@@ -93,7 +93,7 @@
   const { record, attempt } = found;
   if (attempt.firstOutputAtMs === undefined) {
     recordFirstEvent(state, step, record, attempt);
-    noteAnswer(state, step, { record, attempt, end: AnswerEnd.good });
+    recordAnswer(state, step, { record, attempt, end: AnswerEnd.good });
   }
   recordRunStart(state, step, found);
   const { exchangeId } = record;
@@ -116,7 +116,7 @@
   recordRunStart(state, step, found);
   const view = serverOf(state, attempt);
   if (view !== undefined && status >= 500) recordFailure(view, step.nowMs);
-  if (status >= 500) noteAnswer(state, step, { record, attempt, end: AnswerEnd.failed });
+  if (status >= 500) recordAnswer(state, step, { record, attempt, end: AnswerEnd.failed });
   // If the workspace's limit has no units for another run, the caller gets this answer.
   const mayRetry = status >= 500 && !record.relayed && reserveRerun(state, step, record);
   if (mayRetry && chargeFurtherSend(state, record, step.nowMs)) {
@@ -163,7 +163,7 @@
     recordSuccessfulEnd(state, step, record, attempt);
     if (view !== undefined) recordSuccess(view, step.nowMs);
     recordServedProbe(state, step, attempt);
-    noteGoodRun(state, step, record);
+    recordGoodRun(state, step, record);
   }
   state.requests.delete(record.exchangeId);
   log(step, 'requestFinished', {
@@ -186,7 +186,7 @@
   const found = findOpenAttempt(state, event);
   if (found === undefined) return;
   recordAttemptActivity(state, step, found.attempt);
-  if (isPastPoint(found.attempt, step.nowMs)) noteGoodRun(state, step, found.record);
+  if (isPastCrashPoint(found.attempt, step.nowMs)) recordGoodRun(state, step, found.record);
   if (event.lastEventId !== undefined) found.record.lastEventId = event.lastEventId;
 }
 
@@ -211,7 +211,7 @@
   const { record, attempt } = found;
   const view = closeAttempt(state, attempt, reachWhenLost(attempt));
   recordLoss(state, step, { record, attempt, view });
-  noteLost(state, step, found);
+  recordLostAnswer(state, step, found);
   logLost(step, found, event.reason);
   retryAfterLoss(state, step, found, event.reason);
 }
--- a/packages/reedlug-gateway/src/slices/capacity.ts
+++ b/packages/reedlug-gateway/src/slices/capacity.ts
@@ -13,7 +13,7 @@
   type ZoneTarget,
 } from '../policy/engineTarget.js';
 import { log, type GatewayState, type Step } from '../state.js';
-import { dutyFence } from './duties.js';
+import { dutyFence } from './dutyLease.js';
 import { isBeforeFirstLoad, recordInitialOnDemand, stabilizedNeed } from './engineNeed.js';
 import {
   BOOT_MARGIN_MS,
--- a/packages/reedlug-gateway/src/slices/crashRecord.ts
+++ b/packages/reedlug-gateway/src/slices/crashRow.ts
@@ -1,11 +1,11 @@
 /**
- * Requests under which servers crashed, in the shared table, for boxes that start when no
- * other one is there to tell them.
+ * Requests under which servers crashed, in a row of the shared table, for boxes that start
+ * when no other box is running that could send them gossip.
  *
- * Each box reads the row once after its start. The holder of the duty lease keeps it true;
- * a box whose own sends showed something writes at once, since the holder may be gone with
- * all others before it has heard. Writes are conditional, and what another one wrote in
- * between is taken in before the next.
+ * Each box reads the row once after its start. The holder of the duty lease keeps it up to
+ * date; a box whose own sends revealed something writes it at once, since the holder may
+ * fail together with all other boxes before it receives the gossip. Writes are conditional,
+ * and what another box wrote in the meantime is merged before the next write.
  */
 import { describeRevision, type TableRow } from 'reedlug-coordination';
 import { log, requestTable, type GatewayState, type Step } from '../state.js';
@@ -16,36 +16,41 @@
   type CrashSuspectsRow,
 } from '../types/crashSuspect.js';
 import type { EventOf } from '../types/event.js';
-import { isSuspectNews, newsOf, strongest, takeSuspect } from './crashNews.js';
-import { dutyFence } from './duties.js';
+import {
+  isSuspectGossip,
+  suspectGossip,
+  highestPrioritySuspects,
+  mergeSuspect,
+} from './crashGossip.js';
+import { dutyFence } from './dutyLease.js';
 import { rowsOf } from './tableRows.js';
 
-/** Pause between calls, in ms: the store answers in some ms, a busy one is asked again. */
-const ASK_EVERY_MS = 250;
-/** Pause between tries to read the row after the start, in ms. */
-const READ_EVERY_MS = 1000;
-/** Pause after which the holder of the lease reads it again, in ms: a box that wrote it may be gone. */
-const READ_AGAIN_MS = 5000;
-/** Crashes from which a suspect is worth a row's place: one alone is most often an innocent's. */
-const RECORDED_CRASHES = 2;
+/** Interval between calls to the table, in ms: the store usually answers within a few ms, and a busy store is called again. */
+const TABLE_CALL_INTERVAL_MS = 250;
+/** Interval between attempts to read the row after the start, in ms. */
+const READ_RETRY_MS = 1000;
+/** Time since the last call after which the holder of the lease reads the row again, in ms: a box that wrote it may be gone. */
+const REREAD_INTERVAL_MS = 5000;
+/** Minimum number of crashes for a suspect to be stored in the row: a request with a single crash is most often innocent. */
+const MIN_RECORDED_CRASHES = 2;
 
-/** Reads the row after the start, and writes it where it lacks something. */
-export function crashRecordTick(state: GatewayState, step: Step): void {
+/** Reads the row after the start, and writes it when its content is out of date. */
+export function crashRowTick(state: GatewayState, step: Step): void {
   const { crashRow } = state;
   const sinceMs = step.nowMs - crashRow.requestedAtMs;
   if (crashRow.version === undefined) {
-    if (sinceMs < READ_EVERY_MS) return;
+    if (sinceMs < READ_RETRY_MS) return;
     crashRow.requestedAtMs = step.nowMs;
     const op = { kind: 'read', keys: [CRASH_SUSPECTS_KEY] } as const;
     return requestTable(step, { kind: 'crashSuspects', writes: false }, op);
   }
   if (state.crashSuspects.size === 0 && crashRow.writtenSignature === '') return;
-  if (sinceMs < ASK_EVERY_MS || !mayWrite(state, step)) return;
-  if (sinceMs >= READ_AGAIN_MS) {
+  if (sinceMs < TABLE_CALL_INTERVAL_MS || !mayWrite(state, step)) return;
+  if (sinceMs >= REREAD_INTERVAL_MS) {
     crashRow.version = undefined;
     return;
   }
-  const suspects = suspectsToRecord(state).map((suspect) => newsOf(suspect, step.nowMs));
+  const suspects = suspectsToRecord(state).map((suspect) => suspectGossip(suspect, step.nowMs));
   if (signatureOf(suspects) === crashRow.writtenSignature) {
     crashRow.hasUnwrittenObservations = false;
     return;
@@ -58,7 +63,7 @@
   requestTable(step, { kind: 'crashSuspects', writes: true }, op);
 }
 
-/** The store came back: whoever keeps the row true reads whether it says what it should. */
+/** Discards what is known of the row after a restore of the store, so that the boxes that maintain the row read it again. */
 export function forgetCrashRow(state: GatewayState, step: Step): void {
   if (mayWrite(state, step)) state.crashRow.version = undefined;
 }
@@ -69,23 +74,23 @@
 }
 
 function suspectsToRecord(state: GatewayState): CrashSuspect[] {
-  return strongest(
+  return highestPrioritySuspects(
     [...state.crashSuspects.values()].filter(
       ({ crashes, blockedSinceMs }) =>
-        blockedSinceMs !== undefined || crashes.length >= RECORDED_CRASHES,
+        blockedSinceMs !== undefined || crashes.length >= MIN_RECORDED_CRASHES,
     ),
   );
 }
 
-/** What a row says in short: it is written again when this changes. */
+/** Returns a summary of the row's content; the row is written again when the summary changes. */
 function signatureOf(suspects: readonly CrashSuspectGossip[]): string {
-  const words = suspects.map(({ key, crashes, keptOutAgeMs }) =>
+  const parts = suspects.map(({ key, crashes, keptOutAgeMs }) =>
     keptOutAgeMs === undefined ? `${key}:${crashes.length}` : `${key}:out`,
   );
-  return words.sort().join(' ');
+  return parts.sort().join(' ');
 }
 
-/** Takes the table's answer. */
+/** Handles the table's answer. */
 export function onCrashRow(
   state: GatewayState,
   step: Step,
@@ -96,16 +101,16 @@
   const { answer } = event;
   const rows = rowsOf(answer);
   if (rows === undefined) {
-    // The write may have been done: the row is read before the next one.
+    // The write may have been applied, so the row is read before the next write.
     crashRow.version = undefined;
     return;
   }
   crashRow.isLastWriter = answer.kind === 'done' && purpose.writes;
   const row = rows.find(({ key }) => key === CRASH_SUSPECTS_KEY);
-  takeRow(state, step, row);
+  applyRow(state, step, row);
 }
 
-function takeRow(state: GatewayState, step: Step, row: TableRow | undefined): void {
+function applyRow(state: GatewayState, step: Step, row: TableRow | undefined): void {
   const { crashRow } = state;
   crashRow.version = row?.version ?? 0;
   crashRow.writtenSignature = '';
@@ -115,8 +120,8 @@
     return log(step, 'crashRowUnreadable', { revision: describeRevision(row.version) });
   }
   const writtenAtMs = value.storeNowMs + (state.storeEpochMs ?? step.nowMs - value.storeNowMs);
-  const agedMs = Math.max(0, step.nowMs - writtenAtMs);
-  const told = value.suspects.filter(isSuspectNews);
-  for (const news of told) takeSuspect(state, step, news, step.nowMs - agedMs);
-  crashRow.writtenSignature = signatureOf(told);
+  const rowAgeMs = Math.max(0, step.nowMs - writtenAtMs);
+  const recorded = value.suspects.filter(isSuspectGossip);
+  for (const gossip of recorded) mergeSuspect(state, step, gossip, step.nowMs - rowAgeMs);
+  crashRow.writtenSignature = signatureOf(recorded);
 }
--- a/packages/reedlug-gateway/src/slices/limitShare.ts
+++ b/packages/reedlug-gateway/src/slices/limitShare.ts
@@ -11,9 +11,9 @@
 import type { EventOf } from '../types/event.js';
 import { log, type GatewayState, type Step } from '../state.js';
 import type { PeerMessage } from '../types/peer.js';
-import { dutyFence } from './duties.js';
-import { mayShowCopy } from './storeEra.js';
-import { countedPeers, countsFreshly, knownGroups, ownAddress, usesHubs } from './fleet.js';
+import { dutyFence } from './dutyLease.js';
+import { mayShowBackup } from './storeEra.js';
+import { countedPeers, isFreshPeer, knownGroups, ownAddress, usesHubs } from './fleet.js';
 
 /** Time after its start before a joining box checks whether all boxes know it, in ms. Boxes that start together are all listed by then. */
 const JOIN_AFTER_MS = 3000;
@@ -43,7 +43,7 @@
     part.isRegistered = own?.holdsPart === true;
     // A box that a restored backup lacks keeps its share, since all others still divide by it.
     const isKept =
-      own === undefined && part.opening !== undefined && mayShowCopy(state, step.nowMs);
+      own === undefined && part.opening !== undefined && mayShowBackup(state, step.nowMs);
     if (!isKept) part.ownRevision = own?.address === undefined ? undefined : own.revision;
   }
   if (part.ownRevision === undefined) dropShare(state, step, 'notListed');
@@ -104,7 +104,7 @@
 function otherShares(state: GatewayState, nowMs: number): LimitShareGossip {
   const isMember = state.hubId !== undefined;
   const reachable = countedPeers(state, nowMs).filter(
-    (peer) => countsFreshly(peer, nowMs) && (isMember || peer.listed),
+    (peer) => isFreshPeer(peer, nowMs) && (isMember || peer.listed),
   );
   return sumShares(reachable.map(({ message }) => message));
 }
--- a/packages/reedlug-gateway/src/slices/requests.ts
+++ b/packages/reedlug-gateway/src/slices/requests.ts
@@ -17,9 +17,9 @@
 import { reserveRetryAfterMs, SERVERS_LIMITED } from './statements/retryAfterTimes.js';
 import { chargeSend, unitsOf } from './quotas.js';
 import { countFirstSend } from './retryBudgets.js';
-import { noteLeft } from './rolloutEvidence.js';
+import { recordAbandonedAnswer } from './rolloutEvidence.js';
 import { chooseServerFor, sendOrGiveUp } from './sending.js';
-import { isTooLateToTake } from './stopping.js';
+import { isTooLateToAccept } from './shutdown.js';
 import { refuseOverLimit, requestAndAwaitUnits } from './waitingSends.js';
 
 /** Retry-After time of requests refused because this box is about to stop, in ms; another box serves them then. */
@@ -53,7 +53,7 @@
   if (active === undefined) return;
   const route = findRoute(active, facts.host, facts.path);
   if (route === undefined) return refuseNow(404, 'noRoute');
-  if (isTooLateToTake(state, step.nowMs, route.kind)) {
+  if (isTooLateToAccept(state, step.nowMs, route.kind)) {
     return refuseNow(503, 'stopping', STOPPING_RETRY_MS);
   }
   const needsKey = active.configuration.workspaces.length > 0 && !route.isPublic;
@@ -126,7 +126,7 @@
 export function onCallerGone(state: GatewayState, step: Step, event: EventOf<'callerGone'>): void {
   const record = state.requests.get(event.exchangeId);
   if (record === undefined) return removePendingRequest(state, event.exchangeId);
-  noteLeft(state, step, record);
+  recordAbandonedAnswer(state, step, record);
   cancelAll(state, step, record);
   state.requests.delete(event.exchangeId);
   log(step, 'callerGone', {
@@ -141,7 +141,7 @@
 export function requestsTick(state: GatewayState, step: Step): void {
   for (const record of state.requests.values()) {
     if (step.nowMs < record.deadlineAtMs) continue;
-    noteLeft(state, step, record);
+    recordAbandonedAnswer(state, step, record);
     giveUp(state, step, record, 'timeIsUp');
   }
 }
--- a/packages/reedlug-gateway/src/slices/retries.ts
+++ b/packages/reedlug-gateway/src/slices/retries.ts
@@ -9,7 +9,7 @@
 import type { Choice } from '../policy/chooseServer.js';
 import { log, type GatewayState, type Step } from '../state.js';
 import type { Attempt, RequestRecord } from '../types/request.js';
-import { CRASHES_SERVERS, suspectOf } from './crashSuspects.js';
+import { CRASHES_SERVERS_REASON, suspectOf } from './crashSuspects.js';
 import { giveUp, isRepeatable } from './requestCompletion.js';
 import { takeRepeat } from './retryBudgets.js';
 import { sendAgain } from './waitingSends.js';
@@ -49,7 +49,7 @@
   reason: string,
 ): void {
   const { record } = found;
-  if (!isBelowCrashLimit(state, record)) return giveUp(state, step, record, CRASHES_SERVERS);
+  if (!isBelowCrashLimit(state, record)) return giveUp(state, step, record, CRASHES_SERVERS_REASON);
   if (!reserveRerun(state, step, record)) return giveUp(state, step, record, reason);
   retry(state, step, found, reason);
 }
--- a/packages/reedlug-gateway/src/slices/rolloutRecords.ts
+++ b/packages/reedlug-gateway/src/slices/rolloutRecords.ts
@@ -1,10 +1,10 @@
 /**
- * Roll-outs in the shared table, written by the holder of the duty lease.
+ * Records of roll-outs in the shared table, written by the holder of the duty lease.
  *
- * The record says how far a roll-out is, for boxes that start and for the next
- * holder; an end that is written is never written over. Each write is conditional
- * on the record's version, so a holder that has lost the lease without knowing
- * cannot undo what the next one wrote.
+ * A record holds the phase of a roll-out, for boxes that start and for the next
+ * holder; a final phase is never overwritten. Each write is conditional on the
+ * record's version, so a holder that has lost the lease without knowing it
+ * cannot overwrite what the next one wrote.
  */
 import { eraOf, type TableRow } from 'reedlug-coordination';
 import { isUsableDuration, laterPhase } from '../policy/rolloutStep.js';
@@ -16,27 +16,27 @@
   type RolloutRecord,
   type RolloutView,
 } from '../types/rollout.js';
-import { dutyFence } from './duties.js';
-import { barredAfter, enterPhase, isOver } from './rollouts.js';
+import { dutyFence } from './dutyLease.js';
+import { blockedVersionsAfter, enterPhase, isFinished } from './rollouts.js';
 import { rowsOf } from './tableRows.js';
 
-/** Pause between calls for one roll-out, in ms: the store answers in some ms, a busy one is asked again. */
-const ASK_EVERY_MS = 250;
+/** Interval between table calls for one roll-out, in ms: the store usually answers within a few ms, and a busy store is called again. */
+const TABLE_CALL_INTERVAL_MS = 250;
 
-/** Reads and writes the records, while this box holds the lease. */
+/** Reads and writes the records while this box holds the lease. */
 export function rolloutRecordsTick(state: GatewayState, step: Step): void {
   if (state.rollouts.size === 0 || dutyFence(state, step.nowMs) === undefined) return;
-  for (const view of state.rollouts.values()) keepRecord(state, step, view);
+  for (const view of state.rollouts.values()) updateRecord(state, step, view);
 }
 
-function keepRecord(state: GatewayState, step: Step, view: RolloutView): void {
-  if (step.nowMs - view.requestedAtMs < ASK_EVERY_MS) return;
+function updateRecord(state: GatewayState, step: Step, view: RolloutView): void {
+  if (step.nowMs - view.requestedAtMs < TABLE_CALL_INTERVAL_MS) return;
   if (!isUsableDuration(view.order.durationMs)) return;
   const phase = phaseToWrite(view);
   if (phase === undefined) return;
   view.requestedAtMs = step.nowMs;
   const { service } = view.order;
-  const key = keyOf(service);
+  const key = recordKey(service);
   const purpose = { kind: 'rollout' as const, service, revision: view.order.revision };
   if (view.recordVersion === undefined) {
     return requestTable(step, purpose, { kind: 'read', keys: [key] });
@@ -46,17 +46,17 @@
   requestTable(step, purpose, { kind: 'transact', writes: [write] });
 }
 
-function keyOf(service: string): string {
+function recordKey(service: string): string {
   return `${ROLLOUT_KEY_PREFIX}${service}`;
 }
 
-/** What the record should say and does not; undefined when it says it. */
+/** Returns the phase that the record lacks; undefined when the record is up to date. */
 function phaseToWrite(view: RolloutView): RolloutPhase | undefined {
   if (view.recordVersion === undefined) return view.phase;
   const { phase, wantsCompletion, recordedPhase } = view;
-  if (isOver(view)) return recordedPhase === phase ? undefined : phase;
+  if (isFinished(view)) return recordedPhase === phase ? undefined : phase;
   if (wantsCompletion) return RolloutPhase.completed;
-  // What lies between is for the boxes alone; after a loss of all they begin with the small sample.
+  // Phases in between are only exchanged between boxes; after a loss of all boxes a roll-out restarts with the small sample.
   return recordedPhase === undefined ? RolloutPhase.sampling : undefined;
 }
 
@@ -71,7 +71,7 @@
   };
 }
 
-/** Takes the table's answer. */
+/** Handles the table's answer. */
 export function onRolloutRow(
   state: GatewayState,
   step: Step,
@@ -83,20 +83,20 @@
   const { answer } = event;
   const rows = rowsOf(answer);
   if (rows === undefined) {
-    // The write may have been done: the record is read before the next one.
+    // The write may have been applied, so the record is read before the next write.
     view.recordVersion = undefined;
     log(step, 'rolloutRecordUnknown', { service: purpose.service, answer: answer.kind });
     return;
   }
-  takeRecord(
+  applyRecord(
     state,
     step,
     view,
-    rows.find(({ key }) => key === keyOf(purpose.service)),
+    rows.find(({ key }) => key === recordKey(purpose.service)),
   );
 }
 
-function takeRecord(
+function applyRecord(
   state: GatewayState,
   step: Step,
   view: RolloutView,
@@ -105,7 +105,7 @@
   view.recordVersion = row?.version ?? 0;
   const record = row?.value as RolloutRecord | undefined;
   if (record === undefined) return;
-  if (!isOfOrder(view, record)) return takeEarlierRecord(view, record);
+  if (!isOfOrder(view, record)) return applyEarlierRecord(view, record);
   view.recordedPhase = record.phase;
   view.barred = record.barred;
   const { storeEpochMs } = state;
@@ -115,7 +115,7 @@
   enterPhase(step, view, laterPhase(view.phase, record.phase), { source: 'table' });
 }
 
-/** An order that was written again after the store lost it has another revision than its record. */
+/** Returns whether a record belongs to an order. An order that was written again after the store lost it has another revision than its record. */
 function isOfOrder({ order, earlierRevisions }: RolloutView, record: RolloutRecord): boolean {
   if (record.revision === order.revision) return true;
   if (earlierRevisions.includes(record.revision)) return false;
@@ -124,9 +124,9 @@
   );
 }
 
-/** The record of an earlier order, which this one follows: a version that was not completed stays barred. */
-function takeEarlierRecord(view: RolloutView, record: RolloutRecord): void {
-  view.barred = barredAfter({
+/** Applies the record of an earlier order, which this one follows: a version whose roll-out was not completed stays blocked. */
+function applyEarlierRecord(view: RolloutView, record: RolloutRecord): void {
+  view.barred = blockedVersionsAfter({
     barred: [...view.barred, ...record.barred],
     earlier: record,
     targetVersion: view.order.targetVersion,
--- a/packages/reedlug-gateway/src/slices/servers.ts
+++ b/packages/reedlug-gateway/src/slices/servers.ts
@@ -21,7 +21,7 @@
 import { recordIncarnationEnd } from './lostServers.js';
 import { recordRegistryChange } from './registryGossip.js';
 import { failOpenAttempts } from './serverIncarnations.js';
-import { mayShowCopy } from './storeEra.js';
+import { mayShowBackup } from './storeEra.js';
 import { mergeDraining } from './statements/draining.js';
 import { findStatements } from './statements/incarnationStatements.js';
 
@@ -96,7 +96,8 @@
   { id, bornAtMs }: ServerEntry,
 ): boolean {
   const gone = state.goneServers.get(id);
-  if (gone === undefined || state.servers.has(id) || !mayShowCopy(state, step.nowMs)) return false;
+  if (gone === undefined || state.servers.has(id) || !mayShowBackup(state, step.nowMs))
+    return false;
   return !isLaterIncarnation(bornAtMs, gone.bornAtMs);
 }
 
--- a/packages/reedlug-gateway/src/slices/silentServers.ts
+++ b/packages/reedlug-gateway/src/slices/silentServers.ts
@@ -4,7 +4,7 @@
 import type { Attempt, RequestRecord } from '../types/request.js';
 import { recordLoss } from './lostServers.js';
 import { reserveRetry, mayRunAgain, retry } from './retries.js';
-import { noteLeft } from './rolloutEvidence.js';
+import { recordAbandonedAnswer } from './rolloutEvidence.js';
 import { closeAttempt, reachWhenLost, serverOf } from './requestCompletion.js';
 import { chooseServerFor } from './sending.js';
 
@@ -42,7 +42,7 @@
   const choice = chooseServerFor(state, step, record, excludedServers);
   if (choice === undefined || !reserveRetry(state, step, record)) return;
   record.excludedServers.add(attempt.serverId);
-  noteLeft(state, step, record);
+  recordAbandonedAnswer(state, step, record);
   const view = closeAttempt(state, attempt, reach);
   recordLoss(state, step, { record, attempt, view });
   step.effects.push({ type: 'cancelAttempt', attemptId: attempt.attemptId });
--- a/packages/reedlug-gateway/src/slices/statements/senderShare.ts
+++ b/packages/reedlug-gateway/src/slices/statements/senderShare.ts
@@ -14,10 +14,10 @@
 import type { ReachableFleet, SenderRank, ServerLimit } from '../../types/serverStatement.js';
 import type { PeerView, ServerView } from '../../types/views.js';
 import {
-  boxesBefore,
+  boxesRankedBefore,
   boxesCovered,
   countedPeers,
-  countsFreshly,
+  isFreshPeer,
   fleetSize,
   usesHubs,
 } from '../fleet.js';
@@ -76,7 +76,9 @@
   const refreshMs = viaHubs ? LISTED_RANK_REFRESH_MS : REACHABILITY_REFRESH_MS;
   if (known !== undefined && nowMs - known.checkedAtMs < refreshMs) return known.rank;
   const incarnationHash = hashString(`${life.serverId} ${life.bornAtMs ?? ''}`);
-  const rank = boxesBefore(state, incarnationHash, (peer) => mayBeSender(peer, viaHubs, nowMs));
+  const rank = boxesRankedBefore(state, incarnationHash, (peer) =>
+    mayBeSender(peer, viaHubs, nowMs),
+  );
   ranked.rank = { rank, checkedAtMs: nowMs };
   return rank;
 }
@@ -84,14 +86,14 @@
 /** Returns whether a peer is ranked as a sender. With hubs a box does not know which boxes are alive, so all listed ones count. */
 function mayBeSender(peer: PeerView, viaHubs: boolean, nowMs: number): boolean {
   if (peer.message?.leaving === true) return false;
-  return viaHubs || (peer.message !== undefined && countsFreshly(peer, nowMs));
+  return viaHubs || (peer.message !== undefined && isFreshPeer(peer, nowMs));
 }
 
 /** Returns the fleet as this box reaches it, cached since one send may check hundreds of limited servers. */
 function reachableFleet(state: GatewayState, nowMs: number): ReachableFleet {
   const known = state.reachableFleet;
   if (known !== undefined && nowMs - known.checkedAtMs < REACHABILITY_REFRESH_MS) return known;
-  const reachable = countedPeers(state, nowMs).filter((peer) => countsFreshly(peer, nowMs));
+  const reachable = countedPeers(state, nowMs).filter((peer) => isFreshPeer(peer, nowMs));
   const boxes = fleetSize(state);
   const share = Math.min(1, boxesCovered(reachable) / boxes);
   state.reachableFleet = { boxes, share, viaHubs: usesHubs(state), checkedAtMs: nowMs };
--- a/packages/reedlug-gateway/src/slices/usageDecisions.ts
+++ b/packages/reedlug-gateway/src/slices/usageDecisions.ts
@@ -11,7 +11,7 @@
 import { log, type GatewayState, type Step } from '../state.js';
 import type { UsageDecisionGossip } from '../types/peer.js';
 import type { UsageCounts, UsageWindow } from '../types/views.js';
-import { agreedWallMs } from './clock.js';
+import { agreedWallClockMs } from './clock.js';
 
 /** Time after the end of a window in which the last counts of peers arrive, in ms; several of their messages. */
 const SETTLE_MS = 1500;
@@ -27,7 +27,7 @@
 
 /** Returns whether a window is due to be decided, by the agreed clock. */
 export function isDue(state: GatewayState, step: Step, { window }: UsageWindow): boolean {
-  return agreedWallMs(state, step) >= dueAtMs(state, window);
+  return agreedWallClockMs(state, step) >= dueAtMs(state, window);
 }
 
 function dueAtMs(state: GatewayState, window: number): number {
@@ -56,7 +56,7 @@
 
 /** Converts a time on this box's clock to the agreed clock. */
 function agreedWallClockAt(state: GatewayState, step: Step, atMs: number): number {
-  return agreedWallMs(state, step) - (step.nowMs - atMs);
+  return agreedWallClockMs(state, step) - (step.nowMs - atMs);
 }
 
 /** Records what is to be reported for a window, and announces it. */
--- a/packages/reedlug-gateway/src/slices/versionRule.ts
+++ b/packages/reedlug-gateway/src/slices/versionRule.ts
@@ -12,7 +12,7 @@
 import { RolloutPhase, type RolloutView } from '../types/rollout.js';
 import type { ServerEntry } from '../types/server.js';
 import type { ServerView } from '../types/views.js';
-import { isOver } from './rollouts.js';
+import { isFinished } from './rollouts.js';
 
 /** Whether a server runs the version that is being rolled out. */
 export function isTargetVersion(view: RolloutView, entry: ServerEntry): boolean {
@@ -63,7 +63,7 @@
 /** Whether two versions of a service run side by side. */
 export function isRollingOut(state: GatewayState, service: string): boolean {
   const view = state.rollouts.get(service);
-  return view !== undefined && !isOver(view);
+  return view !== undefined && !isFinished(view);
 }
 
 /** Returns the share of the service's requests that is in the sample now. */
