--- a/packages/reedlug-soak/src/__tests__/faultProxy.test.ts
+++ b/packages/reedlug-soak/src/__tests__/faultProxy.test.ts
@@ -4,19 +4,19 @@
 import { LinkFault } from '../faultPlan.js';
 import { openFaultProxy, type FaultProxy } from '../faultProxy.js';
 
-interface Link {
+interface TestLink {
   proxy: FaultProxy;
   server: Server;
   close: () => void;
 }
 
 /** A proxy before a server that writes a number each millisecond, then ends. */
-async function openLink(numbers: number): Promise<Link> {
+async function openLink(count: number): Promise<TestLink> {
   const server = createServer((socket) => {
     socket.on('error', () => undefined);
     let next = 0;
     const timer = setInterval(() => {
-      if (next < numbers) return void socket.write(`${next++} `);
+      if (next < count) return void socket.write(`${next++} `);
       clearInterval(timer);
       socket.end();
     }, 1);
@@ -24,9 +24,9 @@
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
-  const [own = 0] = await findFreePorts(1);
+  const [proxyPort = 0] = await findFreePorts(1);
   const target = (): { host: string; port: number } => ({ host: '127.0.0.1', port });
-  const proxy = await openFaultProxy({ host: '127.0.0.1', port: own, target });
+  const proxy = await openFaultProxy({ host: '127.0.0.1', port: proxyPort, target });
   return {
     proxy,
     server,
@@ -53,11 +53,11 @@
 // stream overtake events that still waited when its slow link healed; no box was at fault.
 test('bytes on a slow link keep their order and their end, also when it heals', async () => {
   const link = await openLink(400);
-  link.proxy.set(LinkFault.slow);
+  link.proxy.setFault(LinkFault.slow);
   const reading = readAll(link.proxy.port);
   for (let flip = 0; flip < 8; flip += 1) {
     await new Promise((resolve) => setTimeout(resolve, 50));
-    link.proxy.set(flip % 2 === 0 ? undefined : LinkFault.slow);
+    link.proxy.setFault(flip % 2 === 0 ? undefined : LinkFault.slow);
   }
   const { text } = await reading;
   const expected = Array.from({ length: 400 }, (_, number) => `${number} `).join('');
@@ -69,9 +69,9 @@
   const link = await openLink(5000);
   const reading = readAll(link.proxy.port);
   await new Promise((resolve) => setTimeout(resolve, 30));
-  link.proxy.set(LinkFault.silent);
+  link.proxy.setFault(LinkFault.silent);
   await new Promise((resolve) => setTimeout(resolve, 30));
-  link.proxy.set(undefined);
+  link.proxy.setFault(undefined);
   const { isReset } = await reading;
   link.close();
   expect(isReset).to.equal(true);
--- a/packages/reedlug-soak/src/__tests__/soak.test.ts
+++ b/packages/reedlug-soak/src/__tests__/soak.test.ts
@@ -64,7 +64,7 @@
 
 test('a store that comes back from copies while boxes end makes nobody report a window twice', async function () {
   this.timeout(RUN_TIMEOUT_MS);
-  const copy = { kind: 'storeCopy' as const, ageMs: 4000, againWithinMs: 200, otherWrites: 300 };
+  const restore = { kind: 'storeCopy' as const, ageMs: 4000, againWithinMs: 200, otherWrites: 300 };
   const result = await runSoak({
     seed: 11,
     lengthMs: 16_000,
@@ -75,9 +75,9 @@
     faults: [
       { atMs: 6500, fault: { kind: 'killBox', box: 1, backAfterMs: 300 } },
       { atMs: 6500, fault: { kind: 'killBox', box: 2, backAfterMs: 300 } },
-      { atMs: 8000, fault: { ...copy, forMs: 700 } },
+      { atMs: 8000, fault: { ...restore, forMs: 700 } },
       { atMs: 8100, fault: { kind: 'killAllBoxes', backAfterMs: 300 } },
-      { atMs: 11_000, fault: { ...copy, forMs: 0 } },
+      { atMs: 11_000, fault: { ...restore, forMs: 0 } },
       { atMs: 11_200, fault: { kind: 'revokeKey' } },
     ],
   });
--- a/packages/reedlug-soak/src/boxProcess.ts
+++ b/packages/reedlug-soak/src/boxProcess.ts
@@ -3,12 +3,12 @@
 import { createWriteStream, writeFileSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 
-const MAIN = fileURLToPath(import.meta.resolve('reedlug-platform/main'));
+const MAIN_PATH = fileURLToPath(import.meta.resolve('reedlug-platform/main'));
 
 /** Processes of this run; a soak that is ended early takes them along, paused ones too. */
-const running = new Set<ChildProcess>();
+const runningProcesses = new Set<ChildProcess>();
 process.once('exit', () => {
-  for (const child of running) child.kill('SIGKILL');
+  for (const child of runningProcesses) child.kill('SIGKILL');
 });
 
 /** A box that can be started again and again. */
@@ -35,13 +35,13 @@
     start() {
       if (isRunning()) return;
       const log = createWriteStream(logPath, { flags: 'a' });
-      child = spawn(process.execPath, [MAIN], {
+      child = spawn(process.execPath, [MAIN_PATH], {
         env: { ...process.env, REEDLUG_BOOT: settingsPath },
         stdio: ['ignore', 'pipe', 'pipe'],
       });
       const started = child;
-      running.add(started);
-      started.once('exit', () => running.delete(started));
+      runningProcesses.add(started);
+      started.once('exit', () => runningProcesses.delete(started));
       child.stdout?.pipe(log);
       child.stderr?.pipe(log);
     },
--- a/packages/reedlug-soak/src/callers.ts
+++ b/packages/reedlug-soak/src/callers.ts
@@ -11,10 +11,10 @@
 /** How long a caller waits, in ms. */
 const DEADLINE_MS = 3000;
 /** Name under which callers reach the routes. */
-export const CALLED_HOST = 'soak.example';
+export const SERVICE_HOST = 'soak.example';
 
 /** What a request asks for. */
-export interface CallOrder {
+export interface CallSpec {
   requestId: string;
   kind: CallKind;
   box: number;
@@ -25,25 +25,25 @@
 
 /** Sends requests over connections that stay open. */
 export interface Callers {
-  call: (order: CallOrder, target: CallTarget) => Promise<Call>;
+  call: (spec: CallSpec, target: CallTarget) => Promise<Call>;
   close: () => void;
 }
 
 /** Opens the callers. */
-export function openCallers(): Callers {
+export function createCallers(): Callers {
   const agent = new Agent({ keepAlive: true, maxSockets: 64 });
   return {
-    call: (order, target) => send(agent, order, target),
+    call: (spec, target) => send(agent, spec, target),
     close: () => agent.destroy(),
   };
 }
 
-function send(agent: Agent, order: CallOrder, target: CallTarget): Promise<Call> {
-  const { requestId, kind, box, key, path, version } = order;
+function send(agent: Agent, spec: CallSpec, target: CallTarget): Promise<Call> {
+  const { requestId, kind, box, key, path, version } = spec;
   const sentAtMs = performance.now();
   const isPost = kind === CallKind.notice || kind === CallKind.draft;
   const headers = {
-    Host: CALLED_HOST,
+    Host: SERVICE_HOST,
     Authorization: `Bearer ${key}`,
     'X-Reedlug-Request-Id': requestId,
     'X-Reedlug-Deadline-Ms': String(DEADLINE_MS),
@@ -51,11 +51,11 @@
   return new Promise((resolve) => {
     let body = '';
     let status: number | undefined;
-    const end = (isWhole: boolean): void => {
+    const finish = (isWhole: boolean): void => {
       clearTimeout(timer);
       const endedAtMs = performance.now();
-      const seen = { status, body, isWhole, version };
-      resolve({ requestId, kind, box, key, sentAtMs, endedAtMs, ...seen });
+      const outcome = { status, body, isWhole, version };
+      resolve({ requestId, kind, box, key, sentAtMs, endedAtMs, ...outcome });
     };
     const outgoing = request({
       ...target,
@@ -65,15 +65,15 @@
       headers,
     });
     const timer = setTimeout(() => outgoing.destroy(), DEADLINE_MS + 500);
-    outgoing.on('response', (answer) => {
-      status = answer.statusCode;
-      answer.setEncoding('utf8');
-      answer.on('data', (text: string) => (body += text));
-      answer.on('error', () => undefined);
-      answer.on('close', () => end(answer.complete));
+    outgoing.on('response', (response) => {
+      status = response.statusCode;
+      response.setEncoding('utf8');
+      response.on('data', (text: string) => (body += text));
+      response.on('error', () => undefined);
+      response.on('close', () => finish(response.complete));
     });
     outgoing.on('error', () => {
-      if (status === undefined) end(false);
+      if (status === undefined) finish(false);
     });
     outgoing.end(isPost ? 'a body of some bytes' : undefined);
   });
--- a/packages/reedlug-soak/src/faultPlan.ts
+++ b/packages/reedlug-soak/src/faultPlan.ts
@@ -52,27 +52,27 @@
 }
 
 /** Mean pause between faults, in ms: most overlap another one. */
-const MEAN_PAUSE_MS = 900;
+const MEAN_FAULT_INTERVAL_MS = 900;
 /** Length of a fault, in ms: around the bounds that the promises name. */
-const SHORTEST_MS = 300;
-const LONGEST_MS = 4000;
+const MIN_FAULT_MS = 300;
+const MAX_FAULT_MS = 4000;
 /** Quiet time at the end of a run, in ms, in which what is open ends. */
-const QUIET_END_MS = 3000;
+const FAULT_FREE_END_MS = 3000;
 
 /** Share of the runs with a caller under whose request servers end, and how often it comes, in ms. */
-const CRASHING_SHARE = 0.5;
-const SHORTEST_RETURN_MS = 200;
-const LONGEST_RETURN_MS = 1500;
+const CRASHING_CALLER_PROBABILITY = 0.5;
+const MIN_CRASHING_INTERVAL_MS = 200;
+const MAX_CRASHING_INTERVAL_MS = 1500;
 
 /** Share of the runs in which servers name limits, how many do at most, and the limits, in requests a second. */
-const LIMITING_SHARE = 0.6;
-const MOST_LIMITING = 3;
+const SERVER_LIMIT_PROBABILITY = 0.6;
+const MAX_LIMITED_SERVERS = 3;
 const SERVER_LIMITS: readonly number[] = [0, 0.4, 1, 1.2, 3];
 
 /** Share of the runs in which servers leave or rest by their answers alone, how many do, and the rests. */
-const STATING_SHARE = 0.7;
-const MOST_STATING = 4;
-const REST_SECONDS: readonly string[] = [
+const STATEMENT_PROBABILITY = 0.7;
+const MAX_STATEMENT_FAULTS = 4;
+const PAUSE_SECONDS: readonly string[] = [
   '0.2',
   '1',
   '3',
@@ -85,12 +85,12 @@
 ];
 
 /** Share of the runs in which the store comes back from copies, how often at most, and how old those are, in ms. */
-const COPYING_SHARE = 0.7;
-const MOST_COPIES = 3;
-const YOUNGEST_COPY_MS = 500;
-const OLDEST_COPY_MS = 10_000;
+const RESTORE_PROBABILITY = 0.7;
+const MAX_RESTORES = 3;
+const MIN_BACKUP_AGE_MS = 500;
+const MAX_BACKUP_AGE_MS = 10_000;
 
-const SKIPPED_DRAWS = 32;
+const SKIPPED_RANDOM_VALUES = 32;
 
 /** Draws the faults of a run. */
 export function planFaults(params: {
@@ -102,31 +102,34 @@
   const { seed, lengthMs, boxes, servers } = params;
   const random = createRandom(seed);
   // The first draws of neighbouring seeds are alike.
-  for (let draw = 0; draw < SKIPPED_DRAWS; draw += 1) random.unit();
+  for (let index = 0; index < SKIPPED_RANDOM_VALUES; index += 1) random.unit();
   const planned: PlannedFault[] = [];
-  let atMs = random.exponential(MEAN_PAUSE_MS);
-  while (atMs < lengthMs - QUIET_END_MS) {
+  let atMs = random.exponential(MEAN_FAULT_INTERVAL_MS);
+  while (atMs < lengthMs - FAULT_FREE_END_MS) {
     const box = random.whole(0, boxes - 1);
     const server = random.whole(0, servers - 1);
-    planned.push({ atMs: Math.round(atMs), fault: drawFault(random, box, server) });
-    atMs += random.exponential(MEAN_PAUSE_MS);
+    planned.push({ atMs: Math.round(atMs), fault: generateFault(random, box, server) });
+    atMs += random.exponential(MEAN_FAULT_INTERVAL_MS);
   }
   // Drawn last, so that the other faults of a seed stay what they were.
-  if (random.chance(CRASHING_SHARE)) planned.push(drawCrashingCaller(random, lengthMs));
-  if (random.chance(LIMITING_SHARE)) planned.push(...drawLimits(random, lengthMs, servers));
-  if (random.chance(STATING_SHARE)) planned.push(...drawStating(random, lengthMs, servers));
-  if (random.chance(COPYING_SHARE)) planned.push(...drawCopies(random, lengthMs));
+  if (random.chance(CRASHING_CALLER_PROBABILITY))
+    planned.push(generateCrashingCaller(random, lengthMs));
+  if (random.chance(SERVER_LIMIT_PROBABILITY))
+    planned.push(...generateServerLimits(random, lengthMs, servers));
+  if (random.chance(STATEMENT_PROBABILITY))
+    planned.push(...generateServerStatements(random, lengthMs, servers));
+  if (random.chance(RESTORE_PROBABILITY)) planned.push(...generateStoreRestores(random, lengthMs));
   return planned;
 }
 
-function drawCrashingCaller(random: Random, lengthMs: number): PlannedFault {
-  const everyMs = random.whole(SHORTEST_RETURN_MS, LONGEST_RETURN_MS);
+function generateCrashingCaller(random: Random, lengthMs: number): PlannedFault {
+  const everyMs = random.whole(MIN_CRASHING_INTERVAL_MS, MAX_CRASHING_INTERVAL_MS);
   const atMs = Math.round((random.unit() * lengthMs) / 3);
   return { atMs, fault: { kind: 'crashingCaller', everyMs } };
 }
 
-function drawLimits(random: Random, lengthMs: number, servers: number): PlannedFault[] {
-  return Array.from({ length: random.whole(1, MOST_LIMITING) }, () => {
+function generateServerLimits(random: Random, lengthMs: number, servers: number): PlannedFault[] {
+  return Array.from({ length: random.whole(1, MAX_LIMITED_SERVERS) }, () => {
     const atMs = Math.round((random.unit() * lengthMs) / 3);
     const server = random.whole(0, servers - 1);
     const perSecond = random.pick(SERVER_LIMITS);
@@ -135,25 +138,34 @@
   });
 }
 
-function drawStating(random: Random, lengthMs: number, servers: number): PlannedFault[] {
-  return Array.from({ length: random.whole(1, MOST_STATING) }, () => {
-    const atMs = Math.round(random.unit() * (lengthMs - QUIET_END_MS));
+function generateServerStatements(
+  random: Random,
+  lengthMs: number,
+  servers: number,
+): PlannedFault[] {
+  return Array.from({ length: random.whole(1, MAX_STATEMENT_FAULTS) }, () => {
+    const atMs = Math.round(random.unit() * (lengthMs - FAULT_FREE_END_MS));
     const server = random.whole(0, servers - 1);
-    const forMs = random.whole(SHORTEST_MS, LONGEST_MS);
+    const forMs = random.whole(MIN_FAULT_MS, MAX_FAULT_MS);
     const fault: Fault = random.chance(0.5)
-      ? { kind: 'serverSaysLeaving', server, forMs: forMs + LONGEST_MS, backAfterMs: SHORTEST_MS }
-      : { kind: 'serverRests', server, restSeconds: random.pick(REST_SECONDS), forMs };
+      ? {
+          kind: 'serverSaysLeaving',
+          server,
+          forMs: forMs + MAX_FAULT_MS,
+          backAfterMs: MIN_FAULT_MS,
+        }
+      : { kind: 'serverRests', server, restSeconds: random.pick(PAUSE_SECONDS), forMs };
     return { atMs, fault };
   });
 }
 
-function drawCopies(random: Random, lengthMs: number): PlannedFault[] {
-  return Array.from({ length: random.whole(1, MOST_COPIES) }, () => {
-    const atMs = Math.round(random.unit() * (lengthMs - 2 * QUIET_END_MS));
+function generateStoreRestores(random: Random, lengthMs: number): PlannedFault[] {
+  return Array.from({ length: random.whole(1, MAX_RESTORES) }, () => {
+    const atMs = Math.round(random.unit() * (lengthMs - 2 * FAULT_FREE_END_MS));
     const fault: Fault = {
       kind: 'storeCopy',
-      ageMs: random.whole(YOUNGEST_COPY_MS, OLDEST_COPY_MS),
-      forMs: random.chance(0.3) ? random.whole(0, LONGEST_MS) : random.whole(0, SHORTEST_MS * 3),
+      ageMs: random.whole(MIN_BACKUP_AGE_MS, MAX_BACKUP_AGE_MS),
+      forMs: random.chance(0.3) ? random.whole(0, MAX_FAULT_MS) : random.whole(0, MIN_FAULT_MS * 3),
       againWithinMs: random.pick([0, 200, 1200]),
       otherWrites: random.pick([0, 3, 30, 500]),
     };
@@ -161,15 +173,15 @@
   });
 }
 
-function drawFault(random: Random, box: number, server: number): Fault {
-  const forMs = random.whole(SHORTEST_MS, LONGEST_MS);
+function generateFault(random: Random, box: number, server: number): Fault {
+  const forMs = random.whole(MIN_FAULT_MS, MAX_FAULT_MS);
   const how = random.pick(Object.values(LinkFault));
   const kinds: readonly (() => Fault)[] = [
     () => ({ kind: 'pauseBox', box, forMs }),
     () => ({ kind: 'stopBox', box, backAfterMs: forMs }),
     () => ({ kind: 'stopBox', box, backAfterMs: forMs }),
     () => ({ kind: 'killBox', box, backAfterMs: forMs }),
-    () => ({ kind: 'killAllBoxes', backAfterMs: SHORTEST_MS }),
+    () => ({ kind: 'killAllBoxes', backAfterMs: MIN_FAULT_MS }),
     () => ({ kind: 'storeLink', box, how, forMs }),
     () => ({ kind: 'storeLink', box, how, forMs }),
     () => ({ kind: 'serverLink', server, how, forMs }),
--- a/packages/reedlug-soak/src/faultProxy.ts
+++ b/packages/reedlug-soak/src/faultProxy.ts
@@ -3,13 +3,13 @@
 import { LinkFault } from './faultPlan.js';
 
 /** Delay of each chunk on a slow link, in ms: fifty times the usual answer of the store. */
-const SLOW_MS = 200;
+const SLOW_LINK_DELAY_MS = 200;
 
 /** A link and its fault. */
 export interface FaultProxy {
   port: number;
   /** Sets the fault, or heals the link. */
-  set: (fault: LinkFault | undefined) => void;
+  setFault: (fault: LinkFault | undefined) => void;
   close: () => void;
 }
 
@@ -21,83 +21,93 @@
 }): Promise<FaultProxy> {
   let fault: LinkFault | undefined;
   const pairs = new Set<readonly [Socket, Socket]>();
-  const server = createServer((near) => {
-    if (fault === LinkFault.reset) return void near.resetAndDestroy();
-    const far = connect(params.target());
-    const pair = [near, far] as const;
+  const server = createServer((client) => {
+    if (fault === LinkFault.reset) return void client.resetAndDestroy();
+    const upstream = connect(params.target());
+    const pair = [client, upstream] as const;
     pairs.add(pair);
-    forward({ from: near, to: far, isHeld: () => fault === LinkFault.silent, fault: () => fault });
-    forward({ from: far, to: near, isHeld: () => holdsAnswers(fault), fault: () => fault });
-    const end = (): void => {
+    forward({
+      from: client,
+      to: upstream,
+      dropsBytes: () => fault === LinkFault.silent,
+      fault: () => fault,
+    });
+    forward({
+      from: upstream,
+      to: client,
+      dropsBytes: () => dropsResponses(fault),
+      fault: () => fault,
+    });
+    const destroyPair = (): void => {
       pairs.delete(pair);
-      near.destroy();
-      far.destroy();
+      client.destroy();
+      upstream.destroy();
     };
-    near.on('error', end);
-    far.on('error', end);
-    near.on('close', end);
+    client.on('error', destroyPair);
+    upstream.on('error', destroyPair);
+    client.on('close', destroyPair);
     // An end in good order goes through `forward`, after what still waits; the pair stays for that.
   });
   await listen(server, params.host, params.port);
   return {
     port: params.port,
-    set(next) {
-      const before = fault;
+    setFault(next) {
+      const previous = fault;
       fault = next;
-      const resets =
-        next === LinkFault.reset || before === LinkFault.silent || holdsAnswers(before);
+      const mustReset =
+        next === LinkFault.reset || previous === LinkFault.silent || dropsResponses(previous);
       // What a cut has held up is lost: bytes are never put together from before and after it.
-      if (!resets) return;
-      for (const [near, far] of pairs) {
-        near.resetAndDestroy();
-        far.resetAndDestroy();
+      if (!mustReset) return;
+      for (const [client, upstream] of pairs) {
+        client.resetAndDestroy();
+        upstream.resetAndDestroy();
       }
       pairs.clear();
     },
     close() {
-      for (const [near, far] of pairs) {
-        near.destroy();
-        far.destroy();
+      for (const [client, upstream] of pairs) {
+        client.destroy();
+        upstream.destroy();
       }
       server.close();
     },
   };
 }
 
-function holdsAnswers(fault: LinkFault | undefined): boolean {
+function dropsResponses(fault: LinkFault | undefined): boolean {
   return fault === LinkFault.silent || fault === LinkFault.oneWay;
 }
 
 function forward(params: {
   from: Socket;
   to: Socket;
-  isHeld: () => boolean;
+  dropsBytes: () => boolean;
   fault: () => LinkFault | undefined;
 }): void {
-  const { from, to, isHeld, fault } = params;
-  const waiting: { act: () => void; dueMs: number }[] = [];
+  const { from, to, dropsBytes, fault } = params;
+  const queue: { act: () => void; dueAtMs: number }[] = [];
   // One timer for the first in line: a later chunk never overtakes it, also when the link heals.
-  const actInTurn = (): void => {
-    for (let first = waiting[0]; first !== undefined; first = waiting[0]) {
-      const waitMs = first.dueMs - performance.now();
-      if (waitMs > 0) return void setTimeout(actInTurn, waitMs);
-      waiting.shift();
-      first.act();
+  const runDueActions = (): void => {
+    for (let head = queue[0]; head !== undefined; head = queue[0]) {
+      const waitMs = head.dueAtMs - performance.now();
+      if (waitMs > 0) return void setTimeout(runDueActions, waitMs);
+      queue.shift();
+      head.act();
     }
   };
-  const later = (act: () => void): void => {
-    const delayMs = fault() === LinkFault.slow ? SLOW_MS : 0;
-    waiting.push({ act, dueMs: performance.now() + delayMs });
-    if (waiting.length === 1) actInTurn();
+  const enqueue = (act: () => void): void => {
+    const delayMs = fault() === LinkFault.slow ? SLOW_LINK_DELAY_MS : 0;
+    queue.push({ act, dueAtMs: performance.now() + delayMs });
+    if (queue.length === 1) runDueActions();
   };
   from.on('data', (chunk: Buffer) => {
-    if (isHeld()) return;
-    later(() => {
+    if (dropsBytes()) return;
+    enqueue(() => {
       if (!to.destroyed) to.write(chunk);
     });
   });
   from.on('end', () => {
-    if (!isHeld()) later(() => void (to.destroyed || to.end()));
+    if (!dropsBytes()) enqueue(() => void (to.destroyed || to.end()));
   });
 }
 
--- a/packages/reedlug-soak/src/injectFault.ts
+++ b/packages/reedlug-soak/src/injectFault.ts
@@ -4,19 +4,25 @@
 import { enterOddServer, removeServerEntry } from 'reedlug-platform/standins';
 import type { Fault } from './faultPlan.js';
 import type { SoakRecord, Span } from './soakRecord.js';
-import { configure, enter, revive, type SoakServer, type SoakWorld } from './soakWorld.js';
+import {
+  configure,
+  registerServer,
+  startNextIncarnation,
+  type SoakServer,
+  type SoakWorld,
+} from './soakWorld.js';
 
 /** How long a crashed server's entry stays, in ms: three heartbeats of the users' servers. */
-const ENTRY_STAYS_MS = 1200;
+const ENTRY_LIFETIME_MS = 1200;
 /** How long a leaving server still serves, in ms: the users' bound and a little more. */
-const LEAVES_AFTER_MS = 2600;
+const DRAIN_TIME_MS = 2600;
 
 /** How long a server runs a request under which it ends, and how long it is away, in ms. */
 const CRASH_AFTER_MS = 60;
-const CRASHED_FOR_MS = 2500;
+const CRASH_DOWNTIME_MS = 2500;
 
 /** Entries of the registry by other writers: none names a server. */
-const ODD_ENTRIES: readonly unknown[] = [
+const INVALID_ENTRIES: readonly unknown[] = [
   null,
   [],
   'records',
@@ -47,7 +53,7 @@
 ): Promise<void> {
   switch (fault.kind) {
     case 'pauseBox':
-      return interrupting(record, [fault.box], async () => {
+      return withInterruption(record, [fault.box], async () => {
         world.boxes[fault.box]?.process.signal('SIGSTOP');
         await delay(fault.forMs);
         world.boxes[fault.box]?.process.signal('SIGCONT');
@@ -55,92 +61,94 @@
     case 'stopBox':
       return stopBox(world, record, fault);
     case 'killBox':
-      return interrupting(record, [fault.box], () =>
+      return withInterruption(record, [fault.box], () =>
         killBoxes(world, [fault.box], fault.backAfterMs),
       );
     case 'killAllBoxes': {
       const all = [...world.boxes.keys()];
-      return interrupting(record, all, () => killBoxes(world, all, fault.backAfterMs));
+      return withInterruption(record, all, () => killBoxes(world, all, fault.backAfterMs));
     }
     case 'storeLink':
-      return troubling(record, [fault.box], async () => {
-        world.boxes[fault.box]?.storeLink.set(fault.how);
+      return withBoxFault(record, [fault.box], async () => {
+        world.boxes[fault.box]?.storeLink.setFault(fault.how);
         await delay(fault.forMs);
-        world.boxes[fault.box]?.storeLink.set(undefined);
+        world.boxes[fault.box]?.storeLink.setFault(undefined);
       });
     case 'serverLink':
-      return troublingServers(record, async () => {
-        const span = openSpan();
+      return withServerFault(record, async () => {
+        const span = startSpan();
         record.linkTroubles.push(span);
-        world.servers[fault.server]?.proxy.set(fault.how);
+        world.servers[fault.server]?.proxy.setFault(fault.how);
         await delay(fault.forMs);
-        world.servers[fault.server]?.proxy.set(undefined);
+        world.servers[fault.server]?.proxy.setFault(undefined);
         span.toMs = performance.now();
       });
     case 'storeAway':
-      return troubling(record, [...world.boxes.keys()], async () => {
+      return withBoxFault(record, [...world.boxes.keys()], async () => {
         world.store.isAway = true;
         await delay(fault.forMs);
         world.store.isAway = false;
       });
     case 'storeCopy':
-      return troubling(record, [...world.boxes.keys()], () => copyStore(world, record, fault));
+      return withBoxFault(record, [...world.boxes.keys()], () =>
+        restoreStore(world, record, fault),
+      );
     case 'storeSlow':
-      return troubling(record, [...world.boxes.keys()], async () => {
+      return withBoxFault(record, [...world.boxes.keys()], async () => {
         world.store.delayMs = fault.delayMs;
         await delay(fault.forMs);
         world.store.delayMs = 0;
       });
     case 'storeLosesAnswers':
-      return troubling(record, [...world.boxes.keys()], async () => {
+      return withBoxFault(record, [...world.boxes.keys()], async () => {
         const random = createRandom(LOST_ANSWERS_SEED);
         world.store.losesAnswer = () => random.chance(fault.share);
         await delay(fault.forMs);
         world.store.losesAnswer = () => false;
       });
     case 'oddEntry':
-      return enterOdd(world, fault.odd);
+      return registerInvalidEntry(world, fault.odd);
     case 'serverRestarts':
-      return troublingServers(record, () => restartServer(world, record, fault));
+      return withServerFault(record, () => restartServer(world, record, fault));
     case 'serverCrash':
     case 'serverLeaves':
-      return troublingServers(record, () => replaceServer(world, record, fault));
+      return withServerFault(record, () => replaceServer(world, record, fault));
     case 'serverFails':
-      return troublingServers(record, async () => {
+      return withServerFault(record, async () => {
         const server = world.servers[fault.server];
         if (server === undefined) return;
-        server.failing = fault.how;
+        server.failureMode = fault.how;
         await delay(fault.forMs);
-        server.failing = undefined;
+        server.failureMode = undefined;
       });
     case 'serverLimits':
-      return limitServer(world, fault);
+      return announceServerLimit(world, fault);
     case 'serverSaysLeaving':
-      return troublingServers(record, () => leaveUnlisted(world, record, fault));
+      return withServerFault(record, () => drainByStatement(world, record, fault));
     case 'serverRests':
-      return troublingServers(record, () => restServer(world, fault));
+      return withServerFault(record, () => requestPause(world, fault));
     case 'crashingCaller':
-      world.crashingEveryMs = fault.everyMs;
+      world.crashingIntervalMs = fault.everyMs;
       return;
     case 'configure':
-      return enterNextVersion(world, record);
+      return publishNextConfiguration(world, record);
     case 'revokeKey': {
       const [oldest, ...others] = [...world.keys, `key-${world.version + 1}`];
       world.keys = others;
-      enterNextVersion(world, record);
+      publishNextConfiguration(world, record);
       if (oldest !== undefined) record.revokedAtMs.set(oldest, performance.now());
       return;
     }
   }
 }
 
-function enterNextVersion(world: SoakWorld, record: SoakRecord): void {
+function publishNextConfiguration(world: SoakWorld, record: SoakRecord): void {
   configure(world);
   record.configuredAtMs.set(world.version, performance.now());
 }
 
 /** The store comes back from a copy; what the operator and the servers wrote since is written again. */
-async function copyStore(
+async function restoreStore(
   world: SoakWorld,
   record: SoakRecord,
   fault: Extract<Fault, { kind: 'storeCopy' }>,
@@ -148,10 +156,10 @@
   const { store } = world;
   store.goAway();
   await delay(fault.forMs);
-  const lost = store.comeBackFromCopy(fault.ageMs);
+  const lostWrites = store.comeBackFromCopy(fault.ageMs);
   const random = createRandom(fault.ageMs);
-  const writes = lost.map(async ({ table, isRemoval, again }) => {
-    const afterMs = isRemoval ? ENTRY_STAYS_MS : random.unit() * fault.againWithinMs;
+  const writes = lostWrites.map(async ({ table, isRemoval, again }) => {
+    const afterMs = isRemoval ? ENTRY_LIFETIME_MS : random.unit() * fault.againWithinMs;
     if (afterMs > 0) await delay(afterMs);
     again();
     // The acknowledgement that counts is the one that the store has not lost.
@@ -162,41 +170,41 @@
 }
 
 /** Notes boxes as troubled from now until the fault is over. */
-async function troubling(
+async function withBoxFault(
   record: SoakRecord,
   boxes: readonly number[],
-  act: () => Promise<void>,
+  inject: () => Promise<void>,
 ): Promise<void> {
-  const span = openSpan();
-  noteSpan(record.troubles, boxes, span);
-  await act();
+  const span = startSpan();
+  addSpan(record.troubles, boxes, span);
+  await inject();
   span.toMs = performance.now();
 }
 
 /** The same where the processes of the boxes stand still or end. */
-async function interrupting(
+async function withInterruption(
   record: SoakRecord,
   boxes: readonly number[],
-  act: () => Promise<void>,
+  inject: () => Promise<void>,
 ): Promise<void> {
-  const span = openSpan();
-  noteSpan(record.interruptions, boxes, span);
-  await troubling(record, boxes, act);
+  const span = startSpan();
+  addSpan(record.interruptions, boxes, span);
+  await withBoxFault(record, boxes, inject);
   span.toMs = performance.now();
 }
 
-function noteSpan(spans: Map<number, Span[]>, boxes: readonly number[], span: Span): void {
+function addSpan(spans: Map<number, Span[]>, boxes: readonly number[], span: Span): void {
   for (const box of boxes) spans.set(box, [...(spans.get(box) ?? []), span]);
 }
 
-async function troublingServers(record: SoakRecord, act: () => Promise<void>): Promise<void> {
-  const span = openSpan();
+async function withServerFault(record: SoakRecord, inject: () => Promise<void>): Promise<void> {
+  const span = startSpan();
   record.serverTroubles.push(span);
-  await act();
+  await inject();
   span.toMs = performance.now();
 }
 
-function openSpan(): Span {
+function startSpan(): Span {
   return { fromMs: performance.now(), toMs: Number.POSITIVE_INFINITY };
 }
 
@@ -207,9 +215,9 @@
 ): Promise<void> {
   const box = world.boxes[fault.box];
   if (box === undefined || !box.process.isRunning()) return;
-  const span = openSpan();
+  const span = startSpan();
   for (const spans of [record.troubles, record.stops, record.interruptions]) {
-    noteSpan(spans, [fault.box], span);
+    addSpan(spans, [fault.box], span);
   }
   box.process.signal('SIGTERM');
   await box.process.ended();
@@ -220,10 +228,12 @@
 
 async function killBoxes(
   world: SoakWorld,
-  numbers: readonly number[],
+  boxIndexes: readonly number[],
   backAfterMs: number,
 ): Promise<void> {
-  const killed = numbers.map((number) => world.boxes[number]).filter((box) => box !== undefined);
+  const killed = boxIndexes
+    .map((boxIndex) => world.boxes[boxIndex])
+    .filter((box) => box !== undefined);
   for (const { process } of killed) process.signal('SIGKILL');
   await Promise.all(killed.map(({ process }) => process.ended()));
   await delay(backAfterMs);
@@ -231,7 +241,7 @@
 }
 
 /** A server ends under the request that it runs, and starts again under its id. */
-export async function endUnderRequest(
+export async function crashUnderRequest(
   world: SoakWorld,
   record: SoakRecord,
   server: SoakServer,
@@ -240,14 +250,14 @@
   await delay(CRASH_AFTER_MS);
   if (server.standin !== standin || standin.isClosed()) return;
   record.crashesAtMs.push(performance.now());
-  const fault = { kind: 'serverRestarts' as const, backAfterMs: CRASHED_FOR_MS };
-  await troublingServers(record, () =>
+  const fault = { kind: 'serverRestarts' as const, backAfterMs: CRASH_DOWNTIME_MS };
+  await withServerFault(record, () =>
     restartServer(world, record, { ...fault, server: world.servers.indexOf(server) }),
   );
 }
 
 /** A server names a limit, for as long as this life of it lasts. */
-async function limitServer(
+async function announceServerLimit(
   world: SoakWorld,
   { server, perSecond, forMs }: Extract<Fault, { kind: 'serverLimits' }>,
 ): Promise<void> {
@@ -259,7 +269,7 @@
 }
 
 /** A server says that it leaves, serves on, and begins another life under its id. */
-async function leaveUnlisted(
+async function drainByStatement(
   world: SoakWorld,
   record: SoakRecord,
   fault: Extract<Fault, { kind: 'serverSaysLeaving' }>,
@@ -274,18 +284,18 @@
 }
 
 /** A server refuses everything for a while and asks for rest, for as long as this life of it lasts. */
-async function restServer(
+async function requestPause(
   world: SoakWorld,
   { server, restSeconds, forMs }: Extract<Fault, { kind: 'serverRests' }>,
 ): Promise<void> {
-  const resting = world.servers[server];
-  if (resting === undefined) return;
-  const { standin } = resting;
+  const pausedServer = world.servers[server];
+  if (pausedServer === undefined) return;
+  const { standin } = pausedServer;
   standin.restSeconds = restSeconds;
-  resting.failing = 'refuse';
+  pausedServer.failureMode = 'refuse';
   await delay(forMs);
   standin.restSeconds = undefined;
-  resting.failing = undefined;
+  pausedServer.failureMode = undefined;
 }
 
 /** Ends a server without a word; its next life has its id and its entry. */
@@ -301,13 +311,13 @@
   await delay(fault.backAfterMs);
   // Another fault may have ended this life meanwhile.
   if (server.standin === standin && !record.leftAtMs.has(standin.id)) {
-    await revive(world, server, true);
+    await startNextIncarnation(world, server, true);
   }
 }
 
-function enterOdd(world: SoakWorld, odd: number): void {
-  const value = ODD_ENTRIES[odd % ODD_ENTRIES.length];
-  enterOddServer(world.store, `odd-${odd}`, value);
+function registerInvalidEntry(world: SoakWorld, entryIndex: number): void {
+  const value = INVALID_ENTRIES[entryIndex % INVALID_ENTRIES.length];
+  enterOddServer(world.store, `odd-${entryIndex}`, value);
 }
 
 /** Ends a server, with notice or without, and starts its next life after a while. */
@@ -322,18 +332,18 @@
   switch (fault.kind) {
     case 'serverCrash':
       standin.close();
-      record.leftAtMs.set(standin.id, performance.now() + ENTRY_STAYS_MS);
-      await delay(ENTRY_STAYS_MS);
+      record.leftAtMs.set(standin.id, performance.now() + ENTRY_LIFETIME_MS);
+      await delay(ENTRY_LIFETIME_MS);
       break;
     case 'serverLeaves':
       standin.saysLeaving = true;
-      enter(world, server, true);
+      registerServer(world, server, true);
       record.leftAtMs.set(standin.id, performance.now());
-      await delay(LEAVES_AFTER_MS);
+      await delay(DRAIN_TIME_MS);
       standin.close();
       break;
   }
   removeServerEntry(world.store, standin.id);
   await delay(fault.backAfterMs);
-  await revive(world, server, false);
+  await startNextIncarnation(world, server, false);
 }
--- a/packages/reedlug-soak/src/runSoak.ts
+++ b/packages/reedlug-soak/src/runSoak.ts
@@ -2,10 +2,10 @@
 import { rm } from 'node:fs/promises';
 import { setTimeout as delay } from 'node:timers/promises';
 import { createRandom } from 'reedlug-standins';
-import { openCallers, type CallOrder, type Callers } from './callers.js';
+import { createCallers, type CallSpec, type Callers } from './callers.js';
 import { planFaults, type Fault } from './faultPlan.js';
-import { endUnderRequest, injectFault } from './injectFault.js';
-import { findViolations, type Violation } from './promises.js';
+import { crashUnderRequest, injectFault } from './injectFault.js';
+import { findViolations, type Violation } from './guarantees.js';
 import { CallKind, createSoakRecord, type SoakRecord } from './soakRecord.js';
 import {
   BOX_BOUNDS,
@@ -13,7 +13,7 @@
   CRASHING_PATH,
   DRAFT_EVENTS,
   FIRST_KEY,
-  LIMITED,
+  LIMITED_WORKSPACE,
   probePath,
   tearDown,
   type SoakWorld,
@@ -45,13 +45,13 @@
 }
 
 /** Longest wait for the first boxes to be ready, in ms: a loaded machine starts a dozen processes slowly. */
-const START_WAIT_MS = 20_000;
+const START_TIMEOUT_MS = 20_000;
 /** Pause between questions whether a box is ready, in ms: a tick of the box. */
-const READINESS_PAUSE_MS = 50;
+const READINESS_POLL_INTERVAL_MS = 50;
 /** Time after which a box counts as in touch again, in ms: the users' figure. */
-const CONTACT_MS = 3000;
+const RECOVERY_MS = 3000;
 /** Pause between looks whether the crashing caller has come, in ms. */
-const CRASHING_LOOK_MS = 100;
+const CRASHING_POLL_INTERVAL_MS = 100;
 /** Share of kinds among the calls. */
 const KIND_SHARES: readonly (readonly [CallKind, number])[] = [
   [CallKind.lookup, 0.35],
@@ -65,52 +65,52 @@
   const { seed, lengthMs, boxes, serversPerService, folder } = options;
   const world = await buildWorld({ boxes, serversPerService, folder });
   const record = createSoakRecord(DRAFT_EVENTS);
-  const planned =
+  const plannedFaults =
     options.faults ?? planFaults({ seed, lengthMs, boxes, servers: world.servers.length });
-  const callers = openCallers();
-  const ends: Promise<void>[] = [];
-  world.onCrashingRun = (server) => ends.push(endUnderRequest(world, record, server));
+  const callers = createCallers();
+  const crashes: Promise<void>[] = [];
+  world.onCrashingRequest = (server) => crashes.push(crashUnderRequest(world, record, server));
   try {
     for (const { process } of world.boxes) process.start();
     await waitForBoxes(world);
     const startMs = performance.now();
-    const faults = planned.map(async ({ atMs, fault }) => {
+    const injections = plannedFaults.map(async ({ atMs, fault }) => {
       await delay(atMs);
       await injectFault(world, record, fault);
     });
     const load = { options, world, record, callers, endMs: startMs + lengthMs };
-    await Promise.all([sendLoad(load), sendCrashing(load)]);
-    await Promise.all(faults);
-    await Promise.all(ends);
+    await Promise.all([sendRequests(load), sendCrashingRequests(load)]);
+    await Promise.all(injections);
+    await Promise.all(crashes);
   } finally {
     callers.close();
     await tearDown(world);
   }
-  collectRuns(world, record);
+  collectArrivals(world, record);
   const violations = findViolations(record, {
     ...BOX_BOUNDS,
-    contactMs: CONTACT_MS,
-    limited: limitedBound(),
+    recoveryMs: RECOVERY_MS,
+    limited: workspaceLimitBound(),
   });
   if (violations.length === 0) await rm(folder, { recursive: true, force: true });
   return {
     seed,
     violations,
     calls: record.calls.length,
-    limitedServed: servedUnder(record, LIMITED.key),
+    limitedServed: countServed(record, LIMITED_WORKSPACE.key),
     statuses: countBy(record.calls.map(({ status }) => String(status ?? 'none'))),
-    faults: countBy(planned.map(({ fault }) => fault.kind)),
+    faults: countBy(plannedFaults.map(({ fault }) => fault.kind)),
   };
 }
 
 async function waitForBoxes(world: SoakWorld): Promise<void> {
-  const endMs = performance.now() + START_WAIT_MS;
+  const endMs = performance.now() + START_TIMEOUT_MS;
   for (const { readiness } of world.boxes) {
     while (!(await isReady(readiness))) {
       if (performance.now() > endMs) {
-        throw new Error(`the box at ${readiness.host} is not ready after ${START_WAIT_MS} ms`);
+        throw new Error(`the box at ${readiness.host} is not ready after ${START_TIMEOUT_MS} ms`);
       }
-      await delay(READINESS_PAUSE_MS);
+      await delay(READINESS_POLL_INTERVAL_MS);
     }
   }
 }
@@ -124,7 +124,7 @@
   }
 }
 
-interface Load {
+interface LoadContext {
   options: SoakOptions;
   world: SoakWorld;
   record: SoakRecord;
@@ -133,71 +133,77 @@
 }
 
 /** Sends the same request under other ids to any box, once its caller has come. */
-async function sendCrashing({ options, world, record, callers, endMs }: Load): Promise<void> {
+async function sendCrashingRequests({
+  options,
+  world,
+  record,
+  callers,
+  endMs,
+}: LoadContext): Promise<void> {
   const random = createRandom(options.seed + 2);
-  const open: Promise<void>[] = [];
+  const pendingCalls: Promise<void>[] = [];
   for (let number = 0; performance.now() < endMs; number += 1) {
-    await delay(world.crashingEveryMs ?? CRASHING_LOOK_MS);
+    await delay(world.crashingIntervalMs ?? CRASHING_POLL_INTERVAL_MS);
     const box = random.whole(0, world.boxes.length - 1);
     const target = world.boxes[box]?.target;
-    if (target === undefined || world.crashingEveryMs === undefined) continue;
+    if (target === undefined || world.crashingIntervalMs === undefined) continue;
     const requestId = `c${options.seed}-${number}`;
     const key = world.keys.at(-1) ?? '';
-    const order = { requestId, kind: CallKind.crashing, box, key, path: CRASHING_PATH };
-    open.push(callers.call(order, target).then((call) => void record.calls.push(call)));
+    const spec = { requestId, kind: CallKind.crashing, box, key, path: CRASHING_PATH };
+    pendingCalls.push(callers.call(spec, target).then((call) => void record.calls.push(call)));
   }
-  await Promise.all(open);
+  await Promise.all(pendingCalls);
 }
 
-async function sendLoad(load: Load): Promise<void> {
-  const { options, world, record, callers, endMs } = load;
+async function sendRequests(context: LoadContext): Promise<void> {
+  const { options, world, record, callers, endMs } = context;
   const random = createRandom(options.seed + 1);
-  const open: Promise<void>[] = [];
+  const pendingCalls: Promise<void>[] = [];
   for (let number = 0; performance.now() < endMs; number += 1) {
     await delay(random.exponential(1000 / options.callsPerSecond));
     const box = random.whole(0, world.boxes.length - 1);
     const target = world.boxes[box]?.target;
     if (target === undefined) continue;
-    const order = orderOf({ world, box, number, seed: options.seed, point: random.unit() });
-    open.push(callers.call(order, target).then((call) => void record.calls.push(call)));
+    const spec = buildCallSpec({ world, box, number, seed: options.seed, fraction: random.unit() });
+    pendingCalls.push(callers.call(spec, target).then((call) => void record.calls.push(call)));
   }
-  await Promise.all(open);
+  await Promise.all(pendingCalls);
 }
 
-function orderOf(params: {
+function buildCallSpec(params: {
   world: SoakWorld;
   box: number;
   number: number;
   seed: number;
-  point: number;
-}): CallOrder {
-  const { world, box, number, seed, point } = params;
+  fraction: number;
+}): CallSpec {
+  const { world, box, number, seed, fraction } = params;
   const requestId = `s${seed}-${number}`;
-  const kind = pickKind(point);
+  const kind = pickKind(fraction);
   const key = world.keys.at(-1) ?? '';
   // An old key now and then shows whether it is still served.
-  const usedKey = number % 7 === 0 ? FIRST_KEY : key;
+  const keyInUse = number % 7 === 0 ? FIRST_KEY : key;
   if (kind === CallKind.lookup && number % 2 === 0) {
-    return { requestId, kind, box, key: LIMITED.key, path: `/${kind}/${number}` };
+    return { requestId, kind, box, key: LIMITED_WORKSPACE.key, path: `/${kind}/${number}` };
   }
   if (kind !== CallKind.probe) {
-    return { requestId, kind, box, key: usedKey, path: `/${kind}/${number}` };
+    return { requestId, kind, box, key: keyInUse, path: `/${kind}/${number}` };
   }
   const { version } = world;
   return { requestId, kind, box, key, path: probePath(version), version };
 }
 
-function pickKind(point: number): CallKind {
-  let left = point;
+function pickKind(fraction: number): CallKind {
+  let remaining = fraction;
   for (const [kind, share] of KIND_SHARES) {
-    left -= share;
-    if (left < 0) return kind;
+    remaining -= share;
+    if (remaining < 0) return kind;
   }
   return CallKind.lookup;
 }
 
-function limitedBound(): { key: string; windowMs: number; runs: number } {
-  const { key, ratePerSecond, burst } = LIMITED;
+function workspaceLimitBound(): { key: string; windowMs: number; runs: number } {
+  const { key, ratePerSecond, burst } = LIMITED_WORKSPACE;
   const { limitWindowSeconds } = BOX_BOUNDS;
   return {
     key,
@@ -206,8 +212,8 @@
   };
 }
 
-function collectRuns(world: SoakWorld, record: SoakRecord): void {
-  for (const [life, standin] of world.everyStandin.entries()) {
+function collectArrivals(world: SoakWorld, record: SoakRecord): void {
+  for (const [life, standin] of world.allStandins.entries()) {
     for (const arrival of standin.arrivals) {
       record.runs.push({ ...arrival, server: standin.id, life });
     }
@@ -215,8 +221,8 @@
   record.reports.push(...world.cloud.reports);
 }
 
-function servedUnder(record: SoakRecord, usedKey: string): number {
-  return record.calls.filter(({ key, status }) => key === usedKey && status === 200).length;
+function countServed(record: SoakRecord, wantedKey: string): number {
+  return record.calls.filter(({ key, status }) => key === wantedKey && status === 200).length;
 }
 
 function countBy(names: readonly string[]): Record<string, number> {
--- a/packages/reedlug-soak/src/serverStatements.ts
+++ b/packages/reedlug-soak/src/serverStatements.ts
@@ -1,43 +1,46 @@
 /** Checks what servers got after they had said in their answers that they leave, or had asked for rest. */
-import { TOLERANCE_MS, type PromiseBounds, type Violation } from './promises.js';
-import { touches, type Call, type Run, type SoakRecord } from './soakRecord.js';
+import { TOLERANCE_MS, type GuaranteeBounds, type Violation } from './guarantees.js';
+import { overlaps, type Call, type Arrival, type SoakRecord } from './soakRecord.js';
 
 /** Time after a refusal from which requests count, in ms, and how many are allowed until its rest ends: the users' figures. */
-const ASKED_MS = 500;
-const ALLOWED_IN_REST = 2;
+const PAUSE_GRACE_MS = 500;
+const MAX_REQUESTS_PER_PAUSE = 2;
 
 /** A request at a server, with its caller's side. */
-interface KnownRun extends Run {
+interface ArrivalWithCall extends Arrival {
   call: Call;
 }
 
 /** Counts requests that callers sent to a box after it had passed on that the server leaves. */
-export function checkSaidLeaving(record: SoakRecord, bounds: PromiseBounds): Violation[] {
-  return runsOfLives(record).flatMap((runs) => {
-    const toldAtMs = new Map<number, number>();
-    for (const { call, saysLeaving } of runs) {
+export function checkDrainingStatements(record: SoakRecord, bounds: GuaranteeBounds): Violation[] {
+  return arrivalsByIncarnation(record).flatMap((arrivals) => {
+    const announcedAtMs = new Map<number, number>();
+    for (const { call, saysLeaving } of arrivals) {
       if (saysLeaving !== true || call.status === undefined) continue;
-      toldAtMs.set(call.box, Math.min(toldAtMs.get(call.box) ?? Infinity, call.endedAtMs));
+      announcedAtMs.set(
+        call.box,
+        Math.min(announcedAtMs.get(call.box) ?? Infinity, call.endedAtMs),
+      );
     }
-    const late = runs.filter(({ call }) => {
-      const fromMs = toldAtMs.get(call.box) ?? Infinity;
+    const lateArrivals = arrivals.filter(({ call }) => {
+      const fromMs = announcedAtMs.get(call.box) ?? Infinity;
       const isLate = call.sentAtMs > fromMs + bounds.drainMs + TOLERANCE_MS;
       return isLate && !isInterrupted(record, call.box, fromMs, call.sentAtMs);
     });
-    if (late.length === 0) return [];
-    const detail = `${late[0]?.server}: ${late.length}, first ${late[0]?.requestId}`;
+    if (lateArrivals.length === 0) return [];
+    const detail = `${lateArrivals[0]?.server}: ${lateArrivals.length}, first ${lateArrivals[0]?.requestId}`;
     return [{ promise: 'nothing to a server that says it leaves', detail }];
   });
 }
 
 /** Counts requests of a box in the rests that servers asked it for. */
-export function checkRests(record: SoakRecord): Violation[] {
-  return runsOfLives(record).flatMap((runs) => {
-    const over = runs.flatMap((asked) => {
-      const count = countInRest(record, runs, asked);
-      return count > ALLOWED_IN_REST ? [{ asked, count }] : [];
+export function checkPauses(record: SoakRecord): Violation[] {
+  return arrivalsByIncarnation(record).flatMap((arrivals) => {
+    const exceeded = arrivals.flatMap((asked) => {
+      const count = countDuringPause(record, arrivals, asked);
+      return count > MAX_REQUESTS_PER_PAUSE ? [{ asked, count }] : [];
     });
-    const [first] = over;
+    const [first] = exceeded;
     if (first === undefined) return [];
     const { server, requestId, restSeconds = '' } = first.asked;
     const detail = `${server}: ${first.count} in ${restSeconds} s asked of ${requestId}`;
@@ -45,32 +48,43 @@
   });
 }
 
-function countInRest(record: SoakRecord, runs: readonly KnownRun[], asked: KnownRun): number {
-  const restMs = Number(asked.restSeconds ?? Number.NaN) * 1000;
-  const { box } = asked.call;
+function countDuringPause(
+  record: SoakRecord,
+  arrivals: readonly ArrivalWithCall[],
+  refusal: ArrivalWithCall,
+): number {
+  const pauseMs = Number(refusal.restSeconds ?? Number.NaN) * 1000;
+  const { box } = refusal.call;
   // The refusal may not have reached the box.
-  const isLost = touches(record.linkTroubles, asked.atMs - ASKED_MS, asked.atMs + TOLERANCE_MS);
-  if (!(restMs > 0) || isLost) return 0;
-  const fromMs = asked.atMs + ASKED_MS + TOLERANCE_MS;
-  const inRest = runs.filter(({ call, atMs }) => {
-    return call.box === box && atMs > fromMs && atMs < asked.atMs + restMs;
+  const mayBeLost = overlaps(
+    record.linkTroubles,
+    refusal.atMs - PAUSE_GRACE_MS,
+    refusal.atMs + TOLERANCE_MS,
+  );
+  if (!(pauseMs > 0) || mayBeLost) return 0;
+  const fromMs = refusal.atMs + PAUSE_GRACE_MS + TOLERANCE_MS;
+  const duringPause = arrivals.filter(({ call, atMs }) => {
+    return call.box === box && atMs > fromMs && atMs < refusal.atMs + pauseMs;
   });
-  const lastAtMs = Math.max(fromMs, ...inRest.map(({ atMs }) => atMs));
-  return isInterrupted(record, box, asked.atMs, lastAtMs) ? 0 : inRest.length;
+  const lastAtMs = Math.max(fromMs, ...duringPause.map(({ atMs }) => atMs));
+  return isInterrupted(record, box, refusal.atMs, lastAtMs) ? 0 : duringPause.length;
 }
 
 /** Requests at each life of a server, of callers that are known. */
-function runsOfLives(record: SoakRecord): KnownRun[][] {
+function arrivalsByIncarnation(record: SoakRecord): ArrivalWithCall[][] {
   const callById = new Map(record.calls.map((call) => [call.requestId, call]));
-  const byLife = new Map<number, KnownRun[]>();
-  for (const run of record.runs) {
-    const call = callById.get(run.requestId);
+  const byIncarnation = new Map<number, ArrivalWithCall[]>();
+  for (const arrival of record.runs) {
+    const call = callById.get(arrival.requestId);
     if (call !== undefined)
-      byLife.set(run.life, [...(byLife.get(run.life) ?? []), { ...run, call }]);
+      byIncarnation.set(arrival.life, [
+        ...(byIncarnation.get(arrival.life) ?? []),
+        { ...arrival, call },
+      ]);
   }
-  return [...byLife.values()];
+  return [...byIncarnation.values()];
 }
 
 function isInterrupted(record: SoakRecord, box: number, fromMs: number, toMs: number): boolean {
-  return touches(record.interruptions.get(box) ?? [], fromMs, toMs);
+  return overlaps(record.interruptions.get(box) ?? [], fromMs, toMs);
 }
--- a/packages/reedlug-soak/src/soakRecord.ts
+++ b/packages/reedlug-soak/src/soakRecord.ts
@@ -30,7 +30,7 @@
 }
 
 /** A request at a server. */
-export interface Run {
+export interface Arrival {
   requestId: string;
   server: string;
   atMs: number;
@@ -54,7 +54,7 @@
 /** Everything that the promises are checked against. */
 export interface SoakRecord {
   calls: Call[];
-  runs: Run[];
+  runs: Arrival[];
   /** Events of a whole draft. */
   draftEvents: number;
   /** When each configuration's routes became known to the store, by version. */
@@ -98,6 +98,6 @@
 }
 
 /** Whether any span touches a stretch of time. */
-export function touches(spans: readonly Span[], fromMs: number, toMs: number): boolean {
+export function overlaps(spans: readonly Span[], fromMs: number, toMs: number): boolean {
   return spans.some((span) => span.fromMs <= toMs && span.toMs >= fromMs);
 }
--- a/packages/reedlug-soak/src/soakWorld.ts
+++ b/packages/reedlug-soak/src/soakWorld.ts
@@ -14,15 +14,15 @@
 } from 'reedlug-platform/standins';
 import { findFreePorts } from 'reedlug-standins';
 import { prepareBox, type BoxProcess } from './boxProcess.js';
-import { CALLED_HOST, type CallTarget } from './callers.js';
+import { SERVICE_HOST, type CallTarget } from './callers.js';
 import { openFaultProxy, type FaultProxy } from './faultProxy.js';
-import { expectedBody } from './promises.js';
+import { expectedBody } from './guarantees.js';
 
 /** Events of a draft, and the pause between two, in ms: a stream lasts a good second, so that faults meet it. */
 export const DRAFT_EVENTS = 24;
 const EVENT_GAP_MS = 50;
 /** Work of a plain request, in ms: as the users' look-ups. */
-const PLAIN_WORK_MS = 20;
+const PLAIN_REQUEST_MS = 20;
 /** Bounds of the boxes; the users' own figures, with a shorter grace so that stops end in a run. */
 export const BOX_BOUNDS = {
   configurationMs: 2000,
@@ -37,10 +37,10 @@
   usageDueSeconds: 10,
 };
 /** A workspace whose callers ask for several times its limit, which counts requests. */
-export const LIMITED = { key: 'limited-key', ratePerSecond: 4, burst: 4 };
+export const LIMITED_WORKSPACE = { key: 'limited-key', ratePerSecond: 4, burst: 4 };
 /** Path of the request under which servers end, and when one would answer it that did not end, in ms. */
 export const CRASHING_PATH = '/lookup/crash';
-const CRASHING_ANSWER_MS = 2000;
+const CRASHING_RESPONSE_MS = 2000;
 /** The key that callers begin with; it is the first one taken away. */
 export const FIRST_KEY = 'key-0';
 
@@ -49,9 +49,9 @@
   standin: EngineStandin;
   proxy: FaultProxy;
   service: string;
-  lives: number;
+  incarnationCount: number;
   bornAtMs: number;
-  failing: 'fail' | 'lose' | 'refuse' | undefined;
+  failureMode: 'fail' | 'lose' | 'refuse' | undefined;
 }
 
 /** A box with its link to the store. */
@@ -71,11 +71,11 @@
   version: number;
   keys: string[];
   /** Pause of the caller under whose request servers end; undefined while there is none. */
-  crashingEveryMs: number | undefined;
+  crashingIntervalMs: number | undefined;
   /** Told of each server that begins to run that request. */
-  onCrashingRun: (server: SoakServer) => void;
+  onCrashingRequest: (server: SoakServer) => void;
   /** All stand-ins that ever ran, for their arrivals. */
-  everyStandin: EngineStandin[];
+  allStandins: EngineStandin[];
 }
 
 /** Starts everything but the boxes' processes. */
@@ -94,9 +94,9 @@
     boxes: [],
     version: 0,
     keys: [FIRST_KEY],
-    crashingEveryMs: undefined,
-    onCrashingRun: () => undefined,
-    everyStandin: [],
+    crashingIntervalMs: undefined,
+    onCrashingRequest: () => undefined,
+    allStandins: [],
   };
   for (const service of ['records', 'drafts']) {
     for (let index = 0; index < params.serversPerService; index += 1) {
@@ -115,9 +115,9 @@
   world.version += 1;
   enterConfiguration(world.store, {
     version: world.version,
-    host: CALLED_HOST,
+    host: SERVICE_HOST,
     keys: world.keys,
-    limited: LIMITED,
+    limited: LIMITED_WORKSPACE,
     routes: [
       { path: '/lookup/' },
       { path: '/notice/', kind: 'nonRepeatable' },
@@ -135,42 +135,42 @@
 async function startServer(world: SoakWorld, service: string): Promise<SoakServer> {
   const [port = 0] = await findFreePorts(1);
   const server: SoakServer = {
-    standin: await startLife(world, () => server, service, world.servers.length, 0),
+    standin: await startIncarnation(world, () => server, service, world.servers.length, 0),
     proxy: await openFaultProxy({
       host: '127.0.0.1',
       port,
       target: () => addressOf(server.standin),
     }),
     service,
-    lives: 1,
+    incarnationCount: 1,
     bornAtMs: Date.now(),
-    failing: undefined,
+    failureMode: undefined,
   };
-  enter(world, server, false);
+  registerServer(world, server, false);
   return server;
 }
 
-function startLife(
+function startIncarnation(
   world: SoakWorld,
-  owner: () => SoakServer,
+  getServer: () => SoakServer,
   service: string,
-  number: number,
-  life: number,
+  serverIndex: number,
+  incarnation: number,
 ): Promise<EngineStandin> {
-  const id = `${service}-${number}-${life}`;
+  const id = `${service}-${serverIndex}-${incarnation}`;
   return startEngineStandin(id, (requestId, path) => {
-    const { failing } = owner();
+    const { failureMode } = getServer();
     if (path === CRASHING_PATH) {
-      world.onCrashingRun(owner());
-      return { kind: 'answer', body: '', afterMs: CRASHING_ANSWER_MS };
+      world.onCrashingRequest(getServer());
+      return { kind: 'answer', body: '', afterMs: CRASHING_RESPONSE_MS };
     }
-    if (failing !== undefined) return { kind: failing };
+    if (failureMode !== undefined) return { kind: failureMode };
     if (service === 'drafts') {
       return { kind: 'slowStream', events: DRAFT_EVENTS, gapMs: EVENT_GAP_MS };
     }
-    return { kind: 'answer', body: expectedBody(requestId), afterMs: PLAIN_WORK_MS };
+    return { kind: 'answer', body: expectedBody(requestId), afterMs: PLAIN_REQUEST_MS };
   }).then((standin) => {
-    world.everyStandin.push(standin);
+    world.allStandins.push(standin);
     return standin;
   });
 }
@@ -181,33 +181,40 @@
 }
 
 /** Enters a server with the address of its proxy. */
-export function enter(world: SoakWorld, server: SoakServer, leaving: boolean): void {
+export function registerServer(world: SoakWorld, server: SoakServer, leaving: boolean): void {
   const { standin, service, proxy, bornAtMs } = server;
   const address = `127.0.0.1:${proxy.port}`;
   enterServer(world.store, { id: standin.id, address, service, leaving, bornAtMs });
 }
 
 /** Starts a server's next life, under a new id or under its own. */
-export async function revive(
+export async function startNextIncarnation(
   world: SoakWorld,
   server: SoakServer,
   keepsId: boolean,
 ): Promise<void> {
-  const number = world.servers.indexOf(server);
-  const life = keepsId ? server.lives - 1 : server.lives;
-  server.standin = await startLife(world, () => server, server.service, number, life);
-  server.lives = life + 1;
+  const serverIndex = world.servers.indexOf(server);
+  const incarnation = keepsId ? server.incarnationCount - 1 : server.incarnationCount;
+  server.standin = await startIncarnation(
+    world,
+    () => server,
+    server.service,
+    serverIndex,
+    incarnation,
+  );
+  server.incarnationCount = incarnation + 1;
   server.bornAtMs = Date.now();
-  enter(world, server, false);
+  registerServer(world, server, false);
 }
 
 async function prepareSoakBox(world: SoakWorld, index: number, folder: string): Promise<SoakBox> {
   // Each box has a loopback address of its own, as boxes know each other by address.
   const ip = `127.0.${1 + Math.floor(index / 200)}.${2 + (index % 200)}`;
-  const [callers = 0, readiness = 0, metrics = 0, link = 0, peers = 0] = await findFreePorts(5);
+  const [callers = 0, readiness = 0, metrics = 0, storeLinkPort = 0, peers = 0] =
+    await findFreePorts(5);
   const storeLink = await openFaultProxy({
     host: ip,
-    port: link,
+    port: storeLinkPort,
     target: () => world.store.address,
   });
   const settings = {
@@ -219,7 +226,7 @@
       peersPort: peers,
       metricsPort: metrics,
     },
-    store: { address: `${ip}:${link}` },
+    store: { address: `${ip}:${storeLinkPort}` },
     cloud: {
       address: `${world.cloud.address.host}:${world.cloud.address.port}`,
       duties: ['usageReports'],
