--- a/packages/reedlug-soak/src/__tests__/faultProxy.test.ts
+++ b/packages/reedlug-soak/src/__tests__/faultProxy.test.ts
@@ -10,7 +10,7 @@
   close: () => void;
 }
 
-/** A proxy before a server that writes a number each millisecond, then ends. */
+/** Opens a proxy to a server that writes a number each millisecond, then ends the connection. */
 async function openLink(count: number): Promise<TestLink> {
   const server = createServer((socket) => {
     socket.on('error', () => undefined);
@@ -37,7 +37,7 @@
   };
 }
 
-/** Reads until the connection ends; `isReset` when it did not end in order. */
+/** Reads until the connection ends; `isReset` is true when it ended with an error. */
 function readAll(port: number): Promise<{ text: string; isReset: boolean }> {
   return new Promise((resolve) => {
     const socket = connect(port, '127.0.0.1');
@@ -49,9 +49,9 @@
   });
 }
 
-// Seed 8 of the soak: a draft ended as whole after 22 of 24 events. The proxy had let the end of a
-// stream overtake events that still waited when its slow link healed; no box was at fault.
-test('bytes on a slow link keep their order and their end, also when it heals', async () => {
+// When a slow link recovered, the proxy forwarded the end of a stream before events that were still
+// queued. A draft then looked complete after 22 of 24 events, though no box was at fault.
+test('bytes on a slow link arrive complete and in order, also when the link recovers', async () => {
   const link = await openLink(400);
   link.proxy.setFault(LinkFault.slow);
   const reading = readAll(link.proxy.port);
@@ -65,7 +65,7 @@
   expect(text).to.equal(expected);
 });
 
-test('a link that was silent is reset when it heals, so that no bytes are missing in between', async () => {
+test('connections of a silent link are reset when it recovers, so that no stream has a gap', async () => {
   const link = await openLink(5000);
   const reading = readAll(link.proxy.port);
   await new Promise((resolve) => setTimeout(resolve, 30));
--- a/packages/reedlug-soak/src/__tests__/guarantees.test.ts
+++ b/packages/reedlug-soak/src/__tests__/guarantees.test.ts
@@ -26,7 +26,7 @@
   };
 }
 
-/** A record of one call that ran once, with changes. */
+/** Returns a record of one call that ran once, after `adjust` has changed it. */
 function recordOfCall(
   onlyCall: Call,
   adjust: (record: SoakRecord) => void = () => undefined,
@@ -52,34 +52,34 @@
   return ids.map((id) => `id: ${id}\ndata: r1 drafts-0-0\n\n`).join('');
 }
 
-test('a run in good order breaks nothing', () => {
+test('a valid run violates no guarantee', () => {
   expect(violatedGuarantees(recordOfCall(call()))).to.deep.equal([]);
 });
 
-test('a notice that runs twice is found', () => {
+test('a notice that runs twice is detected', () => {
   const record = recordOfCall(call({ kind: CallKind.notice }), ({ runs }) => {
     runs.push({ requestId: 'r1', server: 'records-1-0', atMs: 10_020, ran: true, life: 0 });
   });
   expect(violatedGuarantees(record)).to.deep.equal(['at most once']);
 });
 
-test('a refusal of a request that ran is found', () => {
+test('a refusal of a request that ran is detected', () => {
   expect(violatedGuarantees(recordOfCall(call({ status: 503 })))).to.deep.equal([
     'truthful refusal',
   ]);
 });
 
-test('an answer that belongs to another request is found', () => {
+test('a response that belongs to another request is detected', () => {
   const record = recordOfCall(call({ body: expectedBody('r2') }));
   expect(violatedGuarantees(record)).to.deep.equal(['own whole answer']);
 });
 
-test('a success that no server made is found', () => {
+test('a success that no server sent is detected', () => {
   const record = recordOfCall(call(), (built) => void (built.runs.length = 0));
   expect(violatedGuarantees(record)).to.deep.equal(['own answer']);
 });
 
-test('a stream with a gap, a repeat or an early end is found', () => {
+test('a stream with a gap, a repeat or an early end is detected', () => {
   for (const ids of [[1, 3], [1, 1, 2], [1]]) {
     const record = recordOfCall(call({ kind: CallKind.draft, body: draftBody(...ids) }));
     expect(violatedGuarantees(record), ids.join()).to.deep.equal(['gapless stream']);
@@ -88,7 +88,7 @@
   expect(violatedGuarantees(complete)).to.deep.equal([]);
 });
 
-test('a request to a server that left is found, unless the box was out of touch', () => {
+test('a request to a draining server is detected, unless a fault affected the box', () => {
   const markDraining = (record: SoakRecord): void => void record.leftAtMs.set('records-0-0', 7000);
   expect(violatedGuarantees(recordOfCall(call(), markDraining))).to.deep.equal([
     'nothing to a leaving server',
@@ -100,18 +100,18 @@
   expect(violatedGuarantees(duringOutage)).to.deep.equal([]);
 });
 
-test('a configuration that is not in force in time is found', () => {
+test('a configuration that a box applies too late is detected', () => {
   const probe = call({ kind: CallKind.probe, status: 404, version: 4, body: '' });
   const record = recordOfCall(probe, ({ configuredAtMs }) => void configuredAtMs.set(4, 7000));
   expect(violatedGuarantees(record)).to.deep.equal(['configuration in force']);
 });
 
-test('a key that is served after it was taken away is found', () => {
+test('a key that is served after its revocation is detected', () => {
   const record = recordOfCall(call(), ({ revokedAtMs }) => void revokedAtMs.set('key-0', 7000));
   expect(violatedGuarantees(record)).to.deep.equal(['revoked keys']);
 });
 
-test('a call that a planned stop cuts is found', () => {
+test('a call that a planned stop interrupts is detected', () => {
   const cut = call({ status: undefined, isWhole: false, body: '' });
   const stop = { fromMs: 10_020, toMs: 12_000 };
   const record = recordOfCall(cut, ({ stops, troubles }) => {
@@ -121,7 +121,7 @@
   expect(violatedGuarantees(record)).to.deep.equal(['a planned stop cuts nothing']);
 });
 
-test('two reports of a window and two holders of a fence are found', () => {
+test('two reports for one window and two holders of one fence are detected', () => {
   const record = recordOfCall(call(), ({ reports }) => {
     reports.push({ window: 7, counts: '[["tiger",3]]', holder: 'box-0', fence: 1 });
     reports.push({ window: 7, counts: '[["tiger",4]]', holder: 'box-1', fence: 1 });
@@ -129,7 +129,7 @@
   expect(violatedGuarantees(record)).to.deep.equal(['one report a window', 'one holder a fence']);
 });
 
-test('a workspace that gets more runs than its limit in a window is found, repeats too', () => {
+test('runs of a workspace over its limit in a window are detected, retries included', () => {
   const record = recordOfCall(call({ key: 'key-9' }), ({ runs }) => {
     runs.push({ requestId: 'r1', server: 'records-1-0', atMs: 13_000, ran: true, life: 0 });
   });
@@ -138,7 +138,7 @@
   expect(violatedGuarantees(record)).to.deep.equal(['limits over all boxes']);
 });
 
-test('a request that goes on being sent after the third server ended under it is found', () => {
+test('further sends of a request that crashed three servers are detected', () => {
   const crashing = (requestId: string, sentAtMs: number): Call =>
     call({ requestId, kind: CallKind.crashing, sentAtMs, status: 502, body: '' });
   const violationsAfter = (sends: number, box = 0): string[] => {
@@ -158,13 +158,13 @@
   expect(violationsAfter(4, 1)).to.deep.equal([]);
 });
 
-test('another request that is refused for the crashes is found', () => {
+test('an unrelated request that is refused as a crashing one is detected', () => {
   const refused = call({ status: 500, body: '{"error":"crashesServers"}', isWhole: false });
   const record = recordOfCall(refused);
   expect(violatedGuarantees(record)).to.deep.equal(['no other is kept out']);
 });
 
-test('a server that gets more than the limit it names is found, from boxes that were told', () => {
+test('requests over a limit that a server announces are detected, from boxes that know the limit', () => {
   const violationsWith = (
     sends: number,
     adjust: (record: SoakRecord) => void = () => undefined,
@@ -186,7 +186,10 @@
   expect(violationsWith(12, ({ troubles }) => troubles.set(0, restarted))).to.deep.equal([]);
 });
 
-/** Calls of one box to one server, one a second, with what the server said at some of them. */
+/**
+ * Returns a record of one call per second from one box to one server; `statementsAt` adds server
+ * statements to some.
+ */
 function recordOfCalls(
   statementsAt: Readonly<Record<number, Partial<SoakRecord['runs'][number]>>>,
 ) {
@@ -201,20 +204,20 @@
   return record;
 }
 
-test('requests at a server that had told their box that it leaves are found', () => {
+test('requests to a server that announced to the box that it is draining are detected', () => {
   const record = recordOfCalls({ 2: { saysLeaving: true } });
   expect(violatedGuarantees(record)).to.deep.equal(['nothing to a server that says it leaves']);
   record.interruptions.set(0, [{ fromMs: 3000, toMs: 3500 }]);
   expect(violatedGuarantees(record)).to.deep.equal([]);
 });
 
-test('requests at the next life of a server that had left are none', () => {
+test('requests to the next incarnation of a server that was draining are allowed', () => {
   const next = { life: 1 };
   const statementsAt = { 2: { saysLeaving: true }, 5: next, 6: next, 7: next, 8: next, 9: next };
   expect(violatedGuarantees(recordOfCalls(statementsAt))).to.deep.equal([]);
 });
 
-test('more than two requests of a box in the rest that a server asked it for are found', () => {
+test('more than two requests from a box during a pause that a server asked for are detected', () => {
   const refused = { ran: false, restSeconds: '5' };
   const record = recordOfCalls({ 2: refused });
   record.calls[2] = call({ requestId: 'q2', sentAtMs: 2000, status: 503, body: '' });
@@ -223,7 +226,7 @@
   expect(violatedGuarantees(record)).to.deep.equal([]);
 });
 
-test('a rest of two more requests, or of an odd time, is no broken one', () => {
+test('two requests during a pause, or a malformed pause, violate no guarantee', () => {
   for (const restSeconds of ['3', 'soon', '-1']) {
     const record = recordOfCalls({ 2: { ran: false, restSeconds } });
     record.calls[2] = call({ requestId: 'q2', sentAtMs: 2000, status: 503, body: '' });
--- a/packages/reedlug-soak/src/__tests__/soak.test.ts
+++ b/packages/reedlug-soak/src/__tests__/soak.test.ts
@@ -5,16 +5,16 @@
 import { planFaults } from '../faultPlan.js';
 import { runSoak } from '../runSoak.js';
 
-/** Long enough for the processes of a short run on a loaded machine, in ms. */
+/** Timeout of a short run, in ms, which leaves time for its processes on a loaded machine. */
 const RUN_TIMEOUT_MS = 60_000;
 
-test('a seed always gives the same faults, another seed gives others', () => {
+test('a seed always gives the same faults, and another seed gives different ones', () => {
   const params = { lengthMs: 20_000, boxes: 4, servers: 6 };
   expect(planFaults({ seed: 7, ...params })).to.deep.equal(planFaults({ seed: 7, ...params }));
   expect(planFaults({ seed: 7, ...params })).not.to.deep.equal(planFaults({ seed: 8, ...params }));
 });
 
-test('a short run of real boxes under faults breaks no promise', async function () {
+test('a short run of real boxes under faults violates no guarantee', async function () {
   this.timeout(RUN_TIMEOUT_MS);
   const result = await runSoak({
     seed: 5,
@@ -28,7 +28,7 @@
   expect(result.statuses['200'] ?? 0).to.be.greaterThan(50);
 });
 
-test('a caller under whose request servers end takes few of them from the others', async function () {
+test('a caller whose requests crash servers is blocked without harm to other callers', async function () {
   this.timeout(RUN_TIMEOUT_MS);
   const result = await runSoak({
     seed: 6,
@@ -43,7 +43,7 @@
   expect(result.statuses['500'] ?? 0).to.be.greaterThan(10);
 });
 
-test('servers that name a limit get no more from boxes that are stopped and killed meanwhile', async function () {
+test('limits that servers announce hold while boxes are stopped and killed', async function () {
   this.timeout(RUN_TIMEOUT_MS);
   const result = await runSoak({
     seed: 9,
@@ -62,7 +62,7 @@
   expect(result.violations).to.deep.equal([]);
 });
 
-test('a store that comes back from copies while boxes end makes nobody report a window twice', async function () {
+test('no box reports a window twice when the store is restored from backups while boxes are killed', async function () {
   this.timeout(RUN_TIMEOUT_MS);
   const restore = { kind: 'storeCopy' as const, ageMs: 4000, againWithinMs: 200, otherWrites: 300 };
   const result = await runSoak({
--- a/packages/reedlug-soak/src/boxProcess.ts
+++ b/packages/reedlug-soak/src/boxProcess.ts
@@ -1,26 +1,32 @@
-/** A box as a process of its own, told what to do by signals. */
+/** A box in a process of its own, controlled by signals. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { createWriteStream, writeFileSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 
 const MAIN_PATH = fileURLToPath(import.meta.resolve('reedlug-platform/main'));
 
-/** Processes of this run; a soak that is ended early takes them along, paused ones too. */
+/**
+ * Box processes that are running. A soak that exits early kills them all, also those that SIGSTOP
+ * has paused.
+ */
 const runningProcesses = new Set<ChildProcess>();
 process.once('exit', () => {
   for (const child of runningProcesses) child.kill('SIGKILL');
 });
 
-/** A box that can be started again and again. */
+/** A box whose process can be started repeatedly. */
 export interface BoxProcess {
   start: () => void;
   signal: (name: 'SIGTERM' | 'SIGKILL' | 'SIGSTOP' | 'SIGCONT') => void;
   isRunning: () => boolean;
-  /** Resolves once the process has ended. */
+  /** Resolves once the process has exited. */
   ended: () => Promise<void>;
 }
 
-/** Prepares a box; its settings are written to a file, its logs go to another. */
+/**
+ * Writes the settings file of a box and returns its process, which is not started yet and logs to
+ * `logPath`.
+ */
 export function prepareBox(params: {
   settingsText: string;
   settingsPath: string;
--- a/packages/reedlug-soak/src/callers.ts
+++ b/packages/reedlug-soak/src/callers.ts
@@ -1,19 +1,19 @@
-/** Callers on loopback that keep their connections open until the box is gone. */
+/** Sends requests to boxes on loopback and keeps connections alive until the box closes them. */
 import { Agent, request } from 'node:http';
 import { CallKind, type Call } from './soakRecord.js';
 
-/** Where boxes take requests. */
+/** Address on which a box accepts requests. */
 export interface CallTarget {
   host: string;
   port: number;
 }
 
-/** How long a caller waits, in ms. */
+/** Deadline that callers send with each request, in ms. */
 const DEADLINE_MS = 3000;
-/** Name under which callers reach the routes. */
+/** Host name of the configured routes. */
 export const SERVICE_HOST = 'soak.example';
 
-/** What a request asks for. */
+/** Parameters of a request. */
 export interface CallSpec {
   requestId: string;
   kind: CallKind;
@@ -23,13 +23,13 @@
   version?: number;
 }
 
-/** Sends requests over connections that stay open. */
+/** Sends requests over keep-alive connections. */
 export interface Callers {
   call: (spec: CallSpec, target: CallTarget) => Promise<Call>;
   close: () => void;
 }
 
-/** Opens the callers. */
+/** Creates callers that share one pool of connections. */
 export function createCallers(): Callers {
   const agent = new Agent({ keepAlive: true, maxSockets: 64 });
   return {
--- a/packages/reedlug-soak/src/faultPlan.ts
+++ b/packages/reedlug-soak/src/faultPlan.ts
@@ -1,20 +1,20 @@
-/** The faults of a run, drawn from its seed: in series, and over one another. */
+/** Generates the faults of a run from its seed. Faults follow one another and may overlap. */
 import { createRandom, type Random } from 'reedlug-standins';
 
-/** How a link misbehaves. */
+/** Kinds of network faults. */
 export const LinkFault = {
-  /** Nothing comes through either way; connections stay open. */
+  /** Drops all bytes in both directions; connections stay open. */
   silent: 'silent',
-  /** Bytes go out, but nothing comes back. */
+  /** Delivers requests but drops all responses. */
   oneWay: 'oneWay',
-  /** Open connections are reset and new ones too. */
+  /** Resets open connections and each new one. */
   reset: 'reset',
-  /** Every byte comes late. */
+  /** Delays all bytes. */
   slow: 'slow',
 } as const;
 export type LinkFault = (typeof LinkFault)[keyof typeof LinkFault];
 
-/** A fault or a planned change; boxes and servers are named by their number. */
+/** A fault or a planned change. `box` and `server` are indexes. */
 export type Fault =
   | { kind: 'pauseBox'; box: number; forMs: number }
   | { kind: 'stopBox'; box: number; backAfterMs: number }
@@ -23,53 +23,79 @@
   | { kind: 'storeLink'; box: number; how: LinkFault; forMs: number }
   | { kind: 'serverLink'; server: number; how: LinkFault; forMs: number }
   | { kind: 'storeAway'; forMs: number }
-  /** It is away, and comes back from a copy of so long before; others use versions up at its return. */
+  /**
+   * The store is unavailable for `forMs`, then restored from a backup that is `ageMs` old. Lost
+   * writes are repeated within `againWithinMs`, and other writers use up `otherWrites` row versions
+   * right after the restore.
+   */
   | { kind: 'storeCopy'; ageMs: number; forMs: number; againWithinMs: number; otherWrites: number }
   | { kind: 'storeSlow'; delayMs: number; forMs: number }
   | { kind: 'storeLosesAnswers'; share: number; forMs: number }
   | { kind: 'serverCrash'; server: number; backAfterMs: number }
-  /** Its next life has its id. */
+  /** The server crashes; its next incarnation has the same id. */
   | { kind: 'serverRestarts'; server: number; backAfterMs: number }
-  /** Another writer's entry of the registry; `odd` is one of those that the injection knows. */
+  /** Another writer adds an invalid registry entry; `odd` selects it from a fixed list. */
   | { kind: 'oddEntry'; odd: number }
   | { kind: 'serverLeaves'; server: number; backAfterMs: number }
   | { kind: 'serverFails'; server: number; how: 'fail' | 'lose' | 'refuse'; forMs: number }
-  /** From now on a caller sends a request under which servers end, over and over. */
+  /** From now on a caller sends, every `everyMs`, a request that crashes its server. */
   | { kind: 'crashingCaller'; everyMs: number }
-  /** It names a limit of requests a second in its answers. */
+  /** The server announces a limit of requests per second in its responses. */
   | { kind: 'serverLimits'; server: number; perSecond: number; forMs: number }
-  /** It says in its answers alone that it leaves, and begins another life under its id after a while. */
+  /**
+   * The server announces only in its responses that it is draining, and later restarts under its
+   * id.
+   */
   | { kind: 'serverSaysLeaving'; server: number; forMs: number; backAfterMs: number }
-  /** It refuses everything for a while and asks for rest; the value stands on the wire as it is. */
+  /**
+   * The server refuses every request for `forMs` and asks for a pause; `restSeconds` is the header
+   * value as sent.
+   */
   | { kind: 'serverRests'; server: number; restSeconds: string; forMs: number }
   | { kind: 'configure' }
   | { kind: 'revokeKey' };
 
-/** A fault with its time from the start of the load. */
+/** A fault with its time, counted from the start of the load. */
 export interface PlannedFault {
   atMs: number;
   fault: Fault;
 }
 
-/** Mean pause between faults, in ms: most overlap another one. */
+/**
+ * Mean interval between the starts of faults, in ms; short enough that most faults overlap another
+ * one.
+ */
 const MEAN_FAULT_INTERVAL_MS = 900;
-/** Length of a fault, in ms: around the bounds that the promises name. */
+/** Range of the duration of a fault, in ms. It spans the time bounds of the guarantees. */
 const MIN_FAULT_MS = 300;
 const MAX_FAULT_MS = 4000;
-/** Quiet time at the end of a run, in ms, in which what is open ends. */
+/**
+ * Time at the end of a run in which no fault starts, in ms, so that faults and requests in progress
+ * can finish.
+ */
 const FAULT_FREE_END_MS = 3000;
 
-/** Share of the runs with a caller under whose request servers end, and how often it comes, in ms. */
+/**
+ * Probability that a run has a caller whose request crashes servers, and the range of its interval,
+ * in ms.
+ */
 const CRASHING_CALLER_PROBABILITY = 0.5;
 const MIN_CRASHING_INTERVAL_MS = 200;
 const MAX_CRASHING_INTERVAL_MS = 1500;
 
-/** Share of the runs in which servers name limits, how many do at most, and the limits, in requests a second. */
+/**
+ * Probability that servers announce limits in a run, maximum number of them, and the limits, in
+ * requests per second.
+ */
 const SERVER_LIMIT_PROBABILITY = 0.6;
 const MAX_LIMITED_SERVERS = 3;
 const SERVER_LIMITS: readonly number[] = [0, 0.4, 1, 1.2, 3];
 
-/** Share of the runs in which servers leave or rest by their answers alone, how many do, and the rests. */
+/**
+ * Probability that servers announce in a run, in responses alone, that they are draining or need a
+ * pause, maximum number of such faults, and the header values of the pauses, in seconds. Some
+ * values are malformed or extreme.
+ */
 const STATEMENT_PROBABILITY = 0.7;
 const MAX_STATEMENT_FAULTS = 4;
 const PAUSE_SECONDS: readonly string[] = [
@@ -84,7 +110,10 @@
   '-1',
 ];
 
-/** Share of the runs in which the store comes back from copies, how often at most, and how old those are, in ms. */
+/**
+ * Probability that the store is restored from backups in a run, maximum number of restores, and the
+ * range of the age of the backups, in ms.
+ */
 const RESTORE_PROBABILITY = 0.7;
 const MAX_RESTORES = 3;
 const MIN_BACKUP_AGE_MS = 500;
@@ -92,7 +121,7 @@
 
 const SKIPPED_RANDOM_VALUES = 32;
 
-/** Draws the faults of a run. */
+/** Generates the faults of a run; the same seed always gives the same faults. */
 export function planFaults(params: {
   seed: number;
   lengthMs: number;
@@ -101,7 +130,7 @@
 }): PlannedFault[] {
   const { seed, lengthMs, boxes, servers } = params;
   const random = createRandom(seed);
-  // The first draws of neighbouring seeds are alike.
+  // Neighbouring seeds give similar first values, so these are skipped.
   for (let index = 0; index < SKIPPED_RANDOM_VALUES; index += 1) random.unit();
   const planned: PlannedFault[] = [];
   let atMs = random.exponential(MEAN_FAULT_INTERVAL_MS);
@@ -111,7 +140,7 @@
     planned.push({ atMs: Math.round(atMs), fault: generateFault(random, box, server) });
     atMs += random.exponential(MEAN_FAULT_INTERVAL_MS);
   }
-  // Drawn last, so that the other faults of a seed stay what they were.
+  // Generated last, so that each seed keeps its sequence of the faults above.
   if (random.chance(CRASHING_CALLER_PROBABILITY))
     planned.push(generateCrashingCaller(random, lengthMs));
   if (random.chance(SERVER_LIMIT_PROBABILITY))
--- a/packages/reedlug-soak/src/faultProxy.ts
+++ b/packages/reedlug-soak/src/faultProxy.ts
@@ -1,19 +1,22 @@
-/** A TCP proxy on loopback whose link can be made to misbehave from outside. */
+/** A TCP proxy on loopback that can inject network faults. */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { LinkFault } from './faultPlan.js';
 
-/** Delay of each chunk on a slow link, in ms: fifty times the usual answer of the store. */
+/** Delay of each chunk on a slow link, in ms: fifty times the store's usual response time. */
 const SLOW_LINK_DELAY_MS = 200;
 
-/** A link and its fault. */
+/** A proxied link and control over its fault. */
 export interface FaultProxy {
   port: number;
-  /** Sets the fault, or heals the link. */
+  /** Sets the fault of the link; `undefined` removes it. */
   setFault: (fault: LinkFault | undefined) => void;
   close: () => void;
 }
 
-/** Opens a proxy on `host` to a target that may change, as a server that comes back elsewhere. */
+/**
+ * Opens a proxy on `host`. `target` is read for each connection, as a server may restart on another
+ * port.
+ */
 export async function openFaultProxy(params: {
   host: string;
   port: number;
@@ -46,7 +49,8 @@
     client.on('error', destroyPair);
     upstream.on('error', destroyPair);
     client.on('close', destroyPair);
-    // An end in good order goes through `forward`, after what still waits; the pair stays for that.
+    // `forward` passes a graceful end on behind the queued chunks, so the pair stays open until
+    // then.
   });
   await listen(server, params.host, params.port);
   return {
@@ -56,7 +60,8 @@
       fault = next;
       const mustReset =
         next === LinkFault.reset || previous === LinkFault.silent || dropsResponses(previous);
-      // What a cut has held up is lost: bytes are never put together from before and after it.
+      // Bytes dropped during the fault are lost. A connection must not carry bytes from before and
+      // after the gap.
       if (!mustReset) return;
       for (const [client, upstream] of pairs) {
         client.resetAndDestroy();
@@ -86,7 +91,8 @@
 }): void {
   const { from, to, dropsBytes, fault } = params;
   const queue: { act: () => void; dueAtMs: number }[] = [];
-  // One timer for the first in line: a later chunk never overtakes it, also when the link heals.
+  // A single timer serves the head of the queue, so no chunk overtakes an earlier one when the
+  // fault is removed.
   const runDueActions = (): void => {
     for (let head = queue[0]; head !== undefined; head = queue[0]) {
       const waitMs = head.dueAtMs - performance.now();
--- a/packages/reedlug-soak/src/guarantees.ts
+++ b/packages/reedlug-soak/src/guarantees.ts
@@ -1,39 +1,53 @@
-/** Checks a run's record against the promises to callers, servers and the operator. */
+/** Checks a run's record against the guarantees to callers, servers and the operator. */
 import { checkPauses, checkDrainingStatements } from './serverStatements.js';
 import { CallKind, overlaps, type Call, type Arrival, type SoakRecord } from './soakRecord.js';
 
-/** A broken promise. */
+/** A violated guarantee; `promise` is its name. */
 export interface Violation {
   promise: string;
   detail: string;
 }
 
-/** Bounds that the promises name, in ms. */
+/** Bounds that the guarantees refer to. */
 export interface GuaranteeBounds {
-  /** A configuration is in force within this time of its acknowledgement. */
+  /** Maximum time from the acknowledgement of a configuration until every box applies it, in ms. */
   configurationMs: number;
-  /** A server that leaves gets nothing more after this time. */
+  /**
+   * Maximum time for which a server still receives requests after it announced that it is draining,
+   * in ms.
+   */
   drainMs: number;
-  /** A box is in touch once this time has passed since its trouble. */
+  /**
+   * Time after a fault by which a box has recovered, in ms; the bounds apply to it from then on.
+   */
   recoveryMs: number;
-  /** A workspace with a limit: its key, and the runs that any window may hold. */
+  /**
+   * A workspace with a limit: its key, and the maximum number of runs in any window of `windowMs`.
+   */
   limited: { key: string; windowMs: number; runs: number };
 }
 
-/** Statuses that promise that the request has not run and will not. */
+/** Statuses that guarantee that the request has not run and will not run. */
 const NEVER_EXECUTED_STATUSES: readonly (number | undefined)[] = [408, 421, 429, 503];
-/** Servers that may end under one request, and sends of it after that: the users' figures. */
+/**
+ * Number of crashes that one request may cause before it is blocked, and maximum number of sends of
+ * it after that. The users require both values.
+ */
 const CRASHES_TO_BLOCK = 3;
 const MAX_FURTHER_SENDS = 3;
-/** Windows in which requests to a server that names a limit are counted, what is allowed in each, and from when on a box counts that passed it on: the users' figures. */
+/**
+ * Guarantee that the users require for servers that announce a limit: each window may hold the limit
+ * times `LIMIT_FACTOR`, plus `LIMIT_EXTRA_REQUESTS`. It binds a box `LIMIT_GRACE_MS` after the first
+ * response with the limit that it forwarded.
+ */
 const LIMIT_WINDOW_MS = 4000;
 const LIMIT_FACTOR = 1.5;
 const LIMIT_EXTRA_REQUESTS = 5;
 const LIMIT_GRACE_MS = 500;
-/** Taken off the bounds for the delays of one busy machine, in ms. */
+/** Tolerance for delays on one busy machine, in ms. It extends each time bound. */
 export const TOLERANCE_MS = 400;
 
-/** All broken promises of a run. */
+/** Returns all violated guarantees of a run. */
 export function findViolations(record: SoakRecord, bounds: GuaranteeBounds): Violation[] {
   const runsById = new Map<string, Arrival[]>();
   for (const run of record.runs) {
@@ -80,7 +94,7 @@
   return violations;
 }
 
-/** The whole answer of a server to a plain request. */
+/** Returns the complete response body of a server to a plain request. */
 export function expectedBody(requestId: string): string {
   return `answer to ${requestId}, whole`;
 }
@@ -133,7 +147,10 @@
   });
 }
 
-/** Calls that a box had before the signal, and that nothing else troubled, end with an answer. */
+/**
+ * Checks that calls in progress at the signal end with a response, unless another fault affected
+ * them.
+ */
 function checkPlannedStops(record: SoakRecord): Violation[] {
   return record.calls.flatMap((call) => {
     const stop = record.stops
@@ -173,7 +190,7 @@
   return violations;
 }
 
-/** Counts every run of the limited workspace at the moment at which it reached its server. */
+/** Counts each run of the limited workspace at the time when it reached its server. */
 function checkWorkspaceLimit(record: SoakRecord, { limited }: GuaranteeBounds): Violation[] {
   const ids = new Set(
     record.calls.filter(({ key }) => key === limited.key).map(({ requestId }) => requestId),
@@ -188,14 +205,14 @@
   return [{ promise: 'limits over all boxes', detail }];
 }
 
-/** For each run those of the window that ends with it. */
+/** Returns, for each arrival, the arrivals in the window that ends with it. */
 function slidingWindows(arrivals: readonly Arrival[], lengthMs: number): Arrival[][] {
   return arrivals.map(({ atMs: endMs }) =>
     arrivals.filter(({ atMs }) => atMs > endMs - lengthMs && atMs <= endMs),
   );
 }
 
-/** Counts what servers saw of the request under which they end. */
+/** Counts how often servers received the crashing request after its third crash. */
 function checkCrashingRequest(record: SoakRecord, bounds: GuaranteeBounds): Violation[] {
   const thirdCrashAtMs = record.crashesAtMs[CRASHES_TO_BLOCK - 1];
   if (thirdCrashAtMs === undefined) return [];
@@ -215,7 +232,7 @@
   return [{ promise: 'a request that crashes servers is kept out', detail }];
 }
 
-/** Nobody else is refused for the crashes. */
+/** Checks that no other request is refused as a crashing one. */
 function checkUnrelatedRefusals(record: SoakRecord): Violation[] {
   return record.calls
     .filter(({ kind, status }) => kind !== CallKind.crashing && status === 500)
@@ -223,7 +240,10 @@
     .map(({ requestId }) => ({ promise: 'no other is kept out', detail: requestId }));
 }
 
-/** Counts what servers that name a limit get from boxes that had passed such an answer on. */
+/**
+ * Counts requests to servers that announce a limit, from boxes that had forwarded a response with
+ * it.
+ */
 function checkServerLimits(record: SoakRecord, bounds: GuaranteeBounds): Violation[] {
   const callById = new Map(record.calls.map((call) => [call.requestId, call]));
   const byServer = new Map<string, Arrival[]>();
@@ -243,7 +263,10 @@
   });
 }
 
-/** Requests at a server that names a limit, of boxes that knew it for long enough. */
+/**
+ * Returns the arrivals from boxes that have known the limit for long enough and that no fault
+ * affects.
+ */
 function arrivalsFromInformedBoxes(
   record: SoakRecord,
   arrivals: readonly Arrival[],
--- a/packages/reedlug-soak/src/index.ts
+++ b/packages/reedlug-soak/src/index.ts
@@ -1,4 +1,4 @@
-/** Soak of real boxes under faults. */
+/** Soak test that runs real boxes under injected faults. */
 export * from './faultPlan.js';
 export * from './guarantees.js';
 export * from './runSoak.js';
--- a/packages/reedlug-soak/src/injectFault.ts
+++ b/packages/reedlug-soak/src/injectFault.ts
@@ -1,4 +1,4 @@
-/** Carries a planned fault out on the world and writes down whom it troubles, and how long. */
+/** Injects planned faults and records which boxes and servers they affect, and for how long. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { createRandom } from 'reedlug-standins';
 import { enterOddServer, removeServerEntry } from 'reedlug-platform/standins';
@@ -12,16 +12,25 @@
   type SoakWorld,
 } from './soakWorld.js';
 
-/** How long a crashed server's entry stays, in ms: three heartbeats of the users' servers. */
+/**
+ * Time for which the registry entry of a crashed server remains, in ms: three heartbeats of the
+ * users' backend servers.
+ */
 const ENTRY_LIFETIME_MS = 1200;
-/** How long a leaving server still serves, in ms: the users' bound and a little more. */
+/**
+ * Time for which a draining server still serves, in ms: slightly longer than the bound `drainMs`
+ * that the users require.
+ */
 const DRAIN_TIME_MS = 2600;
 
-/** How long a server runs a request under which it ends, and how long it is away, in ms. */
+/**
+ * Time from the start of a crashing request to the crash, and downtime of the server after it, in
+ * ms.
+ */
 const CRASH_AFTER_MS = 60;
 const CRASH_DOWNTIME_MS = 2500;
 
-/** Entries of the registry by other writers: none names a server. */
+/** Registry entries from other writers; none of them describes a valid server. */
 const INVALID_ENTRIES: readonly unknown[] = [
   null,
   [],
@@ -42,10 +51,13 @@
   },
 ];
 
-/** Seed of the draws of lost answers: which ones are lost depends on their order alone. */
+/**
+ * Seed that decides which responses of the store are lost. It is fixed, so that the choice depends
+ * only on their order.
+ */
 const LOST_ANSWERS_SEED = 1;
 
-/** Carries a fault out; resolves once it is over. */
+/** Injects a fault; resolves once the fault has ended. */
 export async function injectFault(
   world: SoakWorld,
   record: SoakRecord,
@@ -147,7 +159,9 @@
   record.configuredAtMs.set(world.version, performance.now());
 }
 
-/** The store comes back from a copy; what the operator and the servers wrote since is written again. */
+/**
+ * Restores the store from a backup; the operator and the servers repeat the writes that were lost.
+ */
 async function restoreStore(
   world: SoakWorld,
   record: SoakRecord,
@@ -162,14 +176,14 @@
     const afterMs = isRemoval ? ENTRY_LIFETIME_MS : random.unit() * fault.againWithinMs;
     if (afterMs > 0) await delay(afterMs);
     again();
-    // The acknowledgement that counts is the one that the store has not lost.
+    // The guarantee counts from the repeated write, as the store lost the first one.
     if (table === 'op') record.configuredAtMs.set(world.version, performance.now());
   });
   store.skipVersions(fault.otherWrites);
   await Promise.all(writes);
 }
 
-/** Notes boxes as troubled from now until the fault is over. */
+/** Records a fault for the boxes from now until `inject` resolves. */
 async function withBoxFault(
   record: SoakRecord,
   boxes: readonly number[],
@@ -181,7 +195,7 @@
   span.toMs = performance.now();
 }
 
-/** The same where the processes of the boxes stand still or end. */
+/** Records a fault, and also an interruption, for boxes whose processes pause or end. */
 async function withInterruption(
   record: SoakRecord,
   boxes: readonly number[],
@@ -240,7 +254,7 @@
   for (const { process } of killed) process.start();
 }
 
-/** A server ends under the request that it runs, and starts again under its id. */
+/** Crashes a server while it runs the crashing request, then restarts it under its id. */
 export async function crashUnderRequest(
   world: SoakWorld,
   record: SoakRecord,
@@ -256,7 +270,7 @@
   );
 }
 
-/** A server names a limit, for as long as this life of it lasts. */
+/** Makes a server announce a limit for `forMs`. Its next incarnation does not announce it. */
 async function announceServerLimit(
   world: SoakWorld,
   { server, perSecond, forMs }: Extract<Fault, { kind: 'serverLimits' }>,
@@ -268,7 +282,10 @@
   standin.limitPerSecond = undefined;
 }
 
-/** A server says that it leaves, serves on, and begins another life under its id. */
+/**
+ * Makes a server announce in its responses that it is draining. It continues to serve, then
+ * restarts under its id.
+ */
 async function drainByStatement(
   world: SoakWorld,
   record: SoakRecord,
@@ -283,7 +300,10 @@
   return restartServer(world, record, { kind: 'serverRestarts', server, backAfterMs });
 }
 
-/** A server refuses everything for a while and asks for rest, for as long as this life of it lasts. */
+/**
+ * Makes a server refuse every request for `forMs` and ask for a pause in its refusals. An
+ * incarnation that starts meanwhile refuses too, but asks for no pause.
+ */
 async function requestPause(
   world: SoakWorld,
   { server, restSeconds, forMs }: Extract<Fault, { kind: 'serverRests' }>,
@@ -298,7 +318,10 @@
   pausedServer.failureMode = undefined;
 }
 
-/** Ends a server without a word; its next life has its id and its entry. */
+/**
+ * Crashes a server without notice. Its registry entry remains, and its next incarnation has the
+ * same id.
+ */
 async function restartServer(
   world: SoakWorld,
   record: SoakRecord,
@@ -309,7 +332,7 @@
   const { standin } = server;
   standin.close();
   await delay(fault.backAfterMs);
-  // Another fault may have ended this life meanwhile.
+  // Another fault may have ended this incarnation meanwhile.
   if (server.standin === standin && !record.leftAtMs.has(standin.id)) {
     await startNextIncarnation(world, server, true);
   }
@@ -320,7 +343,7 @@
   enterOddServer(world.store, `odd-${entryIndex}`, value);
 }
 
-/** Ends a server, with notice or without, and starts its next life after a while. */
+/** Crashes or drains a server, then starts its next incarnation under a new id. */
 async function replaceServer(
   world: SoakWorld,
   record: SoakRecord,
--- a/packages/reedlug-soak/src/runSoak.ts
+++ b/packages/reedlug-soak/src/runSoak.ts
@@ -1,4 +1,4 @@
-/** One run: real boxes under load and planned faults, then the check of what was seen. */
+/** Runs real boxes under load and planned faults, then checks what callers and servers observed. */
 import { rm } from 'node:fs/promises';
 import { setTimeout as delay } from 'node:timers/promises';
 import { createRandom } from 'reedlug-standins';
@@ -19,40 +19,43 @@
   type SoakWorld,
 } from './soakWorld.js';
 
-/** What a run is made of. */
+/** Parameters of a run. */
 export interface SoakOptions {
   seed: number;
   lengthMs: number;
   boxes: number;
   serversPerService: number;
   callsPerSecond: number;
-  /** Folder of settings and logs; it stays when a promise was broken. */
+  /** Folder of settings and logs; deleted after a run that violated no guarantee. */
   folder: string;
-  /** Faults in place of those drawn from the seed. */
+  /** Faults that replace those generated from the seed. */
   faults?: readonly { atMs: number; fault: Fault }[];
 }
 
-/** How a run went. */
+/** Result of a run. */
 export interface SoakResult {
   seed: number;
   violations: Violation[];
   calls: number;
-  /** Calls of the limited workspace that were served. */
+  /** Number of calls of the limited workspace that were served. */
   limitedServed: number;
-  /** Calls by status; `none` for connections without an answer. */
+  /** Number of calls by status; `none` stands for connections without a response. */
   statuses: Record<string, number>;
   faults: Record<string, number>;
 }
 
-/** Longest wait for the first boxes to be ready, in ms: a loaded machine starts a dozen processes slowly. */
+/**
+ * Maximum wait for all boxes to be ready at the start, in ms; a loaded machine starts a dozen
+ * processes slowly.
+ */
 const START_TIMEOUT_MS = 20_000;
-/** Pause between questions whether a box is ready, in ms: a tick of the box. */
+/** Interval of the readiness checks, in ms: one tick of a box. */
 const READINESS_POLL_INTERVAL_MS = 50;
-/** Time after which a box counts as in touch again, in ms: the users' figure. */
+/** Time after a fault by which the users require a box to have recovered, in ms. */
 const RECOVERY_MS = 3000;
-/** Pause between looks whether the crashing caller has come, in ms. */
+/** Interval of the checks whether the crashing caller has started, in ms. */
 const CRASHING_POLL_INTERVAL_MS = 100;
-/** Share of kinds among the calls. */
+/** Share of each kind among the calls. */
 const KIND_SHARES: readonly (readonly [CallKind, number])[] = [
   [CallKind.lookup, 0.35],
   [CallKind.notice, 0.35],
@@ -60,7 +63,7 @@
   [CallKind.probe, 0.1],
 ];
 
-/** Runs one seed. */
+/** Runs one seed. Throws when a box is not ready within `START_TIMEOUT_MS`. */
 export async function runSoak(options: SoakOptions): Promise<SoakResult> {
   const { seed, lengthMs, boxes, serversPerService, folder } = options;
   const world = await buildWorld({ boxes, serversPerService, folder });
@@ -119,7 +122,7 @@
   try {
     return (await fetch(`http://${host}:${port}/ready`)).ok;
   } catch {
-    // The box does not listen yet.
+    // The box is not listening yet.
     return false;
   }
 }
@@ -132,7 +135,10 @@
   endMs: number;
 }
 
-/** Sends the same request under other ids to any box, once its caller has come. */
+/**
+ * Sends the crashing request to random boxes, each time under a new id, once its caller has
+ * started.
+ */
 async function sendCrashingRequests({
   options,
   world,
@@ -181,7 +187,7 @@
   const requestId = `s${seed}-${number}`;
   const kind = pickKind(fraction);
   const key = world.keys.at(-1) ?? '';
-  // An old key now and then shows whether it is still served.
+  // Every seventh call uses the first key, to detect that it is still served after its revocation.
   const keyInUse = number % 7 === 0 ? FIRST_KEY : key;
   if (kind === CallKind.lookup && number % 2 === 0) {
     return { requestId, kind, box, key: LIMITED_WORKSPACE.key, path: `/${kind}/${number}` };
--- a/packages/reedlug-soak/src/serverStatements.ts
+++ b/packages/reedlug-soak/src/serverStatements.ts
@@ -1,17 +1,26 @@
-/** Checks what servers got after they had said in their answers that they leave, or had asked for rest. */
+/**
+ * Checks the requests to servers after they announced in responses that they are draining, or asked
+ * for a pause.
+ */
 import { TOLERANCE_MS, type GuaranteeBounds, type Violation } from './guarantees.js';
 import { overlaps, type Call, type Arrival, type SoakRecord } from './soakRecord.js';
 
-/** Time after a refusal from which requests count, in ms, and how many are allowed until its rest ends: the users' figures. */
+/**
+ * Time after a refusal from which requests are counted, in ms, and maximum number of them until the
+ * pause ends. The users require both values.
+ */
 const PAUSE_GRACE_MS = 500;
 const MAX_REQUESTS_PER_PAUSE = 2;
 
-/** A request at a server, with its caller's side. */
+/** A request at a server together with the caller's view of it. */
 interface ArrivalWithCall extends Arrival {
   call: Call;
 }
 
-/** Counts requests that callers sent to a box after it had passed on that the server leaves. */
+/**
+ * Counts requests to a draining server that callers sent after their box had forwarded its
+ * announcement and the drain bound had passed.
+ */
 export function checkDrainingStatements(record: SoakRecord, bounds: GuaranteeBounds): Violation[] {
   return arrivalsByIncarnation(record).flatMap((arrivals) => {
     const announcedAtMs = new Map<number, number>();
@@ -33,7 +42,9 @@
   });
 }
 
-/** Counts requests of a box in the rests that servers asked it for. */
+/**
+ * Counts the requests that a box sent to a server during a pause that the server had asked it for.
+ */
 export function checkPauses(record: SoakRecord): Violation[] {
   return arrivalsByIncarnation(record).flatMap((arrivals) => {
     const exceeded = arrivals.flatMap((asked) => {
@@ -70,7 +81,7 @@
   return isInterrupted(record, box, refusal.atMs, lastAtMs) ? 0 : duringPause.length;
 }
 
-/** Requests at each life of a server, of callers that are known. */
+/** Returns the arrivals of each server incarnation whose calls are in the record. */
 function arrivalsByIncarnation(record: SoakRecord): ArrivalWithCall[][] {
   const callById = new Map(record.calls.map((call) => [call.requestId, call]));
   const byIncarnation = new Map<number, ArrivalWithCall[]>();
--- a/packages/reedlug-soak/src/soakRecord.ts
+++ b/packages/reedlug-soak/src/soakRecord.ts
@@ -1,18 +1,21 @@
-/** What callers and servers saw in a run. Times are in ms of one monotonic clock. */
+/** Record of what callers and servers observed in a run. Times are in ms of one monotonic clock. */
 
 /** Kinds of requests that callers send. */
 export const CallKind = {
   lookup: 'lookup',
   notice: 'notice',
   draft: 'draft',
-  /** Asks on a route of one configuration whether it is in force at a box. */
+  /**
+   * Requests a route that only one configuration has, to check whether a box applies that
+   * configuration.
+   */
   probe: 'probe',
-  /** The request under which servers end. */
+  /** Crashes the server that runs it. */
   crashing: 'crashing',
 } as const;
 export type CallKind = (typeof CallKind)[keyof typeof CallKind];
 
-/** A request as its caller saw it. */
+/** A request as observed by its caller. */
 export interface Call {
   requestId: string;
   kind: CallKind;
@@ -20,65 +23,74 @@
   key: string;
   sentAtMs: number;
   endedAtMs: number;
-  /** Undefined when the connection gave no answer. */
+  /** Undefined when the connection gave no response. */
   status: number | undefined;
   body: string;
-  /** True when the answer came to its end in good order. */
+  /** True when the response was received completely. */
   isWhole: boolean;
-  /** For a probe, the version of the configuration whose route it asked for. */
+  /** For a probe, the version of the configuration whose route it requested. */
   version: number | undefined;
 }
 
-/** A request at a server. */
+/** A request that arrived at a server. */
 export interface Arrival {
   requestId: string;
   server: string;
   atMs: number;
   ran: boolean;
-  /** The limit of requests a second that the server named in its answer, if any. */
+  /** The limit of requests per second that the server announced in its response, if any. */
   limitPerSecond?: number | undefined;
-  /** Number of the server's life among all servers' lives. */
+  /** Index of the server's incarnation among those of all servers. */
   life: number;
-  /** Whether its answer said that the server leaves. */
+  /** Whether the response announced that the server is draining. */
   saysLeaving?: boolean;
-  /** The rest that its refusal asked for, in seconds as it stood on the wire. */
+  /** The pause that the refusal asked for: the header value as sent, in seconds. */
   restSeconds?: string | undefined;
 }
 
-/** A span of time; open ones have not ended. */
+/** A span of time. While it is open, `toMs` is infinite. */
 export interface Span {
   fromMs: number;
   toMs: number;
 }
 
-/** Everything that the promises are checked against. */
+/** Everything that is needed to check the guarantees. */
 export interface SoakRecord {
   calls: Call[];
   runs: Arrival[];
-  /** Events of a whole draft. */
+  /** Number of events of a complete draft. */
   draftEvents: number;
-  /** When each configuration's routes became known to the store, by version. */
+  /** When the store acknowledged each configuration, by version. */
   configuredAtMs: Map<number, number>;
-  /** When a key was taken away. */
+  /** When each key was revoked. */
   revokedAtMs: Map<string, number>;
-  /** When a server said that it leaves, or its entry went. */
+  /**
+   * When the registry entry of a server was marked as draining, or removed after a crash, by server
+   * id.
+   */
   leftAtMs: Map<string, number>;
-  /** Spans in which a box was stopped, paused, killed, starting, or without the store, by box. */
+  /**
+   * Spans in which a box was stopped, paused, killed, starting, or affected by a fault of the store
+   * or of its link to the store, by box.
+   */
   troubles: Map<number, Span[]>;
-  /** Planned stops by box: from the signal to the end of the process. */
+  /** Planned stops by box: from the signal to the next start of the process. */
   stops: Map<number, Span[]>;
-  /** Spans in which a box's process was paused, or ended until its next start, by box. */
+  /**
+   * Spans in which a box's process was paused, or was stopped or killed and not yet started again,
+   * by box.
+   */
   interruptions: Map<number, Span[]>;
-  /** Spans in which the link of a server misbehaved, so that its answers may not arrive. */
+  /** Spans in which the link of a server had a fault, so that its responses may have been lost. */
   linkTroubles: Span[];
-  /** Spans in which any server or its link misbehaved. */
+  /** Spans in which any server or its link had a fault. */
   serverTroubles: Span[];
-  /** When servers ended under the request of the crashing caller. */
+  /** When servers crashed while they ran the crashing request. */
   crashesAtMs: number[];
   reports: { window: number; counts: string; holder: string; fence: number }[];
 }
 
-/** Returns a record of nothing. */
+/** Returns an empty record. */
 export function createSoakRecord(draftEvents: number): SoakRecord {
   return {
     calls: [],
@@ -97,7 +109,7 @@
   };
 }
 
-/** Whether any span touches a stretch of time. */
+/** Returns whether any span overlaps the given time range, ends included. */
 export function overlaps(spans: readonly Span[], fromMs: number, toMs: number): boolean {
   return spans.some((span) => span.fromMs <= toMs && span.toMs >= fromMs);
 }
--- a/packages/reedlug-soak/src/soakWorld.ts
+++ b/packages/reedlug-soak/src/soakWorld.ts
@@ -1,4 +1,7 @@
-/** The world of a run: store, cloud, servers and boxes, each link through a proxy. */
+/**
+ * Environment of a run: store, cloud, servers and boxes. Proxies carry the links to the store and
+ * to the servers.
+ */
 import { mkdirSync } from 'node:fs';
 import { join } from 'node:path';
 import { stringify } from 'yaml';
@@ -18,12 +21,18 @@
 import { openFaultProxy, type FaultProxy } from './faultProxy.js';
 import { expectedBody } from './guarantees.js';
 
-/** Events of a draft, and the pause between two, in ms: a stream lasts a good second, so that faults meet it. */
+/**
+ * Number of events of a draft, and the interval between them, in ms. A stream lasts over a second,
+ * so that faults occur during it.
+ */
 export const DRAFT_EVENTS = 24;
 const EVENT_GAP_MS = 50;
-/** Work of a plain request, in ms: as the users' look-ups. */
+/** Processing time of a plain request, in ms: that of the users' look-ups. */
 const PLAIN_REQUEST_MS = 20;
-/** Bounds of the boxes; the users' own figures, with a shorter grace so that stops end in a run. */
+/**
+ * Bounds in the settings of the boxes: those that the users require, except for a shorter
+ * `graceSeconds`, so that stops end within a run.
+ */
 export const BOX_BOUNDS = {
   configurationMs: 2000,
   drainMs: 2000,
@@ -36,15 +45,15 @@
   usageWindowSeconds: 5,
   usageDueSeconds: 10,
 };
-/** A workspace whose callers ask for several times its limit, which counts requests. */
+/** A workspace whose callers request several times its limit; the limit counts requests. */
 export const LIMITED_WORKSPACE = { key: 'limited-key', ratePerSecond: 4, burst: 4 };
-/** Path of the request under which servers end, and when one would answer it that did not end, in ms. */
+/** Path of the crashing request, and the response time of a server that does not crash, in ms. */
 export const CRASHING_PATH = '/lookup/crash';
 const CRASHING_RESPONSE_MS = 2000;
-/** The key that callers begin with; it is the first one taken away. */
+/** Key that callers use first; it is the first to be revoked. */
 export const FIRST_KEY = 'key-0';
 
-/** A server that may crash and come back, under another id or its own. */
+/** A server that may crash and restart, under a new id or its own. */
 export interface SoakServer {
   standin: EngineStandin;
   proxy: FaultProxy;
@@ -54,7 +63,7 @@
   failureMode: 'fail' | 'lose' | 'refuse' | undefined;
 }
 
-/** A box with its link to the store. */
+/** A box process with its addresses and its link to the store. */
 export interface SoakBox {
   process: BoxProcess;
   target: CallTarget;
@@ -62,7 +71,7 @@
   storeLink: FaultProxy;
 }
 
-/** Everything that faults act on. */
+/** Components that faults act on, and the state of the load. */
 export interface SoakWorld {
   store: StoreStandin;
   cloud: CloudStandin;
@@ -70,15 +79,15 @@
   boxes: SoakBox[];
   version: number;
   keys: string[];
-  /** Pause of the caller under whose request servers end; undefined while there is none. */
+  /** Interval between the requests of the crashing caller, in ms; undefined until it starts. */
   crashingIntervalMs: number | undefined;
-  /** Told of each server that begins to run that request. */
+  /** Called with each server that receives the crashing request. */
   onCrashingRequest: (server: SoakServer) => void;
-  /** All stand-ins that ever ran, for their arrivals. */
+  /** Stand-ins of all server incarnations in the run, kept for their arrivals. */
   allStandins: EngineStandin[];
 }
 
-/** Starts everything but the boxes' processes. */
+/** Starts everything except the processes of the boxes. */
 export async function buildWorld(params: {
   boxes: number;
   serversPerService: number;
@@ -110,7 +119,10 @@
   return world;
 }
 
-/** Enters the next configuration: the routes for callers, and one that names its version. */
+/**
+ * Publishes the next configuration: the routes for callers, and one whose path contains its
+ * version.
+ */
 export function configure(world: SoakWorld): void {
   world.version += 1;
   enterConfiguration(world.store, {
@@ -127,7 +139,7 @@
   });
 }
 
-/** The path of the route that only one version of the configuration has. */
+/** Returns the path of the route that only the given version of the configuration has. */
 export function probePath(version: number): string {
   return `/version-${version}/`;
 }
@@ -180,14 +192,14 @@
   return { host, port: Number(port) };
 }
 
-/** Enters a server with the address of its proxy. */
+/** Writes the registry entry of a server, with the address of its proxy. */
 export function registerServer(world: SoakWorld, server: SoakServer, leaving: boolean): void {
   const { standin, service, proxy, bornAtMs } = server;
   const address = `127.0.0.1:${proxy.port}`;
   enterServer(world.store, { id: standin.id, address, service, leaving, bornAtMs });
 }
 
-/** Starts a server's next life, under a new id or under its own. */
+/** Starts the next incarnation of a server, under a new id or its current one. */
 export async function startNextIncarnation(
   world: SoakWorld,
   server: SoakServer,
@@ -208,7 +220,7 @@
 }
 
 async function prepareSoakBox(world: SoakWorld, index: number, folder: string): Promise<SoakBox> {
-  // Each box has a loopback address of its own, as boxes know each other by address.
+  // Each box needs its own loopback address, as boxes identify each other by address.
   const ip = `127.0.${1 + Math.floor(index / 200)}.${2 + (index % 200)}`;
   const [callers = 0, readiness = 0, metrics = 0, storeLinkPort = 0, peers = 0] =
     await findFreePorts(5);
@@ -245,7 +257,7 @@
   };
 }
 
-/** Ends all that the run started. */
+/** Ends everything that the run started. */
 export async function tearDown(world: SoakWorld): Promise<void> {
   for (const { process } of world.boxes) {
     process.signal('SIGCONT');
