--- a/packages/reedlug-soak/src/__tests__/faultProxy.test.ts
+++ b/packages/reedlug-soak/src/__tests__/faultProxy.test.ts
@@ -4,19 +4,19 @@
 import { LinkFault } from '../faultPlan.js';
 import { openFaultProxy, type FaultProxy } from '../faultProxy.js';
 
-interface Link {
+interface TestLink {
   proxy: FaultProxy;
   server: Server;
   close: () => void;
 }
 
-/** A proxy before a server that writes a number each millisecond, then ends. */
-async function openLink(numbers: number): Promise<Link> {
+/** Opens a proxy to a server that writes a number each millisecond, then ends the connection. */
+async function openLink(count: number): Promise<TestLink> {
   const server = createServer((socket) => {
     socket.on('error', () => undefined);
     let next = 0;
     const timer = setInterval(() => {
-      if (next < numbers) return void socket.write(`${next++} `);
+      if (next < count) return void socket.write(`${next++} `);
       clearInterval(timer);
       socket.end();
     }, 1);
@@ -24,9 +24,9 @@
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
-  const [own = 0] = await findFreePorts(1);
+  const [proxyPort = 0] = await findFreePorts(1);
   const target = (): { host: string; port: number } => ({ host: '127.0.0.1', port });
-  const proxy = await openFaultProxy({ host: '127.0.0.1', port: own, target });
+  const proxy = await openFaultProxy({ host: '127.0.0.1', port: proxyPort, target });
   return {
     proxy,
     server,
@@ -37,7 +37,7 @@
   };
 }
 
-/** Reads until the connection ends; `isReset` when it did not end in order. */
+/** Reads until the connection ends; `isReset` is true when it ended with an error. */
 function readAll(port: number): Promise<{ text: string; isReset: boolean }> {
   return new Promise((resolve) => {
     const socket = connect(port, '127.0.0.1');
@@ -49,15 +49,15 @@
   });
 }
 
-// Seed 8 of the soak: a draft ended as whole after 22 of 24 events. The proxy had let the end of a
-// stream overtake events that still waited when its slow link healed; no box was at fault.
-test('bytes on a slow link keep their order and their end, also when it heals', async () => {
+// When a slow link recovered, the proxy forwarded the end of a stream before events that were still
+// queued. A draft then looked complete after 22 of 24 events, though no box was at fault.
+test('bytes on a slow link arrive complete and in order, also when the link recovers', async () => {
   const link = await openLink(400);
-  link.proxy.set(LinkFault.slow);
+  link.proxy.setFault(LinkFault.slow);
   const reading = readAll(link.proxy.port);
   for (let flip = 0; flip < 8; flip += 1) {
     await new Promise((resolve) => setTimeout(resolve, 50));
-    link.proxy.set(flip % 2 === 0 ? undefined : LinkFault.slow);
+    link.proxy.setFault(flip % 2 === 0 ? undefined : LinkFault.slow);
   }
   const { text } = await reading;
   const expected = Array.from({ length: 400 }, (_, number) => `${number} `).join('');
@@ -65,13 +65,13 @@
   expect(text).to.equal(expected);
 });
 
-test('a link that was silent is reset when it heals, so that no bytes are missing in between', async () => {
+test('connections of a silent link are reset when it recovers, so that no stream has a gap', async () => {
   const link = await openLink(5000);
   const reading = readAll(link.proxy.port);
   await new Promise((resolve) => setTimeout(resolve, 30));
-  link.proxy.set(LinkFault.silent);
+  link.proxy.setFault(LinkFault.silent);
   await new Promise((resolve) => setTimeout(resolve, 30));
-  link.proxy.set(undefined);
+  link.proxy.setFault(undefined);
   const { isReset } = await reading;
   link.close();
   expect(isReset).to.equal(true);
--- a/packages/reedlug-soak/src/callers.ts
+++ b/packages/reedlug-soak/src/callers.ts
@@ -1,20 +1,20 @@
-/** Callers on loopback that keep their connections open until the box is gone. */
+/** Sends requests to boxes on loopback and keeps connections alive until the box closes them. */
 import { Agent, request } from 'node:http';
 import { CallKind, type Call } from './soakRecord.js';
 
-/** Where boxes take requests. */
+/** Address on which a box accepts requests. */
 export interface CallTarget {
   host: string;
   port: number;
 }
 
-/** How long a caller waits, in ms. */
+/** Deadline that callers send with each request, in ms. */
 const DEADLINE_MS = 3000;
-/** Name under which callers reach the routes. */
-export const CALLED_HOST = 'soak.example';
+/** Host name of the configured routes. */
+export const SERVICE_HOST = 'soak.example';
 
-/** What a request asks for. */
-export interface CallOrder {
+/** Parameters of a request. */
+export interface CallSpec {
   requestId: string;
   kind: CallKind;
   box: number;
@@ -23,27 +23,27 @@
   version?: number;
 }
 
-/** Sends requests over connections that stay open. */
+/** Sends requests over keep-alive connections. */
 export interface Callers {
-  call: (order: CallOrder, target: CallTarget) => Promise<Call>;
+  call: (spec: CallSpec, target: CallTarget) => Promise<Call>;
   close: () => void;
 }
 
-/** Opens the callers. */
-export function openCallers(): Callers {
+/** Creates callers that share one pool of connections. */
+export function createCallers(): Callers {
   const agent = new Agent({ keepAlive: true, maxSockets: 64 });
   return {
-    call: (order, target) => send(agent, order, target),
+    call: (spec, target) => send(agent, spec, target),
     close: () => agent.destroy(),
   };
 }
 
-function send(agent: Agent, order: CallOrder, target: CallTarget): Promise<Call> {
-  const { requestId, kind, box, key, path, version } = order;
+function send(agent: Agent, spec: CallSpec, target: CallTarget): Promise<Call> {
+  const { requestId, kind, box, key, path, version } = spec;
   const sentAtMs = performance.now();
   const isPost = kind === CallKind.notice || kind === CallKind.draft;
   const headers = {
-    Host: CALLED_HOST,
+    Host: SERVICE_HOST,
     Authorization: `Bearer ${key}`,
     'X-Reedlug-Request-Id': requestId,
     'X-Reedlug-Deadline-Ms': String(DEADLINE_MS),
@@ -51,11 +51,11 @@
   return new Promise((resolve) => {
     let body = '';
     let status: number | undefined;
-    const end = (isWhole: boolean): void => {
+    const finish = (isWhole: boolean): void => {
       clearTimeout(timer);
       const endedAtMs = performance.now();
-      const seen = { status, body, isWhole, version };
-      resolve({ requestId, kind, box, key, sentAtMs, endedAtMs, ...seen });
+      const outcome = { status, body, isWhole, version };
+      resolve({ requestId, kind, box, key, sentAtMs, endedAtMs, ...outcome });
     };
     const outgoing = request({
       ...target,
@@ -65,15 +65,15 @@
       headers,
     });
     const timer = setTimeout(() => outgoing.destroy(), DEADLINE_MS + 500);
-    outgoing.on('response', (answer) => {
-      status = answer.statusCode;
-      answer.setEncoding('utf8');
-      answer.on('data', (text: string) => (body += text));
-      answer.on('error', () => undefined);
-      answer.on('close', () => end(answer.complete));
+    outgoing.on('response', (response) => {
+      status = response.statusCode;
+      response.setEncoding('utf8');
+      response.on('data', (text: string) => (body += text));
+      response.on('error', () => undefined);
+      response.on('close', () => finish(response.complete));
     });
     outgoing.on('error', () => {
-      if (status === undefined) end(false);
+      if (status === undefined) finish(false);
     });
     outgoing.end(isPost ? 'a body of some bytes' : undefined);
   });
