--- a/packages/reedlug-check/src/__tests__/check.test.ts
+++ b/packages/reedlug-check/src/__tests__/check.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { Mutation } from 'reedlug-decisions';
-import { BENIGN_FAULTS, drawPlan } from '../check/checkPlan.js';
+import { BENIGN_FAULTS, generatePlan } from '../check/checkPlan.js';
 import { ALL_FAULTS, runCheck } from '../check/runCheck.js';
 import { runPlan } from '../check/runSeed.js';
 
@@ -36,7 +36,7 @@
 }
 
 test('a seed gives the same run each time', () => {
-  const plan = drawPlan({ seed: 9, lengthMs: 8000, faultCount: 6, kinds: ALL_FAULTS });
+  const plan = generatePlan({ seed: 9, lengthMs: 8000, faultCount: 6, kinds: ALL_FAULTS });
   const first = runPlan(plan, new Set());
   const second = runPlan(plan, new Set());
   expect(second).deep.equal(first);
--- a/packages/reedlug-check/src/check/callers.ts
+++ b/packages/reedlug-check/src/check/callers.ts
@@ -4,7 +4,7 @@
 import { answerToken } from 'reedlug-standins';
 import { emit } from '../world/emit.js';
 import type { World, WorldBox } from '../world/worldTypes.js';
-import { CallKind, CHECK_BOX_IDS, chosen, type PlannedCall } from './checkPlan.js';
+import { CallKind, CHECK_BOX_IDS, elementAtFraction, type PlannedCall } from './checkPlan.js';
 import { CHECK_MODEL, CHECK_SERVICE } from './checkSettings.js';
 
 type Finish = Extract<Effect, { type: 'finishRequest' }>;
@@ -18,7 +18,7 @@
   tokens: string[];
   finish: Finish | undefined;
   /** The call that this one goes on with, after a reconnect. */
-  follows: Call | undefined;
+  resumedFrom: Call | undefined;
   gone: boolean;
 }
 
@@ -54,20 +54,21 @@
   const isConnected = (boxId: string, requestId: string): boolean =>
     callers.calls.get(requestId)?.boxId === boxId;
   world.observer.onTokens = (boxId, requestId, offset, tokens) => {
-    if (isConnected(boxId, requestId)) takeTokens(callers, requestId, offset, tokens);
+    if (isConnected(boxId, requestId)) receiveTokens(callers, requestId, offset, tokens);
   };
   world.observer.onFinish = (boxId, finish) => {
-    if (isConnected(boxId, finish.requestId)) takeFinish(world, callers, finish);
+    if (isConnected(boxId, finish.requestId)) handleFinish(world, callers, finish);
   };
-  world.observer.onRun = (_serverId, requestId) => noteRun(callers, requestId, keys.get(requestId));
-  for (const call of planned) world.queue.at(call.atMs, () => place(world, callers, call));
+  world.observer.onRun = (_serverId, requestId) =>
+    recordRun(callers, requestId, keys.get(requestId));
+  for (const call of planned) world.queue.at(call.atMs, () => submitCall(world, callers, call));
   return callers;
 }
 
-function noteRun(callers: Callers, requestId: string, key: string | undefined): void {
+function recordRun(callers: Callers, requestId: string, key: string | undefined): void {
   callers.ran.add(requestId);
-  const told = callers.calls.get(requestId)?.finish;
-  if (told?.outcome === Outcome.notRun) {
+  const finish = callers.calls.get(requestId)?.finish;
+  if (finish?.outcome === Outcome.notRun) {
     callers.violations.push({ name: 'notRunDidRun', detail: `${requestId} ran after notRun` });
   }
   if (key === undefined) return;
@@ -77,8 +78,8 @@
     callers.violations.push({ name: 'keyRanTwice', detail: `${key} ran ${runs} times` });
 }
 
-function place(world: World, callers: Callers, planned: PlannedCall): void {
-  const boxId = chosen(CHECK_BOX_IDS, planned.box);
+function submitCall(world: World, callers: Callers, planned: PlannedCall): void {
+  const boxId = elementAtFraction(CHECK_BOX_IDS, planned.box);
   const box = boxId === undefined ? undefined : world.boxes.get(boxId);
   if (boxId === undefined || box?.alive !== true) return;
   const call: Call = {
@@ -87,7 +88,7 @@
     box,
     tokens: [],
     finish: undefined,
-    follows: undefined,
+    resumedFrom: undefined,
     gone: false,
   };
   callers.calls.set(planned.requestId, call);
@@ -101,31 +102,35 @@
 }
 
 function specOf(world: World, call: PlannedCall): RequestSpec {
-  const toService =
+  const isService =
     call.kind === CallKind.lookUp ||
     call.kind === CallKind.notice ||
     call.kind === CallKind.unkeyedChange;
-  const patient = call.kind === CallKind.draft || call.kind === CallKind.singleDraft;
-  const requestClass = patient ? 'patient' : 'urgent';
-  const once: readonly CallKind[] = [CallKind.notice, CallKind.unkeyedChange, CallKind.singleDraft];
+  const isPatient = call.kind === CallKind.draft || call.kind === CallKind.singleDraft;
+  const requestClass = isPatient ? 'patient' : 'urgent';
+  const nonRepeatableKinds: readonly CallKind[] = [
+    CallKind.notice,
+    CallKind.unkeyedChange,
+    CallKind.singleDraft,
+  ];
   return {
     requestId: call.requestId,
     workspaceId: call.workspaceId,
     requestClass,
-    kind: toService ? 'service' : 'engine',
-    pool: toService ? CHECK_SERVICE : CHECK_MODEL,
+    kind: isService ? 'service' : 'engine',
+    pool: isService ? CHECK_SERVICE : CHECK_MODEL,
     version: '',
-    repeatable: !once.includes(call.kind),
+    repeatable: !nonRepeatableKinds.includes(call.kind),
     idempotencyKey: call.key,
     digest: call.key ?? '',
     deadlineAtMs: world.queue.nowMs() + DEADLINE_MS[requestClass],
     affinityHash: hashString(`${call.workspaceId}|${call.conversation}`),
-    promptTokens: toService ? 0 : call.promptTokens,
-    maxTokens: toService ? 0 : call.maxTokens,
+    promptTokens: isService ? 0 : call.promptTokens,
+    maxTokens: isService ? 0 : call.maxTokens,
   };
 }
 
-function takeTokens(
+function receiveTokens(
   callers: Callers,
   requestId: string,
   offset: number,
@@ -133,7 +138,7 @@
 ): void {
   const call = callers.calls.get(requestId);
   if (call === undefined) return;
-  const source = originOf(call).planned.requestId;
+  const source = originalCall(call).planned.requestId;
   for (const [index, token] of tokens.entries()) {
     const at = offset + index;
     if (at !== call.tokens.length || token !== answerToken(source, at)) {
@@ -145,11 +150,11 @@
   }
 }
 
-function originOf(call: Call): Call {
-  return call.follows === undefined ? call : originOf(call.follows);
+function originalCall(call: Call): Call {
+  return call.resumedFrom === undefined ? call : originalCall(call.resumedFrom);
 }
 
-function takeFinish(world: World, callers: Callers, finish: Finish): void {
+function handleFinish(world: World, callers: Callers, finish: Finish): void {
   const call = callers.calls.get(finish.requestId);
   if (call === undefined) return;
   if (call.finish !== undefined) {
@@ -167,15 +172,15 @@
     callers.violations.push({ name: 'notRunDidRun', detail: `${requestId} is notRun and ran` });
   }
   if (finish.outcome !== Outcome.completed) return;
-  const origin = originOf(call).planned;
-  const isModel = specIsModel(origin);
+  const origin = originalCall(call).planned;
+  const isModel = isModelCall(origin);
   if (isModel && call.tokens.length !== origin.maxTokens) {
     const detail = `${requestId} is completed with ${call.tokens.length} of ${origin.maxTokens} tokens`;
     callers.violations.push({ name: 'partialShownWhole', detail });
   }
 }
 
-function specIsModel(call: PlannedCall): boolean {
+function isModelCall(call: PlannedCall): boolean {
   return (
     call.kind === CallKind.draft ||
     call.kind === CallKind.urgentDraft ||
@@ -192,18 +197,18 @@
     const next = alive.find(([id]) => id !== call.boxId);
     if (next === undefined) return;
     const [boxId, box] = next;
-    const origin = originOf(call).planned;
+    const origin = originalCall(call).planned;
     const followId = `${call.planned.requestId}-follow`;
-    const follower: Call = {
+    const resumedCall: Call = {
       planned: { ...origin, requestId: followId },
       boxId,
       box,
       tokens: [...call.tokens],
       finish: undefined,
-      follows: call,
+      resumedFrom: call,
       gone: false,
     };
-    callers.calls.set(followId, follower);
+    callers.calls.set(followId, resumedCall);
     emit(world, box, {
       type: 'followAsked',
       followId,
--- a/packages/reedlug-check/src/check/checkPlan.ts
+++ b/packages/reedlug-check/src/check/checkPlan.ts
@@ -92,10 +92,10 @@
 /** Time before the first fault, in which the boxes get to know each other. */
 const WARM_UP_MS = 2500;
 const CALLS_PER_SECOND = 12;
-const RACES = 4;
+const RACE_COUNT = 4;
 
 /** Draws a plan. */
-export function drawPlan(params: {
+export function generatePlan(params: {
   seed: number;
   lengthMs: number;
   faultCount: number;
@@ -106,13 +106,13 @@
   return {
     seed: params.seed,
     lengthMs,
-    calls: drawCalls(random, params.seed, lengthMs),
-    faults: drawFaults(random, lengthMs, params.faultCount, params.kinds),
-    races: drawRaces(random, lengthMs),
+    calls: generateCalls(random, params.seed, lengthMs),
+    faults: generateFaults(random, lengthMs, params.faultCount, params.kinds),
+    races: generateRaces(random, lengthMs),
   };
 }
 
-function drawFaults(
+function generateFaults(
   random: Random,
   lengthMs: number,
   count: number,
@@ -127,13 +127,13 @@
   }));
   // Every third fault strikes together with the one before it.
   for (const [index, fault] of faults.entries()) {
-    const before = faults[index - 1];
-    if (index % 3 === 2 && before !== undefined) fault.atMs = before.atMs + random.unit() * 200;
+    const previous = faults[index - 1];
+    if (index % 3 === 2 && previous !== undefined) fault.atMs = previous.atMs + random.unit() * 200;
   }
   return faults.sort((a, b) => a.atMs - b.atMs);
 }
 
-function drawCalls(random: Random, seed: number, lengthMs: number): PlannedCall[] {
+function generateCalls(random: Random, seed: number, lengthMs: number): PlannedCall[] {
   const calls: PlannedCall[] = [];
   const kinds = [
     ...Array<CallKind>(4).fill(CallKind.lookUp),
@@ -146,14 +146,19 @@
   let atMs = WARM_UP_MS - 500;
   while (atMs < lengthMs) {
     atMs += random.exponential(1000 / CALLS_PER_SECOND);
-    const call = drawCall(random, `r${seed}-${calls.length}`, random.pick(kinds), atMs);
+    const call = generateCall(random, `r${seed}-${calls.length}`, random.pick(kinds), atMs);
     calls.push(call);
-    if (call.key !== undefined) calls.push(...drawRepeats(random, call));
+    if (call.key !== undefined) calls.push(...generateDuplicates(random, call));
   }
   return calls.sort((a, b) => a.atMs - b.atMs);
 }
 
-function drawCall(random: Random, requestId: string, kind: CallKind, atMs: number): PlannedCall {
+function generateCall(
+  random: Random,
+  requestId: string,
+  kind: CallKind,
+  atMs: number,
+): PlannedCall {
   const isDraft = kind === CallKind.draft || kind === CallKind.singleDraft;
   return {
     atMs,
@@ -170,10 +175,10 @@
 }
 
 /** The same notice again, at other boxes, at once or later. */
-function drawRepeats(random: Random, call: PlannedCall): PlannedCall[] {
-  const repeats: PlannedCall[] = [];
+function generateDuplicates(random: Random, call: PlannedCall): PlannedCall[] {
+  const duplicates: PlannedCall[] = [];
   for (let index = 1; random.chance(0.5) && index < 4; index += 1) {
-    repeats.push({
+    duplicates.push({
       ...call,
       requestId: `${call.requestId}-again${index}`,
       atMs: call.atMs + random.pick([0, 1, 20, 300, 2500]) * random.unit(),
@@ -181,11 +186,11 @@
       goneAfterMs: undefined,
     });
   }
-  return repeats;
+  return duplicates;
 }
 
-function drawRaces(random: Random, lengthMs: number): PlannedRace[] {
-  return Array.from({ length: RACES }, (_, index) => ({
+function generateRaces(random: Random, lengthMs: number): PlannedRace[] {
+  return Array.from({ length: RACE_COUNT }, (_, index) => ({
     atMs: WARM_UP_MS + random.unit() * (lengthMs - WARM_UP_MS),
     kind: (['setLimits', 'setPriority', 'setEngine'] as const)[index % 3] ?? 'setLimits',
     item: random.unit(),
@@ -198,11 +203,11 @@
 export const CHECK_BOX_IDS: readonly string[] = checkSettings().boxes.map(({ id }) => id);
 
 /** An element by a number in [0, 1); undefined for an empty list. */
-export function chosen<T>(items: readonly T[], at: number): T | undefined {
-  return items[Math.floor(at * items.length)];
+export function elementAtFraction<T>(items: readonly T[], fraction: number): T | undefined {
+  return items[Math.floor(fraction * items.length)];
 }
 
 /** A zone by a number in [0, 1). */
-export function chosenZone(at: number): string {
-  return chosen(CHECK_ZONES, at) ?? CHECK_ZONES[0];
+export function zoneAtFraction(fraction: number): string {
+  return elementAtFraction(CHECK_ZONES, fraction) ?? CHECK_ZONES[0];
 }
--- a/packages/reedlug-check/src/check/inForce.ts
+++ b/packages/reedlug-check/src/check/inForce.ts
@@ -7,9 +7,9 @@
 /** Earliest time of the confirm, when the boxes know each other, and the span that it varies over. */
 const CONFIRM_FROM_MS = 4000;
 const CONFIRM_SPAN_MS = 1000;
-const SPREAD_MS = 137;
+const CONFIRM_STEP_MS = 137;
 const STEP_MS = 50;
-const GIVE_UP_MS = 20_000;
+const TIMEOUT_MS = 20_000;
 
 /** Confirms a plan at one box; returns the ms until every box has its revision. */
 export function measureInForceMs(params: {
@@ -22,14 +22,22 @@
   if (params.cutFromPlatform !== undefined) world.cutFromPlatform.add(params.cutFromPlatform);
   world.observer.onOperator = (askId, answer) => {
     if (answer.kind === 'planned')
-      ask(world, params.boxId, `${askId}-confirm`, { kind: 'confirm', plan: answer.plan });
+      sendOperatorRequest(world, params.boxId, `${askId}-confirm`, {
+        kind: 'confirm',
+        plan: answer.plan,
+      });
   };
   // Polls beat together, so the moment of the confirm must not.
-  const confirmAtMs = CONFIRM_FROM_MS + ((params.seed * SPREAD_MS) % CONFIRM_SPAN_MS);
+  const confirmAtMs = CONFIRM_FROM_MS + ((params.seed * CONFIRM_STEP_MS) % CONFIRM_SPAN_MS);
   runUntil(world, confirmAtMs);
   const intent = { kind: 'createService', service: 'permits', deduplicates: false } as const;
-  ask(world, params.boxId, 'ask', { kind: 'plan', operatorId: 'o', planId: 'p', intent });
-  for (let waitedMs = STEP_MS; waitedMs <= GIVE_UP_MS; waitedMs += STEP_MS) {
+  sendOperatorRequest(world, params.boxId, 'ask', {
+    kind: 'plan',
+    operatorId: 'o',
+    planId: 'p',
+    intent,
+  });
+  for (let waitedMs = STEP_MS; waitedMs <= TIMEOUT_MS; waitedMs += STEP_MS) {
     runUntil(world, confirmAtMs + waitedMs);
     if ([...world.boxes.values()].every(({ state }) => state.config.revision === 1))
       return waitedMs;
@@ -37,11 +45,16 @@
   return Number.POSITIVE_INFINITY;
 }
 
-type OperatorAsk = Extract<Parameters<typeof emit>[2], { type: 'operatorAsked' }>['ask'];
+type OperatorRequest = Extract<Parameters<typeof emit>[2], { type: 'operatorAsked' }>['ask'];
 
-function ask(world: World, boxId: string, askId: string, asked: OperatorAsk): void {
+function sendOperatorRequest(
+  world: World,
+  boxId: string,
+  askId: string,
+  request: OperatorRequest,
+): void {
   const box = world.boxes.get(boxId);
   if (box === undefined) return;
   const epochMs = world.epochStartMs + world.queue.nowMs();
-  emit(world, box, { type: 'operatorAsked', askId, ask: asked, epochMs });
+  emit(world, box, { type: 'operatorAsked', askId, ask: request, epochMs });
 }
--- a/packages/reedlug-check/src/check/throwFault.ts
+++ b/packages/reedlug-check/src/check/injectFault.ts
@@ -3,30 +3,30 @@
 import { emit } from '../world/emit.js';
 import { addServer } from '../world/world.js';
 import type { World, WorldServer } from '../world/worldTypes.js';
-import { chosen, chosenZone, FaultKind, type PlannedFault } from './checkPlan.js';
+import { elementAtFraction, zoneAtFraction, FaultKind, type PlannedFault } from './checkPlan.js';
 
 /** Shortest notice of a reclaim, in ms. */
 const MIN_NOTICE_MS = 1000;
-const RESTART_MS = 1500;
-const LOST_SHARE = 0.5;
-const STALE_LIST_MS = 8000;
-const NORMAL_LIST_MS = 1000;
+const RESTART_DELAY_MS = 1500;
+const LOST_ANSWER_SHARE = 0.5;
+const STALE_LIST_LAG_MS = 8000;
+const NORMAL_LIST_LAG_MS = 1000;
 /** A box's own notice leaves time to hand its requests over. */
 const BOX_NOTICE_MS = 2500;
 
 /** Throws one fault. */
-export function throwFault(world: World, fault: PlannedFault): void {
+export function injectFault(world: World, fault: PlannedFault): void {
   const { faults } = world;
   const untilMs = world.queue.nowMs() + fault.durationMs;
   switch (fault.kind) {
     case FaultKind.reclaimServer:
-      return withServer(world, fault, reclaimable, ({ spec }) =>
+      return withServer(world, fault, isReclaimable, ({ spec }) =>
         reclaimServer(world, spec.id, MIN_NOTICE_MS + fault.durationMs),
       );
     case FaultKind.reclaimZone:
-      return reclaimZone(world, chosenZone(fault.target), MIN_NOTICE_MS + fault.durationMs);
+      return reclaimZone(world, zoneAtFraction(fault.target), MIN_NOTICE_MS + fault.durationMs);
     case FaultKind.partialNotice:
-      return withServer(world, fault, reclaimable, ({ spec }) =>
+      return withServer(world, fault, isReclaimable, ({ spec }) =>
         reclaimServer(world, spec.id, fault.durationMs, () => world.random.chance(0.5)),
       );
     case FaultKind.killServer:
@@ -51,7 +51,7 @@
       faults.refuseStartsUntilMs = untilMs;
       return undefined;
     case FaultKind.killBox:
-      return withBox(world, fault, (boxId) => boxRestarts(world, boxId, RESTART_MS));
+      return withBox(world, fault, (boxId) => boxRestarts(world, boxId, RESTART_DELAY_MS));
     case FaultKind.pauseBox:
       return withBox(world, fault, (boxId) => {
         const box = world.boxes.get(boxId);
@@ -68,48 +68,53 @@
       faults.tableSlowUntilMs = untilMs;
       return undefined;
     case FaultKind.loseAnswers:
-      faults.loseAnswers = LOST_SHARE;
+      faults.loseAnswers = LOST_ANSWER_SHARE;
       world.queue.at(untilMs, () => {
         faults.loseAnswers = 0;
       });
       return undefined;
     case FaultKind.cutPlatform: {
-      const zone = chosenZone(fault.target);
+      const zone = zoneAtFraction(fault.target);
       world.cutFromPlatform.add(zone);
       world.queue.at(untilMs, () => world.cutFromPlatform.delete(zone));
       return undefined;
     }
     case FaultKind.cutZones:
-      return cutZones(world, chosenZone(fault.target), chosenZone(fault.other), untilMs);
+      return partitionZones(
+        world,
+        zoneAtFraction(fault.target),
+        zoneAtFraction(fault.other),
+        untilMs,
+      );
     case FaultKind.staleList:
-      faults.listLagMs = STALE_LIST_MS;
+      faults.listLagMs = STALE_LIST_LAG_MS;
       world.queue.at(untilMs, () => {
-        faults.listLagMs = NORMAL_LIST_MS;
+        faults.listLagMs = NORMAL_LIST_LAG_MS;
       });
       return undefined;
   }
 }
 
-function reclaimable({ spec }: WorldServer): boolean {
+function isReclaimable({ spec }: WorldServer): boolean {
   return spec.reclaimable;
 }
 
 function withServer(
   world: World,
   fault: PlannedFault,
-  fits: (server: WorldServer) => boolean,
+  matches: (server: WorldServer) => boolean,
   run: (server: WorldServer) => void,
 ): void {
-  const servers = [...world.servers.values()].filter((server) => server.alive && fits(server));
-  const server = chosen(servers, fault.target);
+  const servers = [...world.servers.values()].filter((server) => server.alive && matches(server));
+  const server = elementAtFraction(servers, fault.target);
   if (server !== undefined) run(server);
 }
 
 function withBox(world: World, fault: PlannedFault, run: (boxId: string) => void): void {
   const alive = [...world.boxes].filter(([, box]) => box.alive && box.state.draining === undefined);
-  const MIN_LEFT = 2;
-  if (alive.length <= MIN_LEFT) return;
-  const box = chosen(alive, fault.target);
+  const MIN_ALIVE_BOXES = 2;
+  if (alive.length <= MIN_ALIVE_BOXES) return;
+  const box = elementAtFraction(alive, fault.target);
   if (box !== undefined) run(box[0]);
 }
 
@@ -117,13 +122,13 @@
 function killServer(world: World, server: WorldServer): void {
   serverEnds(world, server.spec.id);
   if (server.kind !== 'service') return;
-  world.queue.at(world.queue.nowMs() + RESTART_MS, () => addServer(world, server.spec));
+  world.queue.at(world.queue.nowMs() + RESTART_DELAY_MS, () => addServer(world, server.spec));
 }
 
 /** An engine is changed by someone else, for a while. */
 function changeEngine(world: World, fault: PlannedFault): void {
   const engines = [...world.servers.values()].filter((server) => server.kind === 'engine');
-  const engine = chosen(engines, fault.target);
+  const engine = elementAtFraction(engines, fault.target);
   if (engine?.kind !== 'engine') return;
   const { model } = engine.model;
   engine.model.model = 'other';
@@ -151,13 +156,13 @@
 }
 
 function restartWhenDead(world: World, boxId: string): void {
-  world.queue.at(world.queue.nowMs() + RESTART_MS, () => {
+  world.queue.at(world.queue.nowMs() + RESTART_DELAY_MS, () => {
     if (world.boxes.get(boxId)?.alive === true) restartWhenDead(world, boxId);
     else boxRestarts(world, boxId, 0);
   });
 }
 
-function cutZones(world: World, a: string, b: string, untilMs: number): void {
+function partitionZones(world: World, a: string, b: string, untilMs: number): void {
   if (a === b) return;
   const pairs = [`${a}|${b}`, `${b}|${a}`];
   for (const pair of pairs) world.cutZones.add(pair);
--- a/packages/reedlug-check/src/check/operators.ts
+++ b/packages/reedlug-check/src/check/operators.ts
@@ -3,7 +3,7 @@
 import { emit } from '../world/emit.js';
 import type { World } from '../world/worldTypes.js';
 import type { WorldViolation } from './callers.js';
-import { CHECK_BOX_IDS, chosen, type PlannedRace } from './checkPlan.js';
+import { CHECK_BOX_IDS, elementAtFraction, type PlannedRace } from './checkPlan.js';
 import { CHECK_MODEL, CHECK_WORKSPACES } from './checkSettings.js';
 
 /** What became of the operators' plans. */
@@ -16,19 +16,19 @@
 /** Wires operators into a world. */
 export function createOperators(world: World, races: readonly PlannedRace[]): Operators {
   const operators: Operators = { confirmed: 0, conflicts: 0, violations: [] };
-  const waits = new Map<string, (answer: OperatorAnswer) => void>();
-  const taken = new Map<string, string>();
-  world.observer.onOperator = (askId, answer) => waits.get(askId)?.(answer);
+  const answerHandlers = new Map<string, (answer: OperatorAnswer) => void>();
+  const planByItemRevision = new Map<string, string>();
+  world.observer.onOperator = (askId, answer) => answerHandlers.get(askId)?.(answer);
   for (const [index, race] of races.entries()) {
     for (const side of [0, 1] as const) {
       const atMs = race.atMs + side * race.secondAfterMs;
-      world.queue.at(atMs, () => askPlan(index, side, race));
+      world.queue.at(atMs, () => requestPlan(index, side, race));
     }
   }
 
-  function askPlan(index: number, side: 0 | 1, race: PlannedRace): void {
+  function requestPlan(index: number, side: 0 | 1, race: PlannedRace): void {
     const planId = `plan-${index}-${side}`;
-    waits.set(`ask-${planId}`, (answer) => {
+    answerHandlers.set(`ask-${planId}`, (answer) => {
       if (answer.kind === 'planned') confirm(race.boxes[side], answer.plan);
     });
     const operatorId = `operator-${side}`;
@@ -38,26 +38,26 @@
 
   function confirm(box: number, plan: Plan): void {
     const askId = `confirm-${plan.planId}`;
-    waits.set(askId, (answer) => noteConfirm(plan, answer));
+    answerHandlers.set(askId, (answer) => recordConfirmation(plan, answer));
     send(box, askId, { kind: 'confirm', plan });
   }
 
-  function noteConfirm(plan: Plan, answer: OperatorAnswer): void {
+  function recordConfirmation(plan: Plan, answer: OperatorAnswer): void {
     if (answer.kind === 'conflict') operators.conflicts += 1;
     if (answer.kind !== 'confirmed') return;
     operators.confirmed += 1;
     for (const { name, revision } of plan.basis) {
       const key = `${name}@${revision}`;
-      const first = taken.get(key);
-      taken.set(key, plan.planId);
+      const first = planByItemRevision.get(key);
+      planByItemRevision.set(key, plan.planId);
       if (first === undefined) continue;
       const detail = `${first} and ${plan.planId} both changed ${key}`;
       operators.violations.push({ name: 'bothConfirmed', detail });
     }
   }
 
-  function send(at: number, askId: string, ask: OperatorRequest): void {
-    const box = world.boxes.get(chosen(CHECK_BOX_IDS, at) ?? '');
+  function send(boxFraction: number, askId: string, ask: OperatorRequest): void {
+    const box = world.boxes.get(elementAtFraction(CHECK_BOX_IDS, boxFraction) ?? '');
     if (box === undefined) return;
     const epochMs = world.epochStartMs + world.queue.nowMs();
     emit(world, box, { type: 'operatorAsked', askId, ask, epochMs });
@@ -66,7 +66,7 @@
 }
 
 function intentOf(race: PlannedRace, side: number): Intent {
-  const workspaceId = chosen(CHECK_WORKSPACES, race.item) ?? CHECK_WORKSPACES[0];
+  const workspaceId = elementAtFraction(CHECK_WORKSPACES, race.item) ?? CHECK_WORKSPACES[0];
   switch (race.kind) {
     case 'setLimits':
       return {
--- a/packages/reedlug-check/src/check/runCheck.ts
+++ b/packages/reedlug-check/src/check/runCheck.ts
@@ -1,8 +1,8 @@
 /** Checks a range of seeds and sums up. */
 import type { Mutation } from 'reedlug-decisions';
-import { drawPlan, FaultKind } from './checkPlan.js';
+import { generatePlan, FaultKind } from './checkPlan.js';
 import { runPlan, type SeedResult } from './runSeed.js';
-import { shrinkPlan, type Shrunk } from './shrink.js';
+import { shrinkPlan, type ShrunkPlan } from './shrink.js';
 
 /** What to check. */
 export interface CheckOptions {
@@ -22,7 +22,7 @@
   seeds: number;
   events: number;
   faults: number;
-  violations: Shrunk[];
+  violations: ShrunkPlan[];
   faultCounts: Partial<Record<FaultKind, number>>;
   outcomes: Record<string, number>;
   confirmed: number;
@@ -33,7 +33,7 @@
 export const ALL_FAULTS: readonly FaultKind[] = Object.values(FaultKind);
 
 /** Events that a second of a run has at the least. */
-const EVENTS_PER_SECOND = 200;
+const MIN_EVENTS_PER_SECOND = 200;
 const FAULTS_PER_SECOND = 0.8;
 
 /** Runs the seeds. */
@@ -48,12 +48,12 @@
     confirmed: 0,
     conflicts: 0,
   };
-  const lengthMs = Math.max(6000, (options.minEvents / EVENTS_PER_SECOND) * 1000);
+  const lengthMs = Math.max(6000, (options.minEvents / MIN_EVENTS_PER_SECOND) * 1000);
   const faultCount = Math.round((lengthMs / 1000) * FAULTS_PER_SECOND);
   for (let seed = options.firstSeed; seed <= options.lastSeed; seed += 1) {
-    const plan = drawPlan({ seed, lengthMs, faultCount, kinds: options.kinds });
+    const plan = generatePlan({ seed, lengthMs, faultCount, kinds: options.kinds });
     const result = runPlan(plan, options.mutations);
-    addTo(summary, result);
+    addResult(summary, result);
     options.onSeed?.(result);
     if (result.violation === undefined) continue;
     if (options.stopAtFirst) {
@@ -65,7 +65,7 @@
   return summary;
 }
 
-function addTo(summary: CheckSummary, result: SeedResult): void {
+function addResult(summary: CheckSummary, result: SeedResult): void {
   summary.seeds += 1;
   summary.events += result.events;
   summary.faults += result.faults;
--- a/packages/reedlug-check/src/check/runSeed.ts
+++ b/packages/reedlug-check/src/check/runSeed.ts
@@ -13,7 +13,7 @@
 import { BENIGN_FAULTS, FaultKind, type CheckPlan } from './checkPlan.js';
 import { checkSettings } from './checkSettings.js';
 import { createOperators, type Operators } from './operators.js';
-import { throwFault } from './throwFault.js';
+import { injectFault } from './injectFault.js';
 
 /** What came of a run. */
 export interface SeedResult {
@@ -30,8 +30,8 @@
 }
 
 /** Time after the last call and fault in which everything has to come to its end. */
-const QUIET_MS = 45_000;
-const LAST_EVENTS = 60;
+const SETTLE_MS = 45_000;
+const MAX_LAST_EVENTS = 60;
 
 /** Takes the lives and events of the boxes, for a trace. */
 export interface RunRecorder {
@@ -59,13 +59,13 @@
     recorder?.onEvent(boxId, event);
     if (event.type === 'tick') return;
     lastEvents.push(`${boxId} ${JSON.stringify(event)}`);
-    if (lastEvents.length > LAST_EVENTS) lastEvents.shift();
+    if (lastEvents.length > MAX_LAST_EVENTS) lastEvents.shift();
   };
   const callers = createCallers(world, plan.calls);
   const operators = createOperators(world, plan.races);
-  const orders = watchOrders(world);
-  for (const fault of plan.faults) world.queue.at(fault.atMs, () => throwFault(world, fault));
-  const violation = play(world, plan, callers, operators, orders);
+  const orderViolations = watchFences(world);
+  for (const fault of plan.faults) world.queue.at(fault.atMs, () => injectFault(world, fault));
+  const violation = findViolation(world, plan, callers, operators, orderViolations);
   return {
     seed: plan.seed,
     events: world.eventCount,
@@ -107,41 +107,41 @@
 }
 
 /** Orders must never step back at a server, and no two holders may use one fence. */
-function watchOrders(world: World): WorldViolation[] {
+function watchFences(world: World): WorldViolation[] {
   const violations: WorldViolation[] = [];
-  const highest = new Map<string, number>();
-  const holders = new Map<number, string>();
+  const highestFences = new Map<string, number>();
+  const fenceHolders = new Map<number, string>();
   world.observer.onOrder = (serverId, fence, sentBy) => {
-    const holder = holders.get(fence) ?? sentBy;
-    holders.set(fence, holder);
+    const holder = fenceHolders.get(fence) ?? sentBy;
+    fenceHolders.set(fence, holder);
     if (holder !== sentBy) {
       const detail = `${holder} and ${sentBy} both sent orders under fence ${fence}`;
       violations.push({ name: 'fenceShared', detail });
     }
-    const before = highest.get(serverId) ?? 0;
-    if (fence < before) {
-      const detail = `${serverId} took fence ${fence} of ${sentBy} after ${before}`;
+    const previous = highestFences.get(serverId) ?? 0;
+    if (fence < previous) {
+      const detail = `${serverId} took fence ${fence} of ${sentBy} after ${previous}`;
       violations.push({ name: 'orderSteppedBack', detail });
     }
-    highest.set(serverId, Math.max(before, fence));
+    highestFences.set(serverId, Math.max(previous, fence));
   };
   return violations;
 }
 
-function play(
+function findViolation(
   world: World,
   plan: CheckPlan,
   callers: Callers,
   operators: Operators,
-  orders: readonly WorldViolation[],
+  orderViolations: readonly WorldViolation[],
 ): WorldViolation | undefined {
   try {
     const STEP_MS = 1000;
-    const endMs = plan.lengthMs + QUIET_MS;
+    const endMs = plan.lengthMs + SETTLE_MS;
     for (let untilMs = STEP_MS; untilMs <= endMs; untilMs += STEP_MS) {
       runUntil(world, untilMs);
-      const found = callers.violations[0] ?? operators.violations[0] ?? orders[0];
-      if (found !== undefined) return found;
+      const violation = callers.violations[0] ?? operators.violations[0] ?? orderViolations[0];
+      if (violation !== undefined) return violation;
       if (untilMs > plan.lengthMs + STEP_MS * 8 && allFinished(callers)) break;
     }
   } catch (error) {
@@ -149,24 +149,28 @@
     const name = error.violation?.name ?? 'unknown';
     return { name, detail: error.message };
   }
-  return atTheEnd(world, plan, callers);
+  return checkFinalState(world, plan, callers);
 }
 
 function allFinished(callers: Callers): boolean {
   return [...callers.calls.values()].every((call) => call.finish !== undefined || !call.box.alive);
 }
 
-function atTheEnd(world: World, plan: CheckPlan, callers: Callers): WorldViolation | undefined {
+function checkFinalState(
+  world: World,
+  plan: CheckPlan,
+  callers: Callers,
+): WorldViolation | undefined {
   for (const call of callers.calls.values()) {
     if (call.finish === undefined && call.box.alive) {
       const phase = call.box.state.requests.get(call.planned.requestId)?.phase.kind;
       return { name: 'noOutcome', detail: `${call.planned.requestId} (${phase ?? 'no record'})` };
     }
   }
-  return configNotInForce(world) ?? lostByBenignFaults(plan, callers);
+  return findStaleConfig(world) ?? findLostRequest(plan, callers);
 }
 
-function configNotInForce(world: World): WorldViolation | undefined {
+function findStaleConfig(world: World): WorldViolation | undefined {
   const revisions = [...world.table.rows.keys()].filter((key) => key.startsWith('config/log/'));
   for (const [boxId, box] of world.boxes) {
     if (!box.alive || box.state.config.revision === revisions.length) continue;
@@ -177,7 +181,7 @@
 }
 
 /** Announced faults alone lose nothing that was accepted. */
-function lostByBenignFaults(plan: CheckPlan, callers: Callers): WorldViolation | undefined {
+function findLostRequest(plan: CheckPlan, callers: Callers): WorldViolation | undefined {
   if (!plan.faults.every(({ kind }) => BENIGN_FAULTS.includes(kind))) return undefined;
   for (const call of callers.calls.values()) {
     const { finish, planned } = call;
--- a/packages/reedlug-check/src/check/shrink.ts
+++ b/packages/reedlug-check/src/check/shrink.ts
@@ -4,7 +4,7 @@
 import { runPlan, type SeedResult } from './runSeed.js';
 
 /** A shrunk plan with its result. */
-export interface Shrunk {
+export interface ShrunkPlan {
   plan: CheckPlan;
   result: SeedResult;
 }
@@ -17,16 +17,16 @@
   plan: CheckPlan,
   result: SeedResult,
   mutations: ReadonlySet<Mutation>,
-): Shrunk {
-  const name = result.violation?.name;
-  let best: Shrunk = { plan, result };
+): ShrunkPlan {
+  const violationName = result.violation?.name;
+  let best: ShrunkPlan = { plan, result };
   let runs = 0;
   const tryPlan = (candidate: CheckPlan): boolean => {
     if (runs >= MAX_RUNS) return false;
     runs += 1;
-    const tried = runPlan(candidate, mutations);
-    if (tried.violation?.name !== name) return false;
-    best = { plan: candidate, result: tried };
+    const candidateResult = runPlan(candidate, mutations);
+    if (candidateResult.violation?.name !== violationName) return false;
+    best = { plan: candidate, result: candidateResult };
     return true;
   };
   for (const part of ['faults', 'races', 'calls'] as const) {
@@ -41,14 +41,14 @@
 /** Takes out ever smaller runs of items, as delta debugging does (A. Zeller). */
 function shrinkPart(
   length: number,
-  tryWithout: (keep: (index: number) => boolean) => boolean,
+  tryKeeping: (keep: (index: number) => boolean) => boolean,
 ): void {
-  let left = length;
-  for (let size = Math.ceil(left / 2); size >= 1; size = Math.floor(size / 2)) {
-    for (let start = 0; start < left;) {
+  let remaining = length;
+  for (let size = Math.ceil(remaining / 2); size >= 1; size = Math.floor(size / 2)) {
+    for (let start = 0; start < remaining;) {
       const end = start + size;
-      const shrunk = tryWithout((index) => index < start || index >= end);
-      if (shrunk) left -= Math.min(size, left - start);
+      const shrunk = tryKeeping((index) => index < start || index >= end);
+      if (shrunk) remaining -= Math.min(size, remaining - start);
       else start += size;
     }
   }
--- a/packages/reedlug-check/src/replay/recordWorld.ts
+++ b/packages/reedlug-check/src/replay/recordWorld.ts
@@ -1,5 +1,5 @@
 /** Records the events of one box of a checked run as a trace. */
-import { drawPlan, type FaultKind } from '../check/checkPlan.js';
+import { generatePlan, type FaultKind } from '../check/checkPlan.js';
 import { runPlan } from '../check/runSeed.js';
 import type { TraceHead } from './trace.js';
 
@@ -11,7 +11,7 @@
   kinds: readonly FaultKind[];
 }): string {
   const { seed, lengthMs, kinds, boxId } = params;
-  const plan = drawPlan({ seed, lengthMs, faultCount: Math.round(lengthMs / 1200), kinds });
+  const plan = generatePlan({ seed, lengthMs, faultCount: Math.round(lengthMs / 1200), kinds });
   const lines: string[] = [];
   runPlan(plan, new Set(), {
     onStart: (id, settings, stateSeed, startedAtMs) => {
--- a/packages/reedlug/src/commands/check.ts
+++ b/packages/reedlug/src/commands/check.ts
@@ -6,7 +6,7 @@
   runCheck,
   type CheckSummary,
   type FaultKind,
-  type Shrunk,
+  type ShrunkPlan,
 } from 'reedlug-check';
 import { parseSeedRange } from './seedRange.js';
 
@@ -55,7 +55,7 @@
     return summary.violations.length === 0 ? 0 : 1;
   }
 
-  private async report({ plan, result }: Shrunk): Promise<void> {
+  private async report({ plan, result }: ShrunkPlan): Promise<void> {
     const path = `${this.out}/violation-${result.seed}.json`;
     await writeFile(path, JSON.stringify({ plan, result }, undefined, 2));
     const { name, detail } = result.violation ?? { name: '', detail: '' };
