--- a/packages/reedlug-check/src/measure/measure.ts
+++ b/packages/reedlug-check/src/measure/measure.ts
@@ -41,7 +41,7 @@
 }
 
 /** Engine figures of the fakes. */
-export interface EngineFigures {
+export interface ServerProfile {
   kvCapacityTokens: number;
   prefillTokensPerMs: number;
   interTokenMs: number;
@@ -52,7 +52,7 @@
 /** What to measure. */
 export interface MeasureOptions {
   settings: Omit<DecisionSettings, 'boxId' | 'zone' | 'incarnation'>;
-  engines: EngineFigures;
+  engines: ServerProfile;
   scenario: ScenarioName;
   policy: PolicyVariant;
   seed: number;
@@ -61,7 +61,7 @@
 }
 
 /** First token of 95 in 100, in ms: urgent as the letter has it, patient as a draft may wait. */
-const TARGET_MS = { urgent: 880, patient: 3000 } as const;
+const FIRST_TOKEN_TARGET_MS = { urgent: 880, patient: 3000 } as const;
 const DRAIN_MS = 60_000;
 const HOUR_MS = 3_600_000;
 const TICK_MS = 50;
@@ -69,31 +69,31 @@
 
 /** Runs one measurement. */
 export function measure(options: MeasureOptions): Measurement {
-  const scenario = adjusted(scenarioOf(options.scenario), options.withoutDrafts ?? false);
-  const given = scenario.twoSites ? withSecondSite(options.settings) : options.settings;
-  const settings = settingsFor(given, options.policy);
-  const world = worldFor(options, settings);
-  const engines = options.settings.servers.filter(({ kind }) => kind === 'engine').length;
-  const workload = createWorkload(world, scenario, engines);
-  scenario.happen(world);
+  const scenario = adjustScenario(scenarioOf(options.scenario), options.withoutDrafts ?? false);
+  const baseSettings = scenario.hasSecondSite ? withSecondSite(options.settings) : options.settings;
+  const settings = settingsFor(baseSettings, options.policy);
+  const world = createMeasuredWorld(options, settings);
+  const engineCount = options.settings.servers.filter(({ kind }) => kind === 'engine').length;
+  const workload = createWorkload(world, scenario, engineCount);
+  scenario.scheduleEvents(world);
   runUntil(world, scenario.lengthMs + DRAIN_MS);
   return summarise(options, world, scenario, workload);
 }
 
-function adjusted(scenario: Scenario, withoutDrafts: boolean): Scenario {
+function adjustScenario(scenario: Scenario, withoutDrafts: boolean): Scenario {
   return withoutDrafts ? { ...scenario, patientFactor: () => 0, noisyFactor: 1 } : scenario;
 }
 
-function worldFor(
+function createMeasuredWorld(
   options: MeasureOptions,
   settings: Omit<DecisionSettings, 'boxId' | 'zone' | 'incarnation'>,
 ): World {
-  const { serviceAnswerMs, ...figures } = options.engines;
+  const { serviceAnswerMs, ...engineProfile } = options.engines;
   return createWorld(
     {
       seed: options.seed,
       settings,
-      engineOptions: (spec) => engineOptionsOf(spec, figures, 8),
+      engineOptions: (spec) => engineOptionsOf(spec, engineProfile, 8),
       serviceAnswerMs,
       crossZoneMs: settings.policy.crossZoneMs,
       tickMs: TICK_MS,
@@ -107,28 +107,28 @@
 
 /** A second site as large as the first, with empty caches. */
 function withSecondSite(settings: MeasureOptions['settings']): MeasureOptions['settings'] {
-  const renamed = (name: string): string => `${name}-new`;
+  const newName = (name: string): string => `${name}-new`;
   return {
     ...settings,
     zones: [
       ...settings.zones,
-      ...settings.zones.map(({ name, site }) => ({ name: renamed(name), site: renamed(site) })),
+      ...settings.zones.map(({ name, site }) => ({ name: newName(name), site: newName(site) })),
     ],
     boxes: [
       ...settings.boxes,
-      ...settings.boxes.map((box) => ({ ...box, id: renamed(box.id), zone: renamed(box.zone) })),
+      ...settings.boxes.map((box) => ({ ...box, id: newName(box.id), zone: newName(box.zone) })),
     ],
     servers: [
       ...settings.servers,
       ...settings.servers.map((spec) => ({
         ...spec,
-        id: renamed(spec.id),
-        zone: renamed(spec.zone),
+        id: newName(spec.id),
+        zone: newName(spec.zone),
       })),
     ],
     offers: [
       ...settings.offers,
-      ...settings.offers.map((offer) => ({ ...offer, zone: renamed(offer.zone) })),
+      ...settings.offers.map((offer) => ({ ...offer, zone: newName(offer.zone) })),
     ],
   };
 }
@@ -140,43 +140,47 @@
   workload: Workload,
 ): Measurement {
   const { samples } = workload;
-  const engine = samples.filter(({ kind }) => kind === 'engine');
-  const urgent = engine.filter(({ requestClass }) => requestClass === 'urgent');
-  const patient = engine.filter(({ requestClass }) => requestClass === 'patient');
+  const engineSamples = samples.filter(({ kind }) => kind === 'engine');
+  const urgent = engineSamples.filter(({ requestClass }) => requestClass === 'urgent');
+  const patient = engineSamples.filter(({ requestClass }) => requestClass === 'patient');
   const lookUps = samples.filter(({ kind }) => kind === 'service');
-  const within = engine.filter(withinTarget).length;
+  const withinTargetCount = engineSamples.filter(isWithinTarget).length;
   const cost = costOf(world, options.settings.offers, scenario.lengthMs);
   return {
     scenario: options.scenario,
     policy: options.policy,
     seed: options.seed,
-    answersWithinTarget: within,
+    answersWithinTarget: withinTargetCount,
     cost,
-    costPerThousandWithinTarget: (cost / Math.max(1, within)) * 1000,
+    costPerThousandWithinTarget: (cost / Math.max(1, withinTargetCount)) * 1000,
     promptTokens: workload.promptTokens,
     recomputedTokens: workload.recomputedTokens,
     recomputedShare: workload.recomputedTokens / Math.max(1, workload.promptTokens),
-    firstToken: { urgent: firstTokens(urgent), patient: firstTokens(patient) },
-    whole: { urgent: wholes(urgent), patient: wholes(patient), lookUp: wholes(lookUps) },
+    firstToken: { urgent: firstTokenLatency(urgent), patient: firstTokenLatency(patient) },
+    whole: {
+      urgent: wholeAnswerLatency(urgent),
+      patient: wholeAnswerLatency(patient),
+      lookUp: wholeAnswerLatency(lookUps),
+    },
     betweenTokensP95Ms: percentile(
-      completed(engine).map((sample) => sample.betweenTokensMs),
+      completedSamples(engineSamples).map((sample) => sample.betweenTokensMs),
       95,
     ),
-    urgentMissShare: 1 - urgent.filter(withinTarget).length / Math.max(1, urgent.length),
-    refused: counts(samples, isRefused),
-    lost: counts(samples, isLost),
+    urgentMissShare: 1 - urgent.filter(isWithinTarget).length / Math.max(1, urgent.length),
+    refused: countByClass(samples, isRefused),
+    lost: countByClass(samples, isLost),
     busiestOverLeast: busiestOverLeast(patient),
     events: world.eventCount,
   };
 }
 
-function completed(samples: readonly Sample[]): Sample[] {
+function completedSamples(samples: readonly Sample[]): Sample[] {
   return samples.filter(({ outcome }) => outcome === Outcome.completed);
 }
 
-function withinTarget(sample: Sample): boolean {
+function isWithinTarget(sample: Sample): boolean {
   if (sample.outcome !== Outcome.completed || sample.firstTokenMs === undefined) return false;
-  return sample.firstTokenMs <= TARGET_MS[sample.requestClass];
+  return sample.firstTokenMs <= FIRST_TOKEN_TARGET_MS[sample.requestClass];
 }
 
 function isRefused(sample: Sample): boolean {
@@ -188,24 +192,24 @@
   return sample.outcome === Outcome.failed || sample.outcome === Outcome.unknown;
 }
 
-function counts(
+function countByClass(
   samples: readonly Sample[],
-  fits: (sample: Sample) => boolean,
+  matches: (sample: Sample) => boolean,
 ): { urgent: number; patient: number } {
-  const fitting = samples.filter(fits);
-  const urgent = fitting.filter(({ requestClass }) => requestClass === 'urgent').length;
-  return { urgent, patient: fitting.length - urgent };
+  const matching = samples.filter(matches);
+  const urgent = matching.filter(({ requestClass }) => requestClass === 'urgent').length;
+  return { urgent, patient: matching.length - urgent };
 }
 
-function firstTokens(samples: readonly Sample[]): ClassLatency {
-  return latency(completed(samples).map(({ firstTokenMs }) => firstTokenMs ?? 0));
+function firstTokenLatency(samples: readonly Sample[]): ClassLatency {
+  return percentilesOf(completedSamples(samples).map(({ firstTokenMs }) => firstTokenMs ?? 0));
 }
 
-function wholes(samples: readonly Sample[]): ClassLatency {
-  return latency(completed(samples).map(({ wholeMs }) => wholeMs));
+function wholeAnswerLatency(samples: readonly Sample[]): ClassLatency {
+  return percentilesOf(completedSamples(samples).map(({ wholeMs }) => wholeMs));
 }
 
-function latency(values: readonly number[]): ClassLatency {
+function percentilesOf(values: readonly number[]): ClassLatency {
   return {
     p50Ms: percentile(values, 50),
     p95Ms: percentile(values, 95),
@@ -222,12 +226,12 @@
 
 function busiestOverLeast(samples: readonly Sample[]): number {
   const answered = new Map<string, number>();
-  for (const { workspaceId } of completed(samples)) {
+  for (const { workspaceId } of completedSamples(samples)) {
     answered.set(workspaceId, (answered.get(workspaceId) ?? 0) + 1);
   }
-  const sums = [...answered.values()];
-  if (sums.length === 0) return 0;
-  return Math.round((Math.max(...sums) / Math.min(...sums)) * 100) / 100;
+  const answerCounts = [...answered.values()];
+  if (answerCounts.length === 0) return 0;
+  return Math.round((Math.max(...answerCounts) / Math.min(...answerCounts)) * 100) / 100;
 }
 
 /** What the engines cost from the start to the end of the load. */
--- a/packages/reedlug-check/src/measure/median.ts
+++ b/packages/reedlug-check/src/measure/median.ts
@@ -44,23 +44,23 @@
 function rowOf(group: readonly Measurement[]): MedianRow[] {
   const [first] = group;
   if (first === undefined) return [];
-  const of = (value: (result: Measurement) => number): number => median(group.map(value));
+  const medianOf = (value: (result: Measurement) => number): number => median(group.map(value));
   return [
     {
       scenario: first.scenario,
       policy: first.policy,
       seeds: group.length,
-      costPerThousand: of((result) => result.costPerThousandWithinTarget),
-      recomputedTokens: of((result) => result.recomputedTokens),
-      recomputedShare: of((result) => result.recomputedShare),
-      urgentFirstP95Ms: of((result) => result.firstToken.urgent.p95Ms),
-      patientFirstP95Ms: of((result) => result.firstToken.patient.p95Ms),
-      lookUpP95Ms: of((result) => result.whole.lookUp.p95Ms),
-      urgentMissShare: of((result) => result.urgentMissShare),
-      refusedUrgent: of((result) => result.refused.urgent),
-      refusedPatient: of((result) => result.refused.patient),
+      costPerThousand: medianOf((result) => result.costPerThousandWithinTarget),
+      recomputedTokens: medianOf((result) => result.recomputedTokens),
+      recomputedShare: medianOf((result) => result.recomputedShare),
+      urgentFirstP95Ms: medianOf((result) => result.firstToken.urgent.p95Ms),
+      patientFirstP95Ms: medianOf((result) => result.firstToken.patient.p95Ms),
+      lookUpP95Ms: medianOf((result) => result.whole.lookUp.p95Ms),
+      urgentMissShare: medianOf((result) => result.urgentMissShare),
+      refusedUrgent: medianOf((result) => result.refused.urgent),
+      refusedPatient: medianOf((result) => result.refused.patient),
       lost: group.reduce((sum, { lost }) => sum + lost.urgent + lost.patient, 0),
-      busiestOverLeast: of((result) => result.busiestOverLeast),
+      busiestOverLeast: medianOf((result) => result.busiestOverLeast),
     },
   ];
 }
--- a/packages/reedlug-check/src/measure/policyVariants.ts
+++ b/packages/reedlug-check/src/measure/policyVariants.ts
@@ -16,7 +16,7 @@
 export type PolicyVariant = (typeof PolicyVariant)[keyof typeof PolicyVariant];
 
 /** What a plain balancer does: no move of caches, no reserve, the cheapest boxes. */
-const PLAIN: Partial<PolicySettings> = {
+const PLAIN_BALANCER: Partial<PolicySettings> = {
   kvMove: false,
   placement: 'cheapestFirst',
   sizing: 'fixed',
@@ -32,7 +32,7 @@
     case PolicyVariant.roundRobin:
     case PolicyVariant.leastRequests:
     case PolicyVariant.stickyHash:
-      return { ...PLAIN, routing: variant };
+      return { ...PLAIN_BALANCER, routing: variant };
     case PolicyVariant.noKvMove:
       return { kvMove: false };
     case PolicyVariant.onDemandOnly:
@@ -52,10 +52,14 @@
   variant: PolicyVariant,
 ): T {
   const policy = { ...settings.policy, ...policyOf(variant) };
-  return { ...settings, policy, servers: settings.servers.map((spec) => bought(spec, policy)) };
+  return {
+    ...settings,
+    policy,
+    servers: settings.servers.map((spec) => withPlacement(spec, policy)),
+  };
 }
 
-function bought(
+function withPlacement(
   spec: DecisionSettings['servers'][number],
   policy: PolicySettings,
 ): DecisionSettings['servers'][number] {
--- a/packages/reedlug-check/src/measure/scenario.ts
+++ b/packages/reedlug-check/src/measure/scenario.ts
@@ -27,30 +27,30 @@
   /** Length of a conversation's first prompt against an ordinary one. */
   promptFactor: number;
   /** The deployment is doubled by a second site. */
-  twoSites: boolean;
+  hasSecondSite: boolean;
   /** Schedules what happens. */
-  happen: (world: World) => void;
+  scheduleEvents: (world: World) => void;
 }
 
 const MINUTE_MS = 60_000;
 const HOUR_MS = 60 * MINUTE_MS;
 const NOTICE_MS = 5000;
 
-const ORDINARY: Scenario = {
+const ORDINARY_DAY: Scenario = {
   name: ScenarioName.ordinaryDay,
   lengthMs: 5 * MINUTE_MS,
   patientFactor: () => 1,
   urgentFactor: 1,
   noisyFactor: 1,
   promptFactor: 1,
-  twoSites: false,
-  happen: ordinaryReclaims,
+  hasSecondSite: false,
+  scheduleEvents: scheduleReclaims,
 };
 
 /** Each reclaimable engine is reclaimed now and then, at its offer's rate. */
-function ordinaryReclaims(world: World): void {
-  const LOOK_MS = 5000;
-  const look = (): void => {
+function scheduleReclaims(world: World): void {
+  const INTERVAL_MS = 5000;
+  const reclaimSome = (): void => {
     for (const server of [...world.servers.values()]) {
       if (!server.spec.reclaimable || server.leaving) continue;
       const offer = world.options.settings.offers.find(
@@ -58,40 +58,45 @@
           zone === server.spec.zone && machineClass === server.spec.machineClass && reclaimable,
       );
       // An hour of reclaims is packed into the minutes of the run.
-      const perLook = ((offer?.reclaimsPerHour ?? 0) * LOOK_MS) / (10 * MINUTE_MS);
-      if (world.random.chance(perLook)) reclaimServer(world, server.spec.id, NOTICE_MS);
+      const reclaimProbability = ((offer?.reclaimsPerHour ?? 0) * INTERVAL_MS) / (10 * MINUTE_MS);
+      if (world.random.chance(reclaimProbability)) reclaimServer(world, server.spec.id, NOTICE_MS);
     }
-    world.queue.at(world.queue.nowMs() + LOOK_MS, look);
+    world.queue.at(world.queue.nowMs() + INTERVAL_MS, reclaimSome);
   };
-  world.queue.at(LOOK_MS, look);
+  world.queue.at(INTERVAL_MS, reclaimSome);
 }
 
 /** The scenario of a name. */
 export function scenarioOf(name: ScenarioName): Scenario {
   switch (name) {
     case ScenarioName.ordinaryDay:
-      return ORDINARY;
+      return ORDINARY_DAY;
     case ScenarioName.zoneReclaimed:
-      return { ...ORDINARY, name, patientFactor: () => 1.2, happen: zoneAtPeak };
+      return { ...ORDINARY_DAY, name, patientFactor: () => 1.2, scheduleEvents: reclaimZoneAtPeak };
     case ScenarioName.wavesRefused:
-      return { ...ORDINARY, name, happen: waves };
+      return { ...ORDINARY_DAY, name, scheduleEvents: reclaimZonesInTurn };
     case ScenarioName.draftRush:
-      return { ...ORDINARY, name, patientFactor: rush, promptFactor: 2 };
+      return { ...ORDINARY_DAY, name, patientFactor: rushFactor, promptFactor: 2 };
     case ScenarioName.noisyWorkspace:
-      return { ...ORDINARY, name, noisyFactor: 8 };
+      return { ...ORDINARY_DAY, name, noisyFactor: 8 };
     case ScenarioName.tableAway:
-      return { ...ORDINARY, name, lengthMs: HOUR_MS + 5 * MINUTE_MS, happen: tableAway };
+      return {
+        ...ORDINARY_DAY,
+        name,
+        lengthMs: HOUR_MS + 5 * MINUTE_MS,
+        scheduleEvents: takeTableDown,
+      };
     case ScenarioName.siteMove:
-      return { ...ORDINARY, name, twoSites: true, happen: moveSite };
+      return { ...ORDINARY_DAY, name, hasSecondSite: true, scheduleEvents: moveToSecondSite };
   }
 }
 
-function zoneAtPeak(world: World): void {
+function reclaimZoneAtPeak(world: World): void {
   const zone = world.options.settings.zones[0]?.name ?? '';
   world.queue.at(2 * MINUTE_MS, () => reclaimZone(world, zone, NOTICE_MS));
 }
 
-function waves(world: World): void {
+function reclaimZonesInTurn(world: World): void {
   const { zones } = world.options.settings;
   for (const [index, zone] of zones.entries()) {
     const atMs = MINUTE_MS + index * MINUTE_MS;
@@ -102,19 +107,19 @@
   }
 }
 
-function rush(atMs: number): number {
+function rushFactor(atMs: number): number {
   return atMs > MINUTE_MS && atMs < 3 * MINUTE_MS ? 1.8 : 0.8;
 }
 
-function tableAway(world: World): void {
-  ordinaryReclaims(world);
+function takeTableDown(world: World): void {
+  scheduleReclaims(world);
   world.queue.at(2 * MINUTE_MS, () => {
     world.faults.tableDownUntilMs = world.queue.nowMs() + HOUR_MS;
   });
 }
 
 /** Operators move the pool to the second site by a plan, over two minutes. */
-function moveSite(world: World): void {
+function moveToSecondSite(world: World): void {
   const [pool] = world.options.settings.pools;
   const [first] = world.options.settings.zones;
   const box = world.boxes.values().next().value;
--- a/packages/reedlug-check/src/measure/workload.ts
+++ b/packages/reedlug-check/src/measure/workload.ts
@@ -56,7 +56,7 @@
 const DRAFTS_PER_ENGINE = 0.11;
 const QUESTIONS_PER_ENGINE = 0.35;
 const LOOK_UPS_PER_ENGINE = 1.2;
-const THINK_MS = 9000;
+const MEAN_THINK_MS = 9000;
 const MAX_TRIES = 3;
 const URGENT_DEADLINE_MS = 8000;
 const PATIENT_DEADLINE_MS = 90_000;
@@ -64,7 +64,7 @@
 const WARM_UP_MS = 30_000;
 
 /** Wires the load into a world. */
-export function createWorkload(world: World, scenario: Scenario, engines: number): Workload {
+export function createWorkload(world: World, scenario: Scenario, engineCount: number): Workload {
   const workload: Workload = {
     samples: [],
     promptTokens: 0,
@@ -73,13 +73,13 @@
     conversationCount: 0,
     requestCount: 0,
   };
-  const computed = new Map<number, number>();
+  const computedTokens = new Map<number, number>();
   world.observer.onPrefill = (affinityHash, cachedTokens, contextTokens) => {
-    const before = computed.get(affinityHash) ?? 0;
-    computed.set(affinityHash, Math.max(before, contextTokens));
+    const previous = computedTokens.get(affinityHash) ?? 0;
+    computedTokens.set(affinityHash, Math.max(previous, contextTokens));
     if (world.queue.nowMs() < WARM_UP_MS) return;
     workload.promptTokens += contextTokens;
-    workload.recomputedTokens += Math.max(0, Math.min(before, contextTokens) - cachedTokens);
+    workload.recomputedTokens += Math.max(0, Math.min(previous, contextTokens) - cachedTokens);
   };
   world.observer.onRun = (_serverId, requestId) => {
     const open = workload.open.get(requestId);
@@ -89,65 +89,73 @@
     const open = workload.open.get(requestId);
     if (open !== undefined) open.firstTokenAtMs ??= world.queue.nowMs();
   };
-  world.observer.onFinish = (_boxId, finish) => takeFinish(world, workload, computed, finish);
-  startArrivals(world, workload, scenario, engines);
+  world.observer.onFinish = (_boxId, finish) =>
+    handleFinish(world, workload, computedTokens, finish);
+  startArrivals(world, workload, scenario, engineCount);
   return workload;
 }
 
 function workspacesOf(world: World): { patient: string[]; urgent: string[] } {
   const ids = world.options.settings.workspaces.map(({ id }) => id);
   // The two largest workspaces of each example draft; the floor's or counter's asks.
-  const floor = ids.filter((id) => /floor|counter|offices/.test(id));
-  const patient = ids.filter((id) => !floor.includes(id));
-  return { patient, urgent: floor.length > 0 ? floor : ids };
+  const urgentIds = ids.filter((id) => /floor|counter|offices/.test(id));
+  const patient = ids.filter((id) => !urgentIds.includes(id));
+  return { patient, urgent: urgentIds.length > 0 ? urgentIds : ids };
 }
 
 function startArrivals(
   world: World,
   workload: Workload,
   scenario: Scenario,
-  engines: number,
+  engineCount: number,
 ): void {
   const { patient, urgent } = workspacesOf(world);
   const noisy = patient[0];
   let drafts = 0;
-  const every = (perSecond: (atMs: number) => number, begin: () => void): void => {
-    const next = (): void => {
+  const scheduleArrivals = (perSecond: (atMs: number) => number, onArrival: () => void): void => {
+    const scheduleNext = (): void => {
       const nowMs = world.queue.nowMs();
       const rate = Math.max(1e-6, perSecond(nowMs));
       world.queue.at(nowMs + world.random.exponential(1000 / rate), () => {
         if (world.queue.nowMs() > scenario.lengthMs) return;
-        begin();
-        next();
+        onArrival();
+        scheduleNext();
       });
     };
-    next();
+    scheduleNext();
   };
-  every(
-    (atMs) => DRAFTS_PER_ENGINE * engines * scenario.patientFactor(atMs),
+  scheduleArrivals(
+    (atMs) => DRAFTS_PER_ENGINE * engineCount * scenario.patientFactor(atMs),
     () => {
       drafts += 1;
-      beginDraft(world, workload, scenario, patient[drafts % patient.length] ?? '');
+      startDraft(world, workload, scenario, patient[drafts % patient.length] ?? '');
     },
   );
   if (scenario.noisyFactor > 1 && noisy !== undefined) {
-    const share = (DRAFTS_PER_ENGINE * engines) / patient.length;
-    every(
-      () => share * (scenario.noisyFactor - 1),
-      () => beginDraft(world, workload, scenario, noisy),
+    const draftsPerWorkspace = (DRAFTS_PER_ENGINE * engineCount) / patient.length;
+    scheduleArrivals(
+      () => draftsPerWorkspace * (scenario.noisyFactor - 1),
+      () => startDraft(world, workload, scenario, noisy),
     );
   }
-  every(
-    () => QUESTIONS_PER_ENGINE * engines * scenario.urgentFactor,
-    () => beginQuestion(world, workload, world.random.pick(urgent)),
+  scheduleArrivals(
+    () => QUESTIONS_PER_ENGINE * engineCount * scenario.urgentFactor,
+    () => startQuestion(world, workload, world.random.pick(urgent)),
   );
-  every(
-    () => LOOK_UPS_PER_ENGINE * engines * scenario.urgentFactor,
-    () => place(world, workload, lookUp(world, workload, world.random.pick(urgent)), undefined, 1),
+  scheduleArrivals(
+    () => LOOK_UPS_PER_ENGINE * engineCount * scenario.urgentFactor,
+    () =>
+      submitRequest(
+        world,
+        workload,
+        createLookUp(world, workload, world.random.pick(urgent)),
+        undefined,
+        1,
+      ),
   );
 }
 
-function newConversation(
+function createConversation(
   workload: Workload,
   workspaceId: string,
   urgent: boolean,
@@ -160,7 +168,7 @@
   return { id, workspaceId, urgent, turnsLeft, contextTokens, affinityHash };
 }
 
-function beginDraft(
+function startDraft(
   world: World,
   workload: Workload,
   scenario: Scenario,
@@ -168,18 +176,18 @@
 ): void {
   const { random } = world;
   const prompt = Math.round(random.logNormal(1800 * scenario.promptFactor, 0.5));
-  const conversation = newConversation(workload, workspaceId, false, random.whole(3, 9), prompt);
-  nextTurn(world, workload, conversation);
+  const conversation = createConversation(workload, workspaceId, false, random.whole(3, 9), prompt);
+  startTurn(world, workload, conversation);
 }
 
-function beginQuestion(world: World, workload: Workload, workspaceId: string): void {
+function startQuestion(world: World, workload: Workload, workspaceId: string): void {
   const { random } = world;
   const prompt = Math.round(random.logNormal(220, 0.4));
-  const conversation = newConversation(workload, workspaceId, true, random.whole(1, 2), prompt);
-  nextTurn(world, workload, conversation);
+  const conversation = createConversation(workload, workspaceId, true, random.whole(1, 2), prompt);
+  startTurn(world, workload, conversation);
 }
 
-function nextTurn(world: World, workload: Workload, conversation: Conversation): void {
+function startTurn(world: World, workload: Workload, conversation: Conversation): void {
   const { random } = world;
   const median = conversation.urgent ? 30 : 220;
   const maxTokens = Math.max(4, Math.round(random.logNormal(median, 0.4)));
@@ -201,7 +209,7 @@
     promptTokens: conversation.contextTokens,
     maxTokens,
   };
-  place(world, workload, spec, conversation, 1);
+  submitRequest(world, workload, spec, conversation, 1);
 }
 
 function nextRequestId(workload: Workload): string {
@@ -209,7 +217,7 @@
   return `m${workload.requestCount}`;
 }
 
-function lookUp(world: World, workload: Workload, workspaceId: string): RequestSpec {
+function createLookUp(world: World, workload: Workload, workspaceId: string): RequestSpec {
   const service = world.options.settings.servers.find(({ kind }) => kind === 'service')?.pool ?? '';
   return {
     requestId: nextRequestId(workload),
@@ -229,7 +237,7 @@
 }
 
 /** Places a request at any ready box, as the balancer does. */
-function place(
+function submitRequest(
   world: World,
   workload: Workload,
   spec: RequestSpec,
@@ -253,10 +261,10 @@
   emit(world, box, { type: 'requestArrived', spec });
 }
 
-function takeFinish(
+function handleFinish(
   world: World,
   workload: Workload,
-  computed: Map<number, number>,
+  computedTokens: Map<number, number>,
   finish: Finish,
 ): void {
   const open = workload.open.get(finish.requestId);
@@ -271,14 +279,14 @@
   }
   if (conversation === undefined) return;
   const context = open.spec.promptTokens + finish.completionTokens;
-  computed.set(
+  computedTokens.set(
     open.spec.affinityHash,
-    Math.max(computed.get(open.spec.affinityHash) ?? 0, context),
+    Math.max(computedTokens.get(open.spec.affinityHash) ?? 0, context),
   );
-  goOn(world, workload, conversation, context);
+  continueConversation(world, workload, conversation, context);
 }
 
-function goOn(
+function continueConversation(
   world: World,
   workload: Workload,
   conversation: Conversation,
@@ -286,10 +294,10 @@
 ): void {
   conversation.turnsLeft -= 1;
   if (conversation.turnsLeft <= 0) return;
-  const asked = world.random.logNormal(conversation.urgent ? 40 : 300, 0.5);
-  conversation.contextTokens = contextTokens + Math.round(asked);
-  const thinkMs = world.random.exponential(THINK_MS);
-  world.queue.at(world.queue.nowMs() + thinkMs, () => nextTurn(world, workload, conversation));
+  const addedTokens = world.random.logNormal(conversation.urgent ? 40 : 300, 0.5);
+  conversation.contextTokens = contextTokens + Math.round(addedTokens);
+  const thinkMs = world.random.exponential(MEAN_THINK_MS);
+  world.queue.at(world.queue.nowMs() + thinkMs, () => startTurn(world, workload, conversation));
 }
 
 /** A refused caller comes back when it was told to. */
@@ -303,7 +311,7 @@
       requestId: nextRequestId(workload),
       deadlineAtMs: world.queue.nowMs() + leftMs,
     };
-    place(world, workload, spec, open.conversation, open.tries + 1);
+    submitRequest(world, workload, spec, open.conversation, open.tries + 1);
   });
 }
 
--- a/packages/reedlug/src/commands/measure.ts
+++ b/packages/reedlug/src/commands/measure.ts
@@ -5,7 +5,7 @@
   medianRows,
   PolicyVariant,
   ScenarioName,
-  type EngineFigures,
+  type ServerProfile,
   type Measurement,
 } from 'reedlug-check';
 import { toDecisionSettings } from '../settings/decisionSettings.js';
@@ -79,7 +79,7 @@
   return names.every((name) => known.includes(name as T)) ? (names as T[]) : undefined;
 }
 
-function engineFigures({ standins }: Settings): EngineFigures {
+function engineFigures({ standins }: Settings): ServerProfile {
   const { kvCapacityTokens, prefillTokensPerMs, interTokenMs, crowding, serviceAnswerMs } =
     standins;
   return { kvCapacityTokens, prefillTokensPerMs, interTokenMs, crowding, serviceAnswerMs };
