--- a/packages/reedlug-check/src/index.ts
+++ b/packages/reedlug-check/src/index.ts
@@ -7,6 +7,6 @@
 export * from './measure/policyVariants.js';
 export { ScenarioName } from './measure/scenario.js';
 export * from './measure/median.js';
-export * from './replay/recordWorld.js';
+export * from './replay/recordSeed.js';
 export * from './replay/trace.js';
 export * from './check/inForce.js';
--- a/packages/reedlug-check/src/replay/trace.ts
+++ b/packages/reedlug-check/src/replay/trace.ts
@@ -73,7 +73,7 @@
       const effects = reduceChecked(memory, state, event);
       effectCount += effects.length;
       effectsDigest = digest(effectsDigest + JSON.stringify(effects));
-      for (const effect of effects) noteOutcome(outcomes, effect);
+      for (const effect of effects) recordOutcome(outcomes, effect);
     } catch (error) {
       if (!(error instanceof BrokenInvariantError)) throw error;
       violation = error.message;
@@ -83,7 +83,7 @@
   return { events: events.length, effects: effectCount, effectsDigest, outcomes, violation };
 }
 
-function noteOutcome(outcomes: ReplayResult['outcomes'], effect: Effect): void {
+function recordOutcome(outcomes: ReplayResult['outcomes'], effect: Effect): void {
   if (effect.type !== 'finishRequest') return;
   const { requestId, outcome, reason, completionTokens } = effect;
   outcomes[requestId] = { outcome, reason, tokens: completionTokens };
@@ -97,18 +97,18 @@
 
 /** Where a replay differs from what was stated. */
 export function differences(result: ReplayResult, expected: Expectation): string[] {
-  const faults: string[] = [];
-  if (result.violation !== undefined) faults.push(`broken invariant: ${result.violation}`);
+  const mismatches: string[] = [];
+  if (result.violation !== undefined) mismatches.push(`broken invariant: ${result.violation}`);
   if (expected.effectsDigest !== undefined && expected.effectsDigest !== result.effectsDigest) {
-    faults.push(`effects ${result.effectsDigest}, stated ${expected.effectsDigest}`);
+    mismatches.push(`effects ${result.effectsDigest}, stated ${expected.effectsDigest}`);
   }
-  for (const [requestId, stated] of Object.entries(expected.outcomes)) {
-    const seen = result.outcomes[requestId];
-    for (const [field, value] of Object.entries(stated)) {
-      const actual = seen?.[field as keyof typeof seen];
+  for (const [requestId, expectedOutcome] of Object.entries(expected.outcomes)) {
+    const actualOutcome = result.outcomes[requestId];
+    for (const [field, value] of Object.entries(expectedOutcome)) {
+      const actual = actualOutcome?.[field as keyof typeof actualOutcome];
       if (actual !== value)
-        faults.push(`${requestId}: ${field} ${String(actual)}, stated ${value}`);
+        mismatches.push(`${requestId}: ${field} ${String(actual)}, stated ${value}`);
     }
   }
-  return faults;
+  return mismatches;
 }
