--- a/packages/reedlug-check/src/check/injectFault.ts
+++ b/packages/reedlug-check/src/check/injectFault.ts
@@ -1,5 +1,5 @@
 /** Throws a planned fault into a world, and takes it back when its time is over. */
-import { boxDies, boxRestarts, reclaimServer, reclaimZone, serverEnds } from '../world/faults.js';
+import { killBox, restartBox, reclaimServer, reclaimZone, endServer } from '../world/faults.js';
 import { emit } from '../world/emit.js';
 import { addServer } from '../world/world.js';
 import type { World, WorldServer } from '../world/worldTypes.js';
@@ -51,7 +51,7 @@
       faults.refuseStartsUntilMs = untilMs;
       return undefined;
     case FaultKind.killBox:
-      return withBox(world, fault, (boxId) => boxRestarts(world, boxId, RESTART_DELAY_MS));
+      return withBox(world, fault, (boxId) => restartBox(world, boxId, RESTART_DELAY_MS));
     case FaultKind.pauseBox:
       return withBox(world, fault, (boxId) => {
         const box = world.boxes.get(boxId);
@@ -120,7 +120,7 @@
 
 /** Kills a server; a plain service starts again as a new life of its box. */
 function killServer(world: World, server: WorldServer): void {
-  serverEnds(world, server.spec.id);
+  endServer(world, server.spec.id);
   if (server.kind !== 'service') return;
   world.queue.at(world.queue.nowMs() + RESTART_DELAY_MS, () => addServer(world, server.spec));
 }
@@ -150,7 +150,7 @@
   const leavesAtMs = world.queue.nowMs() + BOX_NOTICE_MS;
   emit(world, box, { type: 'boxReclaimNoticed', leavesAtMs });
   world.queue.at(leavesAtMs, () => {
-    if (world.boxes.get(boxId) === box) boxDies(world, boxId);
+    if (world.boxes.get(boxId) === box) killBox(world, boxId);
   });
   restartWhenDead(world, boxId);
 }
@@ -158,7 +158,7 @@
 function restartWhenDead(world: World, boxId: string): void {
   world.queue.at(world.queue.nowMs() + RESTART_DELAY_MS, () => {
     if (world.boxes.get(boxId)?.alive === true) restartWhenDead(world, boxId);
-    else boxRestarts(world, boxId, 0);
+    else restartBox(world, boxId, 0);
   });
 }
 
--- a/packages/reedlug-check/src/check/runSeed.ts
+++ b/packages/reedlug-check/src/check/runSeed.ts
@@ -5,8 +5,8 @@
   type DecisionSettings,
   type Mutation,
 } from 'reedlug-decisions';
-import { carryOut } from '../world/carryOut.js';
-import { engineOptionsOf, type EngineFigures } from '../world/engineFigures.js';
+import { performEffect } from '../world/performEffect.js';
+import { engineOptionsOf, type EngineProfile } from '../world/engineProfile.js';
 import { createWorld, runUntil, stateSeedOf } from '../world/world.js';
 import type { World } from '../world/worldTypes.js';
 import { createCallers, type Callers, type WorldViolation } from './callers.js';
@@ -80,7 +80,7 @@
 }
 
 /** Engines of the checked deployment: a small cache, so that it overflows. */
-const CHECK_ENGINE: EngineFigures = {
+const CHECK_ENGINE: EngineProfile = {
   kvCapacityTokens: 16_000,
   prefillTokensPerMs: 8,
   interTokenMs: 10,
@@ -100,9 +100,9 @@
       tickMs: 50,
       engineStartMs: 1500,
       mutations,
-      doubledEvents: 0.05,
+      duplicateEventShare: 0.05,
     },
-    carryOut,
+    performEffect,
   );
 }
 
--- a/packages/reedlug-check/src/measure/measure.ts
+++ b/packages/reedlug-check/src/measure/measure.ts
@@ -1,8 +1,8 @@
 /** Measures a policy in a scenario: the reducers and fakes under virtual time. */
 import { Outcome } from 'reedlug-coordination';
 import type { DecisionSettings, OfferSpec } from 'reedlug-decisions';
-import { carryOut } from '../world/carryOut.js';
-import { engineOptionsOf } from '../world/engineFigures.js';
+import { performEffect } from '../world/performEffect.js';
+import { engineOptionsOf } from '../world/engineProfile.js';
 import { createWorld, runUntil } from '../world/world.js';
 import type { World, WorldEngine } from '../world/worldTypes.js';
 import { settingsFor, type PolicyVariant } from './policyVariants.js';
@@ -99,9 +99,9 @@
       tickMs: TICK_MS,
       engineStartMs: ENGINE_START_MS,
       mutations: new Set(),
-      doubledEvents: 0,
+      duplicateEventShare: 0,
     },
-    carryOut,
+    performEffect,
   );
 }
 
--- a/packages/reedlug-check/src/world/boxList.ts
+++ b/packages/reedlug-check/src/world/boxList.ts
@@ -5,7 +5,7 @@
 import type { World, WorldBox } from './worldTypes.js';
 
 /** Pause between readings of the list, in ms. */
-const LIST_EVERY_MS = 1000;
+const LIST_POLL_INTERVAL_MS = 1000;
 
 /** Gives a box the list of servers every second while it reaches the platform. */
 export function scheduleBoxList(world: World, box: WorldBox, atMs: number): void {
@@ -13,7 +13,7 @@
     if (!box.alive) return;
     if (platformReachable(world, box))
       emit(world, box, { type: 'boxListRead', entries: laggingList(world) });
-    scheduleBoxList(world, box, world.queue.nowMs() + LIST_EVERY_MS);
+    scheduleBoxList(world, box, world.queue.nowMs() + LIST_POLL_INTERVAL_MS);
   });
 }
 
@@ -24,13 +24,13 @@
 }
 
 /** Notes the servers as they are for the lagging list. */
-export function noteList(world: World): void {
+export function recordServerList(world: World): void {
   const entries = [...world.servers.values()].map(({ spec, incarnation, leaving }) => ({
     spec,
     incarnation,
     leaving,
   }));
   world.listHistory.push({ atMs: world.queue.nowMs(), entries });
-  const KEPT = 50;
-  if (world.listHistory.length > KEPT) world.listHistory.shift();
+  const MAX_SNAPSHOTS = 50;
+  if (world.listHistory.length > MAX_SNAPSHOTS) world.listHistory.shift();
 }
--- a/packages/reedlug-check/src/world/emit.ts
+++ b/packages/reedlug-check/src/world/emit.ts
@@ -14,7 +14,7 @@
   if (body.type !== 'tick') world.eventCount += 1;
   world.onEvent?.(box.settings.boxId, event);
   for (const effect of reduceChecked(box.memory, box.state, event)) {
-    world.carryOut(world, box, effect);
+    world.performEffect(world, box, effect);
   }
 }
 
--- a/packages/reedlug-check/src/world/engineFake.ts
+++ b/packages/reedlug-check/src/world/engineFake.ts
@@ -7,22 +7,22 @@
   stopRun,
   submitRun,
   takeCacheEvent,
-  type EngineSaying,
+  type EngineOutput,
 } from 'reedlug-standins';
 import { emitLater } from './emit.js';
-import { Delay, delayBetween, isSilent, zonesAreCut } from './links.js';
+import { Delay, delayBetween, isUnresponsive, arePartitioned } from './links.js';
 import type { World, WorldBox, WorldEngine } from './worldTypes.js';
 
 /** KV cache that an engine sends in one ms, in tokens. */
 const KV_TOKENS_PER_MS = 40;
 const KV_SETUP_MS = 20;
 /** Longest time that a doubled event is late, in ms. */
-const LATE_MS = 1500;
+const MAX_EXTRA_DELAY_MS = 1500;
 
 type SendAttempt = Extract<Effect, { type: 'sendAttempt' }>;
 
 /** Takes an attempt at an engine. */
-export function engineTakes(
+export function submitEngineAttempt(
   world: World,
   box: WorldBox,
   engine: WorldEngine,
@@ -35,14 +35,14 @@
   const { spec } = record;
   const { resumeOffset } = effect;
   world.queue.at(world.queue.nowMs() + delayMs, () => {
-    const refusal = refusalOf(world, box, engine, spec);
+    const refusal = refusalReason(world, box, engine, spec);
     if (refusal !== undefined) {
       emitLater(world, box, delayMs, { type: 'attemptRefused', attemptId, reason: refusal });
       return;
     }
-    const source = effect.kvTicket;
-    const importedTokens = source === undefined ? 0 : ticketTokens(world, source.ticketId);
-    const taken = submitRun(
+    const kvTicket = effect.kvTicket;
+    const importedTokens = kvTicket === undefined ? 0 : ticketTokens(world, kvTicket.ticketId);
+    const admission = submitRun(
       engine.model,
       {
         attemptId,
@@ -56,23 +56,23 @@
       },
       world.queue.nowMs(),
     );
-    if (taken !== 'taken') {
-      emitLater(world, box, delayMs, { type: 'attemptRefused', attemptId, reason: taken });
+    if (admission !== 'taken') {
+      emitLater(world, box, delayMs, { type: 'attemptRefused', attemptId, reason: admission });
       return;
     }
     world.observer.onRun(engine.spec.id, requestId, attemptId);
     engine.callers.set(attemptId, box.settings.boxId);
-    schedulePump(world, engine);
+    scheduleIteration(world, engine);
   });
 }
 
-function refusalOf(
+function refusalReason(
   world: World,
   box: WorldBox,
   engine: WorldEngine,
   spec: { pool: string; version: string },
 ): 'notConnected' | 'leaving' | 'wrongModel' | undefined {
-  if (!engine.alive || zonesAreCut(world, box.settings.zone, engine.spec.zone))
+  if (!engine.alive || arePartitioned(world, box.settings.zone, engine.spec.zone))
     return 'notConnected';
   if (engine.leaving) return 'leaving';
   const { model } = engine;
@@ -90,41 +90,41 @@
 }
 
 /** Lets an engine work when its next iteration is due. */
-function schedulePump(world: World, engine: WorldEngine): void {
+function scheduleIteration(world: World, engine: WorldEngine): void {
   const dueMs = Math.max(engine.model.nextAtMs, engine.stalledUntilMs);
-  if (dueMs >= engine.pumpAtMs || dueMs === Number.POSITIVE_INFINITY) return;
-  engine.pumpAtMs = dueMs;
+  if (dueMs >= engine.iterationAtMs || dueMs === Number.POSITIVE_INFINITY) return;
+  engine.iterationAtMs = dueMs;
   world.queue.at(dueMs, () => {
-    if (engine.pumpAtMs !== dueMs) return;
-    engine.pumpAtMs = Number.POSITIVE_INFINITY;
-    pump(world, engine);
+    if (engine.iterationAtMs !== dueMs) return;
+    engine.iterationAtMs = Number.POSITIVE_INFINITY;
+    runIterations(world, engine);
   });
 }
 
-function pump(world: World, engine: WorldEngine): void {
+function runIterations(world: World, engine: WorldEngine): void {
   if (!engine.alive) return;
   const nowMs = world.queue.nowMs();
   if (nowMs >= engine.stalledUntilMs) {
-    for (const saying of advanceEngine(engine.model, nowMs)) say(world, engine, saying);
+    for (const output of advanceEngine(engine.model, nowMs)) sendOutput(world, engine, output);
   }
-  schedulePump(world, engine);
+  scheduleIteration(world, engine);
 }
 
-function say(world: World, engine: WorldEngine, saying: EngineSaying): void {
-  const box = callerBox(world, engine, saying.attemptId);
+function sendOutput(world: World, engine: WorldEngine, output: EngineOutput): void {
+  const box = callerBox(world, engine, output.attemptId);
   if (box === undefined) return;
   const delayMs = delayBetween(world, box.settings.zone, engine.spec.zone);
-  if (saying.kind === 'tokens') {
-    const { attemptId, offset, tokens } = saying;
+  if (output.kind === 'tokens') {
+    const { attemptId, offset, tokens } = output;
     const body: EventBody = { type: 'attemptProgress', attemptId, offset, tokens };
     emitLater(world, box, delayMs, body);
-    if (world.random.chance(world.options.doubledEvents)) {
-      emitLater(world, box, delayMs + world.random.unit() * LATE_MS, body);
+    if (world.random.chance(world.options.duplicateEventShare)) {
+      emitLater(world, box, delayMs + world.random.unit() * MAX_EXTRA_DELAY_MS, body);
     }
     return;
   }
-  engine.callers.delete(saying.attemptId);
-  const { attemptId, totalTokens, cachedTokens } = saying;
+  engine.callers.delete(output.attemptId);
+  const { attemptId, totalTokens, cachedTokens } = output;
   const report = reportOf(engine.model);
   emitLater(world, box, delayMs, {
     type: 'attemptEnded',
@@ -141,19 +141,19 @@
 }
 
 /** Stops a run whose caller cancelled it or went away. */
-export function engineStops(engine: WorldEngine, attemptId: string): void {
+export function cancelEngineRun(engine: WorldEngine, attemptId: string): void {
   engine.callers.delete(attemptId);
   stopRun(engine.model, attemptId);
 }
 
 /** Stops a run and keeps its cache under a ticket. */
-export function engineExports(
+export function exportEngineKv(
   world: World,
   box: WorldBox,
   engine: WorldEngine,
   attemptId: string,
 ): void {
-  if (isSilent(world, box, engine)) {
+  if (isUnresponsive(world, box, engine)) {
     emitLater(world, box, Delay.connectionLoss, {
       type: 'kvExported',
       attemptId,
@@ -179,7 +179,7 @@
 }
 
 /** Sends an idle prefix to another engine; lost when either dies first. */
-export function engineMoves(
+export function moveEngineCache(
   world: World,
   box: WorldBox,
   params: { source: WorldEngine; target: WorldEngine; affinityHash: number },
@@ -197,23 +197,27 @@
 }
 
 /** Answers a probe of an engine, with its cache events. */
-export function engineAnswersProbe(world: World, box: WorldBox, engine: WorldEngine): void {
+export function answerEngineProbe(world: World, box: WorldBox, engine: WorldEngine): void {
   const serverId = engine.spec.id;
   const delayMs = delayBetween(world, box.settings.zone, engine.spec.zone) * 2;
-  if (isSilent(world, box, engine)) {
+  if (isUnresponsive(world, box, engine)) {
     emitLater(world, box, delayMs, { type: 'serverReported', serverId, report: undefined });
     return;
   }
   const report = { ...reportOf(engine.model), leaving: engine.leaving };
   emitLater(world, box, delayMs, { type: 'serverReported', serverId, report });
   const event = takeCacheEvent(engine.model);
-  const GAP = 0.1;
-  if (event === undefined || world.random.chance(GAP)) return;
-  emitLater(world, box, delayMs + LATE_MS / 2, { type: 'cacheChanged', serverId, ...event });
+  const EVENT_LOSS_PROBABILITY = 0.1;
+  if (event === undefined || world.random.chance(EVENT_LOSS_PROBABILITY)) return;
+  emitLater(world, box, delayMs + MAX_EXTRA_DELAY_MS / 2, {
+    type: 'cacheChanged',
+    serverId,
+    ...event,
+  });
 }
 
 /** Cuts every stream of an engine that has died. */
-export function engineDies(world: World, engine: WorldEngine): void {
+export function killEngine(world: World, engine: WorldEngine): void {
   engine.alive = false;
   engine.endedAtMs = world.queue.nowMs();
   for (const attemptId of engine.callers.keys()) {
--- a/packages/reedlug-check/src/world/engineFigures.ts
+++ b/packages/reedlug-check/src/world/engineProfile.ts
@@ -3,7 +3,7 @@
 import type { EngineModelOptions } from 'reedlug-standins';
 
 /** What an engine of a world is like, but for what its description says. */
-export type EngineFigures = Omit<
+export type EngineProfile = Omit<
   EngineModelOptions,
   'engineId' | 'model' | 'version' | 'slots' | 'tokensPerEvent'
 >;
@@ -11,8 +11,8 @@
 /** The options of an engine's model from its description. */
 export function engineOptionsOf(
   { id, pool, version, slots }: ServerSpec,
-  figures: EngineFigures,
+  profile: EngineProfile,
   tokensPerEvent: number,
 ): EngineModelOptions {
-  return { ...figures, engineId: id, model: pool, version, slots, tokensPerEvent };
+  return { ...profile, engineId: id, model: pool, version, slots, tokensPerEvent };
 }
--- a/packages/reedlug-check/src/world/faults.ts
+++ b/packages/reedlug-check/src/world/faults.ts
@@ -1,20 +1,20 @@
 /** Faults of servers and boxes. */
-import { engineDies, engineStops } from './engineFake.js';
-import { noteList } from './boxList.js';
+import { killEngine, cancelEngineRun } from './engineFake.js';
+import { recordServerList } from './boxList.js';
 import { emitLater } from './emit.js';
 import { Delay, platformReachable } from './links.js';
 import { startBox } from './world.js';
 import type { World } from './worldTypes.js';
 
 /** Ends a server, as a reclaim or a crash does. */
-export function serverEnds(world: World, serverId: string): void {
+export function endServer(world: World, serverId: string): void {
   const server = world.servers.get(serverId);
   if (server === undefined || !server.alive) return;
-  if (server.kind === 'engine') engineDies(world, server);
+  if (server.kind === 'engine') killEngine(world, server);
   server.alive = false;
   world.servers.delete(serverId);
   world.gone.push(server);
-  noteList(world);
+  recordServerList(world);
 }
 
 /** Reclaims a server after a notice; `heardBy` may leave boxes out. */
@@ -22,22 +22,22 @@
   world: World,
   serverId: string,
   noticeMs: number,
-  heardBy: (boxId: string) => boolean = () => true,
+  isNotified: (boxId: string) => boolean = () => true,
 ): void {
   const server = world.servers.get(serverId);
   if (server === undefined || server.leaving) return;
   server.leaving = true;
   if (server.kind === 'engine') server.model.leaving = true;
-  noteList(world);
+  recordServerList(world);
   const { nowMs } = world.queue;
   const leavesAtMs = nowMs() + noticeMs;
   for (const [boxId, box] of world.boxes) {
-    if (!heardBy(boxId) || !platformReachable(world, box)) continue;
+    if (!isNotified(boxId) || !platformReachable(world, box)) continue;
     const delayMs = world.random.unit() * Delay.notice;
     const { incarnation } = server;
     emitLater(world, box, delayMs, { type: 'reclaimNoticed', serverId, incarnation, leavesAtMs });
   }
-  world.queue.at(leavesAtMs, () => serverEnds(world, serverId));
+  world.queue.at(leavesAtMs, () => endServer(world, serverId));
 }
 
 /** Reclaims every reclaimable server of a zone. */
@@ -50,21 +50,21 @@
 }
 
 /** Kills a box; its connections to servers are cut. */
-export function boxDies(world: World, boxId: string): void {
+export function killBox(world: World, boxId: string): void {
   const box = world.boxes.get(boxId);
   if (box === undefined || !box.alive) return;
   box.alive = false;
   for (const server of world.servers.values()) {
     if (server.kind !== 'engine') continue;
     for (const [attemptId, callerId] of [...server.callers]) {
-      if (callerId === boxId) engineStops(server, attemptId);
+      if (callerId === boxId) cancelEngineRun(server, attemptId);
     }
   }
 }
 
 /** Kills a box and starts it again after a while. */
-export function boxRestarts(world: World, boxId: string, afterMs: number): void {
-  boxDies(world, boxId);
+export function restartBox(world: World, boxId: string, afterMs: number): void {
+  killBox(world, boxId);
   world.queue.at(world.queue.nowMs() + afterMs, () => {
     if (world.boxes.get(boxId)?.alive === false) startBox(world, boxId);
   });
--- a/packages/reedlug-check/src/world/links.ts
+++ b/packages/reedlug-check/src/world/links.ts
@@ -15,14 +15,14 @@
 }
 
 /** True when two zones are cut off from each other. */
-export function zonesAreCut(world: World, a: string, b: string): boolean {
+export function arePartitioned(world: World, a: string, b: string): boolean {
   return world.cutZones.has(`${a}|${b}`);
 }
 
 /** True when a server gives a box no answer: dead, stalled or cut off. */
-export function isSilent(world: World, box: WorldBox, server: WorldServer): boolean {
+export function isUnresponsive(world: World, box: WorldBox, server: WorldServer): boolean {
   if (!server.alive || world.queue.nowMs() < server.stalledUntilMs) return true;
-  return zonesAreCut(world, box.settings.zone, server.spec.zone);
+  return arePartitioned(world, box.settings.zone, server.spec.zone);
 }
 
 /** One-way delay between two zones. */
--- a/packages/reedlug-check/src/world/carryOut.ts
+++ b/packages/reedlug-check/src/world/performEffect.ts
@@ -1,47 +1,47 @@
 /** Carries out the boxes' effects against the fakes. */
 import type { Effect } from 'reedlug-decisions';
 import {
-  engineAnswersProbe,
-  engineExports,
-  engineMoves,
-  engineStops,
-  engineTakes,
+  answerEngineProbe,
+  exportEngineKv,
+  moveEngineCache,
+  cancelEngineRun,
+  submitEngineAttempt,
 } from './engineFake.js';
-import { boxDies } from './faults.js';
-import { cloudAnswers, tableAnswers } from './platformFake.js';
-import { serviceAnswersProbe, serviceTakes } from './serviceFake.js';
+import { killBox } from './faults.js';
+import { handleCloudRequest, handleTableOp } from './platformFake.js';
+import { answerServiceProbe, submitServiceAttempt } from './serviceFake.js';
 import { emit, emitLater } from './emit.js';
-import { delayBetween, platformReachable, zonesAreCut } from './links.js';
+import { delayBetween, platformReachable, arePartitioned } from './links.js';
 import type { World, WorldBox } from './worldTypes.js';
 
 /** Carries out one effect. */
-export function carryOut(world: World, box: WorldBox, effect: Effect): void {
+export function performEffect(world: World, box: WorldBox, effect: Effect): void {
   const { boxId } = box.settings;
   switch (effect.type) {
     case 'sendAttempt':
       return sendAttempt(world, box, effect);
     case 'cancelAttempt': {
       const server = world.servers.get(effect.serverId);
-      if (server?.kind === 'engine') engineStops(server, effect.attemptId);
+      if (server?.kind === 'engine') cancelEngineRun(server, effect.attemptId);
       return undefined;
     }
     case 'exportKv': {
       const server = world.servers.get(effect.serverId);
-      if (server?.kind === 'engine') engineExports(world, box, server, effect.attemptId);
+      if (server?.kind === 'engine') exportEngineKv(world, box, server, effect.attemptId);
       return undefined;
     }
     case 'moveCache': {
       const source = world.servers.get(effect.serverId);
       const target = world.servers.get(effect.targetServerId);
       if (source?.kind !== 'engine' || target?.kind !== 'engine') return undefined;
-      return engineMoves(world, box, { source, target, affinityHash: effect.affinityHash });
+      return moveEngineCache(world, box, { source, target, affinityHash: effect.affinityHash });
     }
     case 'deliverTokens':
       return world.observer.onTokens(boxId, effect.requestId, effect.offset, effect.tokens);
     case 'finishRequest':
       return world.observer.onFinish(boxId, effect);
     case 'requestTable':
-      return tableAnswers(world, box, effect.opId, effect.op);
+      return handleTableOp(world, box, effect.opId, effect.op);
     case 'writeSnapshot':
       if (platformReachable(world, box)) world.snapshot = structuredClone(effect.snapshot);
       return undefined;
@@ -53,11 +53,11 @@
       return sendOrder(world, box, effect);
     case 'askCloud':
       world.observer.onOrder('cloud', effect.ask.fence, processName(box));
-      return cloudAnswers(world, box, effect.askId, effect.ask);
+      return handleCloudRequest(world, box, effect.askId, effect.ask);
     case 'answerOperator':
       return world.observer.onOperator(effect.askId, effect.answer);
     case 'stopped':
-      return boxDies(world, boxId);
+      return killBox(world, boxId);
     case 'forgetRequest':
     case 'log':
       return undefined;
@@ -75,8 +75,8 @@
     emitLater(world, box, 1, { type: 'attemptRefused', attemptId, reason: 'notConnected' });
     return;
   }
-  if (server.kind === 'engine') engineTakes(world, box, server, effect);
-  else serviceTakes(world, box, server, effect);
+  if (server.kind === 'engine') submitEngineAttempt(world, box, server, effect);
+  else submitServiceAttempt(world, box, server, effect);
 }
 
 function sendPeer(
@@ -88,10 +88,10 @@
   const from = box.settings.boxId;
   if (target === undefined) return;
   const { zone } = box.settings;
-  if (zonesAreCut(world, zone, target.settings.zone)) return;
+  if (arePartitioned(world, zone, target.settings.zone)) return;
   const message = structuredClone(effect.message);
   world.queue.at(world.queue.nowMs() + delayBetween(world, zone, target.settings.zone), () => {
-    if (zonesAreCut(world, zone, target.settings.zone)) return;
+    if (arePartitioned(world, zone, target.settings.zone)) return;
     emit(world, target, { type: 'peerMessage', from, message });
   });
 }
@@ -102,8 +102,8 @@
     emitLater(world, box, 1, { type: 'serverReported', serverId, report: undefined });
     return;
   }
-  if (server.kind === 'engine') engineAnswersProbe(world, box, server);
-  else serviceAnswersProbe(world, box, server);
+  if (server.kind === 'engine') answerEngineProbe(world, box, server);
+  else answerServiceProbe(world, box, server);
 }
 
 function sendOrder(
--- a/packages/reedlug-check/src/world/platformFake.ts
+++ b/packages/reedlug-check/src/world/platformFake.ts
@@ -6,15 +6,15 @@
 import { Delay, platformReachable } from './links.js';
 import { addServer } from './world.js';
 import type { World, WorldBox } from './worldTypes.js';
-import { serverEnds } from './faults.js';
+import { endServer } from './faults.js';
 
 /** Time after which a caller of the platform gives up, in ms. */
 const TIMEOUT_MS = 1000;
 /** Slowness of a slow table, in ms. */
-const SLOW_MS = 700;
+const MEAN_SLOW_TABLE_DELAY_MS = 700;
 
 /** Carries out a table operation for a box. */
-export function tableAnswers(world: World, box: WorldBox, opId: string, op: TableOp): void {
+export function handleTableOp(world: World, box: WorldBox, opId: string, op: TableOp): void {
   const { faults, queue } = world;
   const answerLater = (delayMs: number, answer: TableAnswer): void =>
     emitLater(world, box, delayMs, { type: 'tableAnswered', opId, answer });
@@ -23,7 +23,8 @@
     answerLater(TIMEOUT_MS, { kind: 'unknown' });
     return;
   }
-  const slowMs = nowMs < faults.tableSlowUntilMs ? world.random.unit() * SLOW_MS * 2 : 0;
+  const slowMs =
+    nowMs < faults.tableSlowUntilMs ? world.random.unit() * MEAN_SLOW_TABLE_DELAY_MS * 2 : 0;
   const delayMs = Delay.platform + slowMs;
   queue.at(nowMs + delayMs, () => {
     const answer = applyTableOp(world.table, op);
@@ -34,7 +35,12 @@
 }
 
 /** Carries out a request to the cloud. */
-export function cloudAnswers(world: World, box: WorldBox, askId: string, ask: CloudRequest): void {
+export function handleCloudRequest(
+  world: World,
+  box: WorldBox,
+  askId: string,
+  request: CloudRequest,
+): void {
   const answerLater = (delayMs: number, answer: CommandResult): void =>
     emitLater(world, box, delayMs, { type: 'cloudAnswered', askId, answer });
   if (!platformReachable(world, box)) {
@@ -42,13 +48,13 @@
     return;
   }
   world.queue.at(world.queue.nowMs() + Delay.platform, () => {
-    if (ask.fence < world.cloudFence) {
+    if (request.fence < world.cloudFence) {
       answerLater(Delay.platform, { kind: 'refused', reason: 'old fence' });
       return;
     }
-    world.cloudFence = ask.fence;
-    if (ask.kind === 'stop') {
-      serverEnds(world, ask.serverId);
+    world.cloudFence = request.fence;
+    if (request.kind === 'stop') {
+      endServer(world, request.serverId);
       answerLater(Delay.platform, { kind: 'done' });
       return;
     }
@@ -56,28 +62,28 @@
       answerLater(Delay.platform, { kind: 'refused', reason: 'no capacity' });
       return;
     }
-    startEngine(world, ask);
+    startEngine(world, request);
     answerLater(Delay.platform, { kind: 'done' });
   });
 }
 
-function startEngine(world: World, ask: Extract<CloudRequest, { kind: 'start' }>): void {
-  if (world.startTokens.has(ask.startToken)) return;
-  world.startTokens.add(ask.startToken);
-  const pool = world.options.settings.pools.find(({ model }) => model === ask.pool);
+function startEngine(world: World, request: Extract<CloudRequest, { kind: 'start' }>): void {
+  if (world.startTokens.has(request.startToken)) return;
+  world.startTokens.add(request.startToken);
+  const pool = world.options.settings.pools.find(({ model }) => model === request.pool);
   if (pool === undefined) return;
   world.queue.at(world.queue.nowMs() + world.options.engineStartMs, () => {
     addServer(world, {
-      id: ask.startToken,
+      id: request.startToken,
       kind: 'engine',
-      zone: ask.zone,
-      pool: ask.pool,
+      zone: request.zone,
+      pool: request.pool,
       version: pool.version,
       slots: pool.slotsPerEngine,
-      machineClass: ask.machineClass,
-      reclaimable: ask.reclaimable,
+      machineClass: request.machineClass,
+      reclaimable: request.reclaimable,
       checksFence: pool.checksFence,
-      address: `http://${ask.startToken}`,
+      address: `http://${request.startToken}`,
     });
   });
 }
--- a/packages/reedlug-check/src/world/serviceFake.ts
+++ b/packages/reedlug-check/src/world/serviceFake.ts
@@ -1,13 +1,13 @@
 /** A plain service: runs each call that reaches it, then answers. */
 import type { Effect } from 'reedlug-decisions';
 import { emitLater } from './emit.js';
-import { Delay, delayBetween, isSilent, zonesAreCut } from './links.js';
+import { Delay, delayBetween, isUnresponsive, arePartitioned } from './links.js';
 import type { World, WorldBox, WorldService } from './worldTypes.js';
 
 const STATUS_OK = 200;
 
 /** Takes an attempt at a plain service. */
-export function serviceTakes(
+export function submitServiceAttempt(
   world: World,
   box: WorldBox,
   service: WorldService,
@@ -15,8 +15,8 @@
 ): void {
   const { attemptId, requestId, timeoutMs } = effect;
   const delayMs = delayBetween(world, box.settings.zone, service.spec.zone);
-  const cut = zonesAreCut(world, box.settings.zone, service.spec.zone);
-  if (!service.alive || cut) {
+  const isPartitioned = arePartitioned(world, box.settings.zone, service.spec.zone);
+  if (!service.alive || isPartitioned) {
     emitLater(world, box, delayMs, { type: 'attemptRefused', attemptId, reason: 'notConnected' });
     return;
   }
@@ -33,7 +33,7 @@
       return;
     }
     world.queue.at(arrivesAtMs + answerMs, () => {
-      const lost = !service.alive || zonesAreCut(world, box.settings.zone, service.spec.zone);
+      const lost = !service.alive || arePartitioned(world, box.settings.zone, service.spec.zone);
       if (lost)
         emitLater(world, box, Delay.connectionLoss, {
           type: 'attemptLost',
@@ -47,10 +47,10 @@
 }
 
 /** Answers a probe of a plain service. */
-export function serviceAnswersProbe(world: World, box: WorldBox, service: WorldService): void {
+export function answerServiceProbe(world: World, box: WorldBox, service: WorldService): void {
   const serverId = service.spec.id;
   const delayMs = delayBetween(world, box.settings.zone, service.spec.zone) * 2;
-  const silent = isSilent(world, box, service);
+  const silent = isUnresponsive(world, box, service);
   const report = {
     incarnation: service.incarnation,
     running: 0,
--- a/packages/reedlug-check/src/world/world.ts
+++ b/packages/reedlug-check/src/world/world.ts
@@ -14,12 +14,12 @@
   createRandom,
   createTableModel,
 } from 'reedlug-standins';
-import { noteList, scheduleBoxList } from './boxList.js';
+import { recordServerList, scheduleBoxList } from './boxList.js';
 import { emit } from './emit.js';
 import { Delay, platformReachable } from './links.js';
 import type { World, WorldBox, WorldObserver, WorldOptions, WorldServer } from './worldTypes.js';
 
-const SILENT: WorldObserver = {
+const NO_OP_OBSERVER: WorldObserver = {
   onTokens: () => undefined,
   onFinish: () => undefined,
   onRun: () => undefined,
@@ -32,7 +32,7 @@
 export const WORLD_EPOCH_MS = Date.UTC(2026, 11, 1, 8);
 
 /** Makes a world with every box and server of the settings up. */
-export function createWorld(options: WorldOptions, carryOut: World['carryOut']): World {
+export function createWorld(options: WorldOptions, performEffect: World['performEffect']): World {
   const world: World = {
     options,
     queue: createEventQueue(),
@@ -54,10 +54,10 @@
     listHistory: [],
     cloudFence: 0,
     startTokens: new Set(),
-    observer: { ...SILENT },
-    carryOut,
+    observer: { ...NO_OP_OBSERVER },
+    performEffect: performEffect,
     eventCount: 0,
-    incarnations: 0,
+    incarnationCount: 0,
     onEvent: undefined,
     epochStartMs: WORLD_EPOCH_MS,
   };
@@ -67,8 +67,8 @@
 }
 
 function nextIncarnation(world: World): number {
-  world.incarnations += 1;
-  return world.incarnations;
+  world.incarnationCount += 1;
+  return world.incarnationCount;
 }
 
 /** Seed of the generator in the state of one life of a box. */
@@ -125,13 +125,13 @@
   const server: WorldServer =
     spec.kind === 'service'
       ? { kind: 'service', ...base }
-      : { kind: 'engine', ...base, ...engineParts(world, spec, base.incarnation) };
+      : { kind: 'engine', ...base, ...createEngineFields(world, spec, base.incarnation) };
   world.servers.set(spec.id, server);
-  noteList(world);
+  recordServerList(world);
   return server;
 }
 
-function engineParts(world: World, spec: ServerSpec, incarnation: number) {
+function createEngineFields(world: World, spec: ServerSpec, incarnation: number) {
   const model = createEngineModel(world.options.engineOptions(spec), incarnation);
   model.onPrefill = (affinityHash, cachedTokens, contextTokens) =>
     world.observer.onPrefill(affinityHash, cachedTokens, contextTokens);
@@ -141,7 +141,7 @@
     endedAtMs: undefined,
     callers: new Map<string, string>(),
     tickets: new Map<string, number>(),
-    pumpAtMs: Number.POSITIVE_INFINITY,
+    iterationAtMs: Number.POSITIVE_INFINITY,
   };
 }
 
--- a/packages/reedlug-check/src/world/worldTypes.ts
+++ b/packages/reedlug-check/src/world/worldTypes.ts
@@ -42,7 +42,7 @@
   /** Boxes by the attempts that they have open here. */
   callers: Map<string, string>;
   tickets: Map<string, number>;
-  pumpAtMs: number;
+  iterationAtMs: number;
 }
 
 /** A plain service. */
@@ -91,7 +91,7 @@
   engineStartMs: number;
   mutations: ReadonlySet<Mutation>;
   /** Late and doubled engine events, as a share. */
-  doubledEvents: number;
+  duplicateEventShare: number;
 }
 
 /** The world. */
@@ -112,9 +112,9 @@
   cloudFence: number;
   startTokens: Set<string>;
   observer: WorldObserver;
-  carryOut: (world: World, box: WorldBox, effect: Effect) => void;
+  performEffect: (world: World, box: WorldBox, effect: Effect) => void;
   eventCount: number;
-  incarnations: number;
+  incarnationCount: number;
   /** Told of each event of each box before it is reduced. */
   onEvent: ((boxId: string, event: BoxEvent) => void) | undefined;
   epochStartMs: number;
