--- a/packages/reedlug-standins/src/http/engineServer.ts
+++ b/packages/reedlug-standins/src/http/engineServer.ts
@@ -11,7 +11,7 @@
   takeCacheEvent,
   type EngineModel,
   type EngineModelOptions,
-  type EngineSaying,
+  type EngineOutput,
 } from '../models/engineModel.js';
 import {
   startJsonServer,
@@ -54,7 +54,7 @@
   offset: number;
 }
 
-interface Running {
+interface RunningEngine {
   model: EngineModel;
   streams: Map<string, ServerResponse>;
   cacheKeys: Map<string, number>;
@@ -74,7 +74,7 @@
   incarnation: number;
 }): Promise<EngineServer> {
   const model = createEngineModel(params.options, params.incarnation);
-  const running: Running = {
+  const running: RunningEngine = {
     model,
     streams: new Map(),
     cacheKeys: new Map(),
@@ -88,7 +88,7 @@
   const server = await startJsonServer(
     [
       { method: 'POST', path: '/v1/completions', handle: (request) => complete(running, request) },
-      { method: 'GET', path: '/v1/load', handle: () => load(running) },
+      { method: 'GET', path: '/v1/load', handle: () => reportLoad(running) },
       { method: 'POST', path: '/v1/kv/export', handle: ({ body }) => exportKv(running, body) },
       {
         method: 'GET',
@@ -101,7 +101,7 @@
         path: '/v1/kv/:key',
         handle: ({ params: { key }, body }) => putKv(running, key ?? '', body),
       },
-      { method: 'POST', path: '/v1/orders', handle: ({ body }) => takeOrder(running, body) },
+      { method: 'POST', path: '/v1/orders', handle: ({ body }) => handleOrder(running, body) },
     ],
     params.port,
   );
@@ -124,48 +124,49 @@
 }
 
 async function complete(
-  running: Running,
+  running: RunningEngine,
   { body, response }: JsonRequest,
 ): Promise<JsonAnswer | undefined> {
-  const asked = body as CompletionBody;
+  const completion = body as CompletionBody;
   const { model } = running;
   const wrongModel =
-    asked.model !== model.model || (asked.version !== '' && asked.version !== model.version);
+    completion.model !== model.model ||
+    (completion.version !== '' && completion.version !== model.version);
   if (wrongModel) return { status: 409, value: { refused: 'wrongModel' } };
-  const importedTokens = await importTicket(asked);
-  const attemptId = asked.request_id;
-  const taken = submitRun(
+  const importedTokens = await importTicket(completion);
+  const attemptId = completion.request_id;
+  const admission = submitRun(
     model,
     {
       attemptId,
-      answerKey: String(hashString(asked.prompt)),
-      affinityHash: asked.cache_key,
-      promptTokens: asked.prompt_tokens,
-      resumeOffset: asked.resume_tokens.length,
-      totalTokens: asked.max_tokens,
-      urgent: asked.priority === 0,
+      answerKey: String(hashString(completion.prompt)),
+      affinityHash: completion.cache_key,
+      promptTokens: completion.prompt_tokens,
+      resumeOffset: completion.resume_tokens.length,
+      totalTokens: completion.max_tokens,
+      urgent: completion.priority === 0,
       importedTokens,
     },
     performance.now(),
   );
-  if (taken !== 'taken') return { status: 409, value: { refused: taken } };
+  if (admission !== 'taken') return { status: 409, value: { refused: admission } };
   running.taken.push(attemptId);
   running.streams.set(attemptId, response);
-  running.cacheKeys.set(attemptId, asked.cache_key);
+  running.cacheKeys.set(attemptId, completion.cache_key);
   response.writeHead(200, { 'content-type': 'text/event-stream' });
   response.flushHeaders();
   response.on('close', () => {
     if (!running.streams.delete(attemptId)) return;
     stopRun(model, attemptId);
   });
-  schedule(running);
+  scheduleIteration(running);
   return undefined;
 }
 
-async function importTicket(asked: CompletionBody): Promise<number> {
-  if (asked.kv_ticket === undefined) return 0;
+async function importTicket(completion: CompletionBody): Promise<number> {
+  if (completion.kv_ticket === undefined) return 0;
   try {
-    const { source, ticket_id } = asked.kv_ticket;
+    const { source, ticket_id } = completion.kv_ticket;
     const response = await fetch(`${source}/v1/kv/${ticket_id}`);
     return ((await response.json()) as { tokens?: number }).tokens ?? 0;
   } catch {
@@ -173,39 +174,40 @@
   }
 }
 
-function schedule(running: Running): void {
+function scheduleIteration(running: RunningEngine): void {
   clearTimeout(running.timer);
   const { nextAtMs } = running.model;
   if (nextAtMs === Number.POSITIVE_INFINITY) return;
   const nowMs = performance.now();
   const dueMs = Math.max(nextAtMs, running.stalledUntilMs);
-  running.timer = setTimeout(() => pump(running), Math.max(0, dueMs - nowMs));
+  running.timer = setTimeout(() => runIterations(running), Math.max(0, dueMs - nowMs));
 }
 
-function pump(running: Running): void {
+function runIterations(running: RunningEngine): void {
   if (performance.now() >= running.stalledUntilMs) {
-    for (const saying of advanceEngine(running.model, performance.now())) say(running, saying);
+    for (const output of advanceEngine(running.model, performance.now()))
+      writeOutput(running, output);
   }
-  schedule(running);
+  scheduleIteration(running);
 }
 
-function say(running: Running, saying: EngineSaying): void {
-  const response = running.streams.get(saying.attemptId);
+function writeOutput(running: RunningEngine, output: EngineOutput): void {
+  const response = running.streams.get(output.attemptId);
   if (response === undefined) return;
-  if (saying.kind === 'tokens') {
-    const { attemptId, offset, tokens } = saying;
+  if (output.kind === 'tokens') {
+    const { attemptId, offset, tokens } = output;
     const choices = [{ index: 0, text: tokens.join('') }];
     response.write(`data: ${JSON.stringify({ id: attemptId, choices, offset, tokens })}\n\n`);
     return;
   }
-  const { totalTokens, cachedTokens } = saying;
+  const { totalTokens, cachedTokens } = output;
   const report = reportOf(running.model);
   const end = { end: true, total_tokens: totalTokens, cached_tokens: cachedTokens, report };
-  running.streams.delete(saying.attemptId);
+  running.streams.delete(output.attemptId);
   response.end(`data: ${JSON.stringify(end)}\n\ndata: [DONE]\n\n`);
 }
 
-function load(running: Running): JsonAnswer | undefined {
+function reportLoad(running: RunningEngine): JsonAnswer | undefined {
   if (performance.now() < running.stalledUntilMs) return undefined;
   const event = takeCacheEvent(running.model);
   const value = {
@@ -216,7 +218,7 @@
   return { status: 200, value };
 }
 
-function exportKv(running: Running, body: unknown): JsonAnswer {
+function exportKv(running: RunningEngine, body: unknown): JsonAnswer {
   const { request_id: attemptId } = body as { request_id: string };
   const stopped = stopRun(running.model, attemptId);
   if (stopped === undefined) return { status: 404, value: { error: 'no such run' } };
@@ -229,13 +231,13 @@
   return { status: 200, value: { ticket_id: attemptId, offset } };
 }
 
-function readTicket(running: Running, ticketId: string): JsonAnswer {
+function readTicket(running: RunningEngine, ticketId: string): JsonAnswer {
   const ticket = running.tickets.get(ticketId);
   if (ticket === undefined) return { status: 404, value: {} };
   return { status: 200, value: { tokens: ticket.contextTokens } };
 }
 
-async function moveKv(running: Running, body: unknown): Promise<JsonAnswer> {
+async function moveKv(running: RunningEngine, body: unknown): Promise<JsonAnswer> {
   const { cache_key: cacheKey, target } = body as { cache_key: number; target: string };
   const tokens = running.model.cache.get(cacheKey);
   if (tokens === undefined) return { status: 404, value: { error: 'not cached' } };
@@ -246,7 +248,7 @@
   return { status: response.status, value: {} };
 }
 
-function putKv(running: Running, key: string, body: unknown): JsonAnswer {
+function putKv(running: RunningEngine, key: string, body: unknown): JsonAnswer {
   const { tokens } = body as { tokens: number };
   putCached(running.model, Number(key), tokens);
   return { status: 200, value: {} };
@@ -260,7 +262,7 @@
   role: 'serve' | 'drain';
 }
 
-function takeOrder(running: Running, body: unknown): JsonAnswer {
+function handleOrder(running: RunningEngine, body: unknown): JsonAnswer {
   const order = body as OrderBody;
   const { model } = running;
   if (running.checksFence && order.fence < model.highestFence) {
--- a/packages/reedlug-standins/src/http/platformServer.ts
+++ b/packages/reedlug-standins/src/http/platformServer.ts
@@ -40,7 +40,7 @@
   onStop: (stop: (serverId: string) => Promise<void>) => void;
 }
 
-interface Running {
+interface RunningPlatform {
   table: TableModel;
   objects: Map<string, unknown>;
   faults: PlatformFaults;
@@ -52,14 +52,14 @@
   stop: (serverId: string) => Promise<void>;
 }
 
-const DOWN: JsonAnswer = { status: 503, value: { error: 'down' } };
+const UNAVAILABLE: JsonAnswer = { status: 503, value: { error: 'down' } };
 
 /** Starts the platform on a loopback port. */
 export async function startPlatformServer(
   port: number,
   listLagMs: number,
 ): Promise<PlatformServer> {
-  const running: Running = {
+  const running: RunningPlatform = {
     table: createTableModel(),
     objects: new Map(),
     faults: {
@@ -78,7 +78,7 @@
   };
   const server = await startJsonServer(
     [
-      { method: 'POST', path: '/v1/table', handle: (request) => table(running, request) },
+      { method: 'POST', path: '/v1/table', handle: (request) => handleTableOp(running, request) },
       {
         method: 'GET',
         path: '/v1/objects/:name',
@@ -93,7 +93,7 @@
       {
         method: 'POST',
         path: '/v1/boxes',
-        handle: ({ body }) => askCloud(running, body as CloudRequest),
+        handle: ({ body }) => handleCloudRequest(running, body as CloudRequest),
       },
       {
         method: 'GET',
@@ -129,12 +129,12 @@
   };
 }
 
-async function table(
-  running: Running,
+async function handleTableOp(
+  running: RunningPlatform,
   { body, response }: JsonRequest,
 ): Promise<JsonAnswer | undefined> {
   const { faults } = running;
-  if (faults.tableDown) return DOWN;
+  if (faults.tableDown) return UNAVAILABLE;
   if (faults.tableSlowMs > 0) {
     await new Promise((resolve) => setTimeout(resolve, faults.tableSlowMs));
   }
@@ -151,42 +151,45 @@
     case 'refused':
       return { status: 409, value: { rows: answer.rows } };
     case 'unknown':
-      return DOWN;
+      return UNAVAILABLE;
   }
 }
 
-function readObject(running: Running, name: string): JsonAnswer {
+function readObject(running: RunningPlatform, name: string): JsonAnswer {
   const value = running.objects.get(name);
   return value === undefined ? { status: 404, value: {} } : { status: 200, value };
 }
 
-function writeObject(running: Running, name: string, body: unknown): JsonAnswer {
+function writeObject(running: RunningPlatform, name: string, body: unknown): JsonAnswer {
   running.objects.set(name, body);
   return { status: 200, value: {} };
 }
 
-function listBoxes(running: Running): JsonAnswer {
+function listBoxes(running: RunningPlatform): JsonAnswer {
   const asOfMs = performance.now() - running.faults.listLagMs;
   const { history } = running;
-  const seen = history.findLast((item) => item.atMs <= asOfMs) ?? history[0];
-  return { status: 200, value: seen?.entries ?? [] };
+  const snapshot = history.findLast((item) => item.atMs <= asOfMs) ?? history[0];
+  return { status: 200, value: snapshot?.entries ?? [] };
 }
 
-async function askCloud(running: Running, ask: CloudRequest): Promise<JsonAnswer> {
-  if (ask.fence < running.highestFence) return { status: 409, value: { error: 'old fence' } };
-  running.highestFence = ask.fence;
-  if (ask.kind === 'stop') {
-    await running.stop(ask.serverId);
+async function handleCloudRequest(
+  running: RunningPlatform,
+  request: CloudRequest,
+): Promise<JsonAnswer> {
+  if (request.fence < running.highestFence) return { status: 409, value: { error: 'old fence' } };
+  running.highestFence = request.fence;
+  if (request.kind === 'stop') {
+    await running.stop(request.serverId);
     return { status: 200, value: {} };
   }
   if (running.faults.refuseStarts) return { status: 409, value: { error: 'no capacity' } };
-  if (running.startTokens.has(ask.startToken)) return { status: 200, value: {} };
-  running.startTokens.add(ask.startToken);
-  await running.start(ask);
+  if (running.startTokens.has(request.startToken)) return { status: 200, value: {} };
+  running.startTokens.add(request.startToken);
+  await running.start(request);
   return { status: 200, value: {} };
 }
 
-function listNotices(running: Running, url: string): JsonAnswer {
+function listNotices(running: RunningPlatform, url: string): JsonAnswer {
   const after = Number(new URL(url, 'http://platform').searchParams.get('after') ?? 0);
   const nowMs = performance.now();
   const value = running.notices
--- a/packages/reedlug-standins/src/http/serviceServer.ts
+++ b/packages/reedlug-standins/src/http/serviceServer.ts
@@ -15,7 +15,7 @@
   leave: () => void;
 }
 
-interface Running {
+interface RunningService {
   runs: Map<string, number>;
   records: Map<string, unknown>;
   stalledUntilMs: number;
@@ -30,7 +30,7 @@
   incarnation: number;
   answerMs: number;
 }): Promise<ServiceServer> {
-  const running: Running = {
+  const running: RunningService = {
     runs: new Map(),
     records: new Map(),
     stalledUntilMs: 0,
@@ -64,31 +64,34 @@
   };
 }
 
-function health(running: Running, { response }: JsonRequest): JsonAnswer | undefined {
+function health(running: RunningService, { response }: JsonRequest): JsonAnswer | undefined {
   if (performance.now() < running.stalledUntilMs) return undefined;
   response.setHeader('x-incarnation', String(running.incarnation));
   response.setHeader('x-leaving', running.leaving ? '1' : '0');
   return { status: 200, value: {} };
 }
 
-async function pause(running: Running): Promise<void> {
+async function delayAnswer(running: RunningService): Promise<void> {
   const stallMs = Math.max(0, running.stalledUntilMs - performance.now());
   const waitMs = stallMs + running.answerMs;
   if (waitMs > 0) await new Promise((resolve) => setTimeout(resolve, waitMs));
 }
 
-async function lookUp(running: Running, { request }: JsonRequest): Promise<JsonAnswer> {
-  await pause(running);
+async function lookUp(running: RunningService, { request }: JsonRequest): Promise<JsonAnswer> {
+  await delayAnswer(running);
   const path = request.url ?? '/';
   const record = running.records.get(path) ?? { status: 'registered' };
   return { status: 200, value: { path, record } };
 }
 
-async function change(running: Running, { request, body }: JsonRequest): Promise<JsonAnswer> {
+async function change(
+  running: RunningService,
+  { request, body }: JsonRequest,
+): Promise<JsonAnswer> {
   const ref = String((body as { ref?: unknown } | undefined)?.ref ?? request.url);
   const runs = (running.runs.get(ref) ?? 0) + 1;
   running.runs.set(ref, runs);
   running.records.set(request.url ?? '/', body);
-  await pause(running);
+  await delayAnswer(running);
   return { status: 201, value: { ref, runs } };
 }
--- a/packages/reedlug-standins/src/models/engineModel.ts
+++ b/packages/reedlug-standins/src/models/engineModel.ts
@@ -39,7 +39,7 @@
 }
 
 /** What an engine says of a run. */
-export type EngineSaying =
+export type EngineOutput =
   | { kind: 'tokens'; attemptId: string; offset: number; tokens: string[] }
   | { kind: 'ended'; attemptId: string; totalTokens: number; cachedTokens: number };
 
@@ -72,7 +72,7 @@
   cacheSequence: number;
   evicted: number[];
   hitTokens: number;
-  askedTokens: number;
+  requestedTokens: number;
   /** Told of every prompt work: context length and how much of it was cached. */
   onPrefill: (affinityHash: number, cachedTokens: number, contextTokens: number) => void;
 }
@@ -103,7 +103,7 @@
     cacheSequence: 0,
     evicted: [],
     hitTokens: 0,
-    askedTokens: 0,
+    requestedTokens: 0,
     onPrefill: () => undefined,
   };
 }
@@ -162,11 +162,11 @@
   live.cachedTokens = Math.min(cached, live.run.promptTokens);
   live.prefillLeft = Math.max(1, context - cached);
   engine.hitTokens = engine.hitTokens * HIT_DECAY + cached;
-  engine.askedTokens = engine.askedTokens * HIT_DECAY + context;
+  engine.requestedTokens = engine.requestedTokens * HIT_DECAY + context;
   engine.onPrefill(affinityHash, cached, context);
   engine.running.push(live);
   engine.runningTokens += context;
-  makeRoom(engine);
+  evictToFit(engine);
 }
 
 function dropCached(engine: EngineModel, affinityHash: number): void {
@@ -175,7 +175,7 @@
 }
 
 /** Evicts idle prefixes, then puts the youngest patient run back to wait. */
-function makeRoom(engine: EngineModel): void {
+function evictToFit(engine: EngineModel): void {
   const { kvCapacityTokens } = engine.options;
   for (const affinityHash of engine.cache.keys()) {
     if (engine.runningTokens + engine.cacheTokens <= kvCapacityTokens) return;
@@ -203,58 +203,58 @@
 }
 
 /** Works until `nowMs`; returns what it said, in order. */
-export function advanceEngine(engine: EngineModel, nowMs: number): EngineSaying[] {
-  const sayings: EngineSaying[] = [];
+export function advanceEngine(engine: EngineModel, nowMs: number): EngineOutput[] {
+  const outputs: EngineOutput[] = [];
   while (engine.nextAtMs <= nowMs) {
     const atMs = engine.nextAtMs;
-    const prefilled = iterate(engine, sayings);
+    const prefilled = iterate(engine, outputs);
     const idle = engine.running.length === 0 && engine.waiting.length === 0;
     engine.nextAtMs = idle ? Number.POSITIVE_INFINITY : atMs + iterationMs(engine, prefilled);
   }
-  return sayings;
+  return outputs;
 }
 
-function iterate(engine: EngineModel, sayings: EngineSaying[]): number {
+function iterate(engine: EngineModel, outputs: EngineOutput[]): number {
   admitWaiting(engine);
   const prefilled = prefillChunk(engine);
   for (const live of [...engine.running]) {
-    if (live.prefillLeft === 0 && engine.running.includes(live)) generate(engine, live, sayings);
+    if (live.prefillLeft === 0 && engine.running.includes(live)) generate(engine, live, outputs);
   }
   return prefilled;
 }
 
 /** Computes up to one chunk of prompt tokens, urgent prompts first; small ones share a chunk. */
 function prefillChunk(engine: EngineModel): number {
-  let left = PREFILL_CHUNK_TOKENS;
+  let remaining = PREFILL_CHUNK_TOKENS;
   for (const urgent of [true, false]) {
     for (const live of engine.running) {
-      if (left === 0) return PREFILL_CHUNK_TOKENS;
+      if (remaining === 0) return PREFILL_CHUNK_TOKENS;
       if (live.run.urgent !== urgent || live.prefillLeft === 0) continue;
-      const tokens = Math.min(left, live.prefillLeft);
+      const tokens = Math.min(remaining, live.prefillLeft);
       live.prefillLeft -= tokens;
-      left -= tokens;
+      remaining -= tokens;
     }
   }
-  return PREFILL_CHUNK_TOKENS - left;
+  return PREFILL_CHUNK_TOKENS - remaining;
 }
 
-function generate(engine: EngineModel, live: LiveRun, sayings: EngineSaying[]): void {
+function generate(engine: EngineModel, live: LiveRun, outputs: EngineOutput[]): void {
   const { run } = live;
   if (live.offset < run.totalTokens) {
     live.offset += 1;
     engine.runningTokens += 1;
-    makeRoom(engine);
+    evictToFit(engine);
   }
   const done = live.offset >= run.totalTokens;
   const pending = live.offset - live.sentOffset;
   const isFirst = live.sentOffset === run.resumeOffset;
   if (pending > 0 && (done || isFirst || pending >= engine.options.tokensPerEvent)) {
-    sayings.push(tokensSaying(live));
+    outputs.push(tokensOutput(live));
   }
-  if (done) finish(engine, live, sayings);
+  if (done) finish(engine, live, outputs);
 }
 
-function tokensSaying(live: LiveRun): EngineSaying {
+function tokensOutput(live: LiveRun): EngineOutput {
   const { run, sentOffset, offset } = live;
   const tokens: string[] = [];
   for (let at = sentOffset; at < offset; at += 1) tokens.push(answerToken(run.answerKey, at));
@@ -262,12 +262,12 @@
   return { kind: 'tokens', attemptId: run.attemptId, offset: sentOffset, tokens };
 }
 
-function finish(engine: EngineModel, live: LiveRun, sayings: EngineSaying[]): void {
+function finish(engine: EngineModel, live: LiveRun, outputs: EngineOutput[]): void {
   const { run, cachedTokens } = live;
   removeRunning(engine, live);
   putCached(engine, run.affinityHash, contextOf(live));
   const { attemptId, totalTokens } = run;
-  sayings.push({ kind: 'ended', attemptId, totalTokens, cachedTokens });
+  outputs.push({ kind: 'ended', attemptId, totalTokens, cachedTokens });
 }
 
 /** Puts an idle prefix into the cache. */
@@ -275,7 +275,7 @@
   dropCached(engine, affinityHash);
   engine.cache.set(affinityHash, tokens);
   engine.cacheTokens += tokens;
-  makeRoom(engine);
+  evictToFit(engine);
 }
 
 /** Stops a run; its context stays as an idle prefix. Returns the context length, or undefined. */
@@ -308,7 +308,7 @@
     role: engine.role,
     leaving: engine.leaving,
     kvUsedShare: Math.min(1, (engine.runningTokens + engine.cacheTokens) / kvCapacityTokens),
-    kvHitShare: engine.askedTokens === 0 ? 1 : engine.hitTokens / engine.askedTokens,
+    kvHitShare: engine.requestedTokens === 0 ? 1 : engine.hitTokens / engine.requestedTokens,
   };
 }
 
--- a/packages/reedlug-standins/src/models/tableModel.ts
+++ b/packages/reedlug-standins/src/models/tableModel.ts
@@ -24,7 +24,7 @@
     case 'transact':
       return transact(table, op);
     case 'read':
-      return { kind: 'done', rows: present(table, op.keys) };
+      return { kind: 'done', rows: existingRows(table, op.keys) };
     case 'scan':
       return { kind: 'done', rows: scan(table, op) };
   }
@@ -35,7 +35,7 @@
     (write) => (table.rows.get(write.key)?.version ?? 0) !== write.expectVersion,
   );
   if (conflicts.length > 0) {
-    const rows = present(
+    const rows = existingRows(
       table,
       conflicts.map((write) => write.key),
     );
@@ -49,14 +49,14 @@
   }
   return {
     kind: 'done',
-    rows: present(
+    rows: existingRows(
       table,
       op.writes.map((write) => write.key),
     ),
   };
 }
 
-function present(table: TableModel, keys: readonly string[]): TableRow[] {
+function existingRows(table: TableModel, keys: readonly string[]): TableRow[] {
   return keys.flatMap((key) => {
     const row = table.rows.get(key);
     return row === undefined ? [] : [row];
