--- a/packages/reedlug-check/src/world/world.ts
+++ b/packages/reedlug-check/src/world/world.ts
@@ -55,7 +55,7 @@
     cloudFence: 0,
     startTokens: new Set(),
     observer: { ...NO_OP_OBSERVER },
-    performEffect: performEffect,
+    performEffect,
     eventCount: 0,
     incarnationCount: 0,
     onEvent: undefined,
--- a/packages/reedlug-standins/src/http/engineServer.ts
+++ b/packages/reedlug-standins/src/http/engineServer.ts
@@ -28,7 +28,7 @@
   /** Says nothing for a while; requests stay open. */
   stall: (forMs: number) => void;
   /** Refuses new work from now on. */
-  leave: () => void;
+  drain: () => void;
   /** Dies: every connection is cut. */
   kill: () => Promise<void>;
   /** Runs taken since the start, by attempt id. */
@@ -113,7 +113,7 @@
     stall: (forMs) => {
       running.stalledUntilMs = performance.now() + forMs;
     },
-    leave: () => {
+    drain: () => {
       model.leaving = true;
     },
     kill: async () => {
--- a/packages/reedlug-standins/src/http/serviceServer.ts
+++ b/packages/reedlug-standins/src/http/serviceServer.ts
@@ -12,7 +12,7 @@
   /** How often each non-repeatable request was run, by its `ref` field. */
   runs: Map<string, number>;
   stall: (forMs: number) => void;
-  leave: () => void;
+  drain: () => void;
 }
 
 interface RunningService {
@@ -58,7 +58,7 @@
     stall: (forMs) => {
       running.stalledUntilMs = performance.now() + forMs;
     },
-    leave: () => {
+    drain: () => {
       running.leaving = true;
     },
   };
--- a/packages/reedlug/src/dev/faultSwitches.ts
+++ b/packages/reedlug/src/dev/faultSwitches.ts
@@ -90,7 +90,7 @@
   const server = cluster.servers.get(serverId);
   if (server === undefined) return;
   server.leaving = true;
-  server.running.leave();
+  server.running.drain();
   cluster.platform.notice(serverId, server.incarnation, noticeMs);
   later(cluster, noticeMs, () => void removeServer(cluster, serverId));
 }
