--- a/packages/reedlug-check/src/check/callers.ts
+++ b/packages/reedlug-check/src/check/callers.ts
@@ -1,4 +1,4 @@
-/** Callers of a checked run: what they ask, and whether what they get keeps the promises. */
+/** Simulates the callers of a checked run and checks the guarantees on the answers they receive. */
 import { hashString, Outcome } from 'reedlug-coordination';
 import type { Effect, RequestSpec } from 'reedlug-decisions';
 import { answerToken } from 'reedlug-standins';
@@ -9,39 +9,39 @@
 
 type Finish = Extract<Effect, { type: 'finishRequest' }>;
 
-/** A request and what its caller has seen of it. */
+/** A request and what its caller has received so far. */
 export interface Call {
   planned: PlannedCall;
   boxId: string;
-  /** The process that took it; another life of the box is another object. */
+  /** Process that received the request. A restarted box is a different object. */
   box: WorldBox;
   tokens: string[];
   finish: Finish | undefined;
-  /** The call that this one goes on with, after a reconnect. */
+  /** Call that this one continues after a reconnect. */
   resumedFrom: Call | undefined;
   gone: boolean;
 }
 
-/** A broken promise, as the callers or the servers see it. */
+/** A violated guarantee, as observed by callers or servers. */
 export interface WorldViolation {
   name: string;
   detail: string;
 }
 
-/** The callers of a run. */
+/** State of all callers of a run. */
 export interface Callers {
   calls: Map<string, Call>;
   violations: WorldViolation[];
-  /** Runs at plain services by idempotency key. */
+  /** Number of runs at plain services, by idempotency key. */
   runsByKey: Map<string, number>;
-  /** Requests that some server has run. */
+  /** Ids of the requests that at least one server has run. */
   ran: Set<string>;
 }
 
 const DEADLINE_MS = { urgent: 20_000, patient: 40_000 } as const;
 const RECONNECT_MS = 50;
 
-/** Wires callers into a world. */
+/** Schedules the planned calls in a world and observes their answers. */
 export function createCallers(world: World, planned: readonly PlannedCall[]): Callers {
   const callers: Callers = {
     calls: new Map(),
@@ -50,7 +50,7 @@
     ran: new Set(),
   };
   const keys = new Map(planned.map((call) => [call.requestId, call.key]));
-  // A box that took a request over has no connection to its caller.
+  // A box that took over a request from another box has no connection to its caller.
   const isConnected = (boxId: string, requestId: string): boolean =>
     callers.calls.get(requestId)?.boxId === boxId;
   world.observer.onTokens = (boxId, requestId, offset, tokens) => {
@@ -69,7 +69,10 @@
   callers.ran.add(requestId);
   const finish = callers.calls.get(requestId)?.finish;
   if (finish?.outcome === Outcome.notRun) {
-    callers.violations.push({ name: 'notRunDidRun', detail: `${requestId} ran after notRun` });
+    callers.violations.push({
+      name: 'notRunDidRun',
+      detail: `${requestId} ran after it was answered as notRun`,
+    });
   }
   if (key === undefined) return;
   const runs = (callers.runsByKey.get(key) ?? 0) + 1;
@@ -142,7 +145,7 @@
   for (const [index, token] of tokens.entries()) {
     const at = offset + index;
     if (at !== call.tokens.length || token !== answerToken(source, at)) {
-      const detail = `${requestId} got ${JSON.stringify(token)} at ${at}, has ${call.tokens.length}`;
+      const detail = `${requestId} got ${JSON.stringify(token)} at offset ${at} after ${call.tokens.length} tokens`;
       callers.violations.push({ name: 'wrongToken', detail });
       return;
     }
@@ -169,13 +172,16 @@
 function checkFinish(callers: Callers, call: Call, finish: Finish): void {
   const { requestId } = call.planned;
   if (finish.outcome === Outcome.notRun && callers.ran.has(requestId)) {
-    callers.violations.push({ name: 'notRunDidRun', detail: `${requestId} is notRun and ran` });
+    callers.violations.push({
+      name: 'notRunDidRun',
+      detail: `${requestId} was answered as notRun but had run`,
+    });
   }
   if (finish.outcome !== Outcome.completed) return;
   const origin = originalCall(call).planned;
   const isModel = isModelCall(origin);
   if (isModel && call.tokens.length !== origin.maxTokens) {
-    const detail = `${requestId} is completed with ${call.tokens.length} of ${origin.maxTokens} tokens`;
+    const detail = `${requestId} completed with ${call.tokens.length} of ${origin.maxTokens} tokens`;
     callers.violations.push({ name: 'partialShownWhole', detail });
   }
 }
@@ -188,7 +194,7 @@
   );
 }
 
-/** Goes on at another box, from the offset that the caller has. */
+/** Reconnects to another box and continues from the offset that the caller has received. */
 function reconnect(world: World, callers: Callers, call: Call): void {
   world.queue.at(world.queue.nowMs() + RECONNECT_MS, () => {
     const alive = [...world.boxes].filter(
--- a/packages/reedlug-check/src/check/checkPlan.ts
+++ b/packages/reedlug-check/src/check/checkPlan.ts
@@ -1,8 +1,8 @@
-/** What happens in one checked run, drawn from its seed beforehand, so that it can be shrunk. */
+/** Generates the whole plan of a checked run from its seed in advance, so that it can be shrunk. */
 import { createRandom, type Random } from 'reedlug-standins';
 import { CHECK_WORKSPACES, CHECK_ZONES, checkSettings } from './checkSettings.js';
 
-/** Kinds of faults, from the brief's list. */
+/** Kinds of faults that a checked run can inject. */
 export const FaultKind = {
   reclaimServer: 'reclaimServer',
   reclaimZone: 'reclaimZone',
@@ -24,7 +24,7 @@
 } as const;
 export type FaultKind = (typeof FaultKind)[keyof typeof FaultKind];
 
-/** Faults that are announced, or that no request may be lost by. */
+/** Faults that are announced in advance or that must not lose any accepted request. */
 export const BENIGN_FAULTS: readonly FaultKind[] = [
   FaultKind.reclaimServer,
   FaultKind.reclaimZone,
@@ -34,11 +34,11 @@
   FaultKind.staleList,
 ];
 
-/** One fault. `target` and `other` are picked among what is there when it strikes. */
+/** One fault. `target` and `other` select among what exists when the fault is injected. */
 export interface PlannedFault {
   atMs: number;
   kind: FaultKind;
-  /** In [0, 1); chooses the server, box or zone. */
+  /** Fraction in [0, 1) that selects the server, box or zone. */
   target: number;
   other: number;
   durationMs: number;
@@ -55,23 +55,23 @@
 } as const;
 export type CallKind = (typeof CallKind)[keyof typeof CallKind];
 
-/** One request of a caller. */
+/** One planned request of a caller. */
 export interface PlannedCall {
   atMs: number;
   kind: CallKind;
   requestId: string;
   workspaceId: string;
-  /** In [0, 1); chooses the entry box. */
+  /** Fraction in [0, 1) that selects the entry box. */
   box: number;
   key: string | undefined;
   conversation: number;
   promptTokens: number;
   maxTokens: number;
-  /** When the caller's connection goes away, after the call. */
+  /** Time from the call until the caller disconnects; undefined if it stays connected. */
   goneAfterMs: number | undefined;
 }
 
-/** One pair of operators who want the same item changed. */
+/** Two operators who try to change the same item. */
 export interface PlannedRace {
   atMs: number;
   kind: 'setLimits' | 'setPriority' | 'setEngine';
@@ -80,7 +80,7 @@
   secondAfterMs: number;
 }
 
-/** Everything that happens in a run. */
+/** Everything that is planned for a run. */
 export interface CheckPlan {
   seed: number;
   lengthMs: number;
@@ -89,12 +89,12 @@
   races: PlannedRace[];
 }
 
-/** Time before the first fault, in which the boxes get to know each other. */
+/** Time before the first fault, in which the boxes discover each other. */
 const WARM_UP_MS = 2500;
 const CALLS_PER_SECOND = 12;
 const RACE_COUNT = 4;
 
-/** Draws a plan. */
+/** Generates the plan of a seed. */
 export function generatePlan(params: {
   seed: number;
   lengthMs: number;
@@ -125,7 +125,7 @@
     other: random.unit(),
     durationMs: 500 + random.unit() * 4500,
   }));
-  // Every third fault strikes together with the one before it.
+  // Every third fault is injected within 200 ms of the previous one, so that their effects combine.
   for (const [index, fault] of faults.entries()) {
     const previous = faults[index - 1];
     if (index % 3 === 2 && previous !== undefined) fault.atMs = previous.atMs + random.unit() * 200;
@@ -174,7 +174,7 @@
   };
 }
 
-/** The same notice again, at other boxes, at once or later. */
+/** Returns up to three repeats of a call under the same key, at random boxes and times. */
 function generateDuplicates(random: Random, call: PlannedCall): PlannedCall[] {
   const duplicates: PlannedCall[] = [];
   for (let index = 1; random.chance(0.5) && index < 4; index += 1) {
@@ -199,15 +199,15 @@
   }));
 }
 
-/** Ids of the boxes of every checked run. */
+/** Ids of the boxes in every checked run. */
 export const CHECK_BOX_IDS: readonly string[] = checkSettings().boxes.map(({ id }) => id);
 
-/** An element by a number in [0, 1); undefined for an empty list. */
+/** Returns the element that a fraction in [0, 1) selects; undefined for an empty list. */
 export function elementAtFraction<T>(items: readonly T[], fraction: number): T | undefined {
   return items[Math.floor(fraction * items.length)];
 }
 
-/** A zone by a number in [0, 1). */
+/** Returns the zone that a fraction in [0, 1) selects. */
 export function zoneAtFraction(fraction: number): string {
   return elementAtFraction(CHECK_ZONES, fraction) ?? CHECK_ZONES[0];
 }
--- a/packages/reedlug-check/src/check/checkSettings.ts
+++ b/packages/reedlug-check/src/check/checkSettings.ts
@@ -1,4 +1,7 @@
-/** Settings of the checked boxes: today's size, with short times so that leases and limits turn over. */
+/**
+ * Settings of the checked deployment. It has the size of a real one, but its times are short, so
+ * that leases lapse and limits are redistributed within a run.
+ */
 import {
   DEFAULT_CONTROL,
   DEFAULT_POLICY,
@@ -11,7 +14,7 @@
 /** Model and service of the checked deployment. */
 export const CHECK_MODEL = 'draft';
 export const CHECK_SERVICE = 'records';
-/** Workspaces; all have ample limits. */
+/** Workspaces, with limits that the generated calls never reach. */
 export const CHECK_WORKSPACES = ['lab-1', 'lab-2', 'floor'] as const;
 
 const BOXES_PER_ZONE = 2;
@@ -50,7 +53,7 @@
   }));
 }
 
-/** Returns the settings, without what differs from box to box. */
+/** Returns the settings that all boxes share. */
 export function checkSettings(): Omit<DecisionSettings, 'boxId' | 'zone' | 'incarnation'> {
   return {
     zones: CHECK_ZONES.map((name) => ({ name, site: 'site' })),
--- a/packages/reedlug-check/src/check/inForce.ts
+++ b/packages/reedlug-check/src/check/inForce.ts
@@ -1,21 +1,24 @@
-/** How long a confirmed revision takes until it is in force at every box. */
+/** Measures how long a confirmed revision takes until it is in force at every box. */
 import { emit } from '../world/emit.js';
 import { runUntil } from '../world/world.js';
 import type { World } from '../world/worldTypes.js';
 import { createCheckWorld } from './runSeed.js';
 
-/** Earliest time of the confirm, when the boxes know each other, and the span that it varies over. */
+/** The confirmation comes in this span, which begins when the boxes have discovered each other. */
 const CONFIRM_FROM_MS = 4000;
 const CONFIRM_SPAN_MS = 1000;
 const CONFIRM_STEP_MS = 137;
 const STEP_MS = 50;
 const TIMEOUT_MS = 20_000;
 
-/** Confirms a plan at one box; returns the ms until every box has its revision. */
+/**
+ * Confirms a plan at one box. Returns the time in ms until every box has the plan's revision, or
+ * infinity after the timeout.
+ */
 export function measureInForceMs(params: {
   seed: number;
   boxId: string;
-  /** A zone that is cut off from the platform. */
+  /** Zone that cannot reach the platform, if any. */
   cutFromPlatform: string | undefined;
 }): number {
   const world = createCheckWorld(params.seed, new Set());
@@ -27,7 +30,7 @@
         plan: answer.plan,
       });
   };
-  // Polls beat together, so the moment of the confirm must not.
+  // The boxes poll in phase, so the time of the confirmation varies with the seed.
   const confirmAtMs = CONFIRM_FROM_MS + ((params.seed * CONFIRM_STEP_MS) % CONFIRM_SPAN_MS);
   runUntil(world, confirmAtMs);
   const intent = { kind: 'createService', service: 'permits', deduplicates: false } as const;
--- a/packages/reedlug-check/src/check/injectFault.ts
+++ b/packages/reedlug-check/src/check/injectFault.ts
@@ -1,4 +1,4 @@
-/** Throws a planned fault into a world, and takes it back when its time is over. */
+/** Injects a planned fault into a world, and reverts it when its duration has passed. */
 import { killBox, restartBox, reclaimServer, reclaimZone, endServer } from '../world/faults.js';
 import { emit } from '../world/emit.js';
 import { addServer } from '../world/world.js';
@@ -11,10 +11,10 @@
 const LOST_ANSWER_SHARE = 0.5;
 const STALE_LIST_LAG_MS = 8000;
 const NORMAL_LIST_LAG_MS = 1000;
-/** A box's own notice leaves time to hand its requests over. */
+/** Notice that a reclaimed box receives, long enough to hand over its requests. */
 const BOX_NOTICE_MS = 2500;
 
-/** Throws one fault. */
+/** Injects one fault. */
 export function injectFault(world: World, fault: PlannedFault): void {
   const { faults } = world;
   const untilMs = world.queue.nowMs() + fault.durationMs;
@@ -118,14 +118,14 @@
   if (box !== undefined) run(box[0]);
 }
 
-/** Kills a server; a plain service starts again as a new life of its box. */
+/** Kills a server. A plain service restarts later as a new incarnation. */
 function killServer(world: World, server: WorldServer): void {
   endServer(world, server.spec.id);
   if (server.kind !== 'service') return;
   world.queue.at(world.queue.nowMs() + RESTART_DELAY_MS, () => addServer(world, server.spec));
 }
 
-/** An engine is changed by someone else, for a while. */
+/** Makes an engine serve another model for a while, as if someone else had changed it. */
 function changeEngine(world: World, fault: PlannedFault): void {
   const engines = [...world.servers.values()].filter((server) => server.kind === 'engine');
   const engine = elementAtFraction(engines, fault.target);
--- a/packages/reedlug-check/src/check/operators.ts
+++ b/packages/reedlug-check/src/check/operators.ts
@@ -1,4 +1,4 @@
-/** Operators of a checked run, who race each other with conflicting intents. */
+/** Simulates operators of a checked run who race each other with conflicting intents. */
 import type { Intent, OperatorAnswer, OperatorRequest, Plan } from 'reedlug-decisions';
 import { emit } from '../world/emit.js';
 import type { World } from '../world/worldTypes.js';
@@ -6,14 +6,14 @@
 import { CHECK_BOX_IDS, elementAtFraction, type PlannedRace } from './checkPlan.js';
 import { CHECK_MODEL, CHECK_WORKSPACES } from './checkSettings.js';
 
-/** What became of the operators' plans. */
+/** Results of the operators' plans. */
 export interface Operators {
   confirmed: number;
   conflicts: number;
   violations: WorldViolation[];
 }
 
-/** Wires operators into a world. */
+/** Schedules the planned races in a world and observes their answers. */
 export function createOperators(world: World, races: readonly PlannedRace[]): Operators {
   const operators: Operators = { confirmed: 0, conflicts: 0, violations: [] };
   const answerHandlers = new Map<string, (answer: OperatorAnswer) => void>();
--- a/packages/reedlug-check/src/check/runCheck.ts
+++ b/packages/reedlug-check/src/check/runCheck.ts
@@ -1,23 +1,23 @@
-/** Checks a range of seeds and sums up. */
+/** Checks a range of seeds and totals the results. */
 import type { Mutation } from 'reedlug-decisions';
 import { generatePlan, FaultKind } from './checkPlan.js';
 import { runPlan, type SeedResult } from './runSeed.js';
 import { shrinkPlan, type ShrunkPlan } from './shrink.js';
 
-/** What to check. */
+/** Options of a check. */
 export interface CheckOptions {
   firstSeed: number;
   lastSeed: number;
-  /** Events that a run has at the least. */
+  /** Minimum number of events in a run. */
   minEvents: number;
   kinds: readonly FaultKind[];
   mutations: ReadonlySet<Mutation>;
-  /** Stop at the first violation, as the check of the checker does. */
+  /** Stops at the first violation without shrinking its plan, as the tests of the checker need. */
   stopAtFirst: boolean;
   onSeed?: (result: SeedResult) => void;
 }
 
-/** The sum of a check. */
+/** Totals over all seeds of a check. */
 export interface CheckSummary {
   seeds: number;
   events: number;
@@ -32,11 +32,11 @@
 /** Every kind of fault. */
 export const ALL_FAULTS: readonly FaultKind[] = Object.values(FaultKind);
 
-/** Events that a second of a run has at the least. */
+/** Minimum number of events in a second of a run. */
 const MIN_EVENTS_PER_SECOND = 200;
 const FAULTS_PER_SECOND = 0.8;
 
-/** Runs the seeds. */
+/** Runs the plan of each seed. Shrinks the plans that violate a guarantee. */
 export function runCheck(options: CheckOptions): CheckSummary {
   const summary: CheckSummary = {
     seeds: 0,
--- a/packages/reedlug-check/src/check/runSeed.ts
+++ b/packages/reedlug-check/src/check/runSeed.ts
@@ -1,4 +1,4 @@
-/** One checked run: a plan played against the reducers, with every promise asserted. */
+/** Runs one plan against the reducers and checks every guarantee. */
 import {
   BrokenInvariantError,
   type BoxEvent,
@@ -15,7 +15,7 @@
 import { createOperators, type Operators } from './operators.js';
 import { injectFault } from './injectFault.js';
 
-/** What came of a run. */
+/** Result of a run. */
 export interface SeedResult {
   seed: number;
   events: number;
@@ -25,15 +25,15 @@
   outcomes: Record<string, number>;
   confirmed: number;
   conflicts: number;
-  /** Last events before a violation. */
+  /** Last events of the run, which lead to the violation if there is one. */
   lastEvents: string[];
 }
 
-/** Time after the last call and fault in which everything has to come to its end. */
+/** Time after the last call and fault within which every request must finish. */
 const SETTLE_MS = 45_000;
 const MAX_LAST_EVENTS = 60;
 
-/** Takes the lives and events of the boxes, for a trace. */
+/** Receives the settings and events of the boxes to record them in a trace. */
 export interface RunRecorder {
   onStart: (
     boxId: string,
@@ -44,7 +44,7 @@
   onEvent: (boxId: string, event: BoxEvent) => void;
 }
 
-/** Plays a plan. */
+/** Runs a plan until its end or the first violation. */
 export function runPlan(
   plan: CheckPlan,
   mutations: ReadonlySet<Mutation>,
@@ -79,7 +79,7 @@
   };
 }
 
-/** Engines of the checked deployment: a small cache, so that it overflows. */
+/** Engines of the checked deployment. Their KV cache is small enough to overflow. */
 const CHECK_ENGINE: EngineProfile = {
   kvCapacityTokens: 16_000,
   prefillTokensPerMs: 8,
@@ -87,7 +87,7 @@
   crowding: 0.5,
 };
 
-/** A world of the checked deployment, with nothing planned. */
+/** Returns a world of the checked deployment without planned calls or faults. */
 export function createCheckWorld(seed: number, mutations: ReadonlySet<Mutation>): World {
   const settings = checkSettings();
   return createWorld(
@@ -106,7 +106,10 @@
   );
 }
 
-/** Orders must never step back at a server, and no two holders may use one fence. */
+/**
+ * Records a violation when a server accepts a lower fence than before, or when two processes send
+ * orders under the same fence. Each grant of the lease has its own fence, and fences only increase.
+ */
 function watchFences(world: World): WorldViolation[] {
   const violations: WorldViolation[] = [];
   const highestFences = new Map<string, number>();
@@ -115,12 +118,12 @@
     const holder = fenceHolders.get(fence) ?? sentBy;
     fenceHolders.set(fence, holder);
     if (holder !== sentBy) {
-      const detail = `${holder} and ${sentBy} both sent orders under fence ${fence}`;
+      const detail = `${holder} and ${sentBy} sent orders under the same fence ${fence}`;
       violations.push({ name: 'fenceShared', detail });
     }
     const previous = highestFences.get(serverId) ?? 0;
     if (fence < previous) {
-      const detail = `${serverId} took fence ${fence} of ${sentBy} after ${previous}`;
+      const detail = `${serverId} accepted fence ${fence} from ${sentBy} after fence ${previous}`;
       violations.push({ name: 'orderSteppedBack', detail });
     }
     highestFences.set(serverId, Math.max(previous, fence));
@@ -174,13 +177,13 @@
   const revisions = [...world.table.rows.keys()].filter((key) => key.startsWith('config/log/'));
   for (const [boxId, box] of world.boxes) {
     if (!box.alive || box.state.config.revision === revisions.length) continue;
-    const detail = `${boxId} is at ${box.state.config.revision} of ${revisions.length}`;
+    const detail = `${boxId} has revision ${box.state.config.revision} of ${revisions.length}`;
     return { name: 'configNotInForce', detail };
   }
   return undefined;
 }
 
-/** Announced faults alone lose nothing that was accepted. */
+/** Returns a violation if a request was lost although the plan has only benign faults. */
 function findLostRequest(plan: CheckPlan, callers: Callers): WorldViolation | undefined {
   if (!plan.faults.every(({ kind }) => BENIGN_FAULTS.includes(kind))) return undefined;
   for (const call of callers.calls.values()) {
@@ -188,7 +191,7 @@
     if (finish === undefined || call.gone || planned.kind === 'singleDraft') continue;
     const lost = finish.outcome === 'failed' || finish.outcome === 'unknown';
     if (!lost || finish.reason === 'handedOver') continue;
-    const detail = `${planned.requestId} (${planned.kind}) ended ${finish.outcome}, ${finish.reason}`;
+    const detail = `${planned.requestId} (${planned.kind}) finished as ${finish.outcome}: ${finish.reason}`;
     return { name: 'lostByAnnouncedFault', detail };
   }
   return undefined;
--- a/packages/reedlug-check/src/check/shrink.ts
+++ b/packages/reedlug-check/src/check/shrink.ts
@@ -1,4 +1,4 @@
-/** Shrinks a plan that breaks a promise: fewer faults, races and calls, the same violation. */
+/** Shrinks a plan to fewer faults, races and calls that cause the same violation. */
 import type { Mutation } from 'reedlug-decisions';
 import type { CheckPlan } from './checkPlan.js';
 import { runPlan, type SeedResult } from './runSeed.js';
@@ -9,10 +9,10 @@
   result: SeedResult;
 }
 
-/** Runs that shrinking may take. */
+/** Maximum number of runs to shrink one plan. */
 const MAX_RUNS = 150;
 
-/** Takes parts out of a plan while it still breaks the same promise. */
+/** Removes faults, races and calls from a plan while it still causes the same violation. */
 export function shrinkPlan(
   plan: CheckPlan,
   result: SeedResult,
@@ -38,7 +38,7 @@
   return best;
 }
 
-/** Takes out ever smaller runs of items, as delta debugging does (A. Zeller). */
+/** Removes smaller and smaller ranges of items, as delta debugging does (A. Zeller). */
 function shrinkPart(
   length: number,
   tryKeeping: (keep: (index: number) => boolean) => boolean,
