--- a/packages/reedlug-check/src/measure/measure.ts
+++ b/packages/reedlug-check/src/measure/measure.ts
@@ -1,4 +1,4 @@
-/** Measures a policy in a scenario: the reducers and fakes under virtual time. */
+/** Measures a policy in a scenario by running the reducers against fakes under virtual time. */
 import { Outcome } from 'reedlug-coordination';
 import type { DecisionSettings, OfferSpec } from 'reedlug-decisions';
 import { performEffect } from '../world/performEffect.js';
@@ -9,19 +9,19 @@
 import { scenarioOf, type Scenario, type ScenarioName } from './scenario.js';
 import { createWorkload, type Sample, type Workload } from './workload.js';
 
-/** Latency of one class, in ms. */
+/** Latency percentiles of one request class, in ms. */
 export interface ClassLatency {
   p50Ms: number;
   p95Ms: number;
   p99Ms: number;
 }
 
-/** What a run measured. */
+/** Result of a measurement run. */
 export interface Measurement {
   scenario: ScenarioName;
   policy: PolicyVariant;
   seed: number;
-  /** Answers of engines within the latency target. */
+  /** Number of engine answers whose first token came within the latency target. */
   answersWithinTarget: number;
   cost: number;
   costPerThousandWithinTarget: number;
@@ -31,16 +31,16 @@
   firstToken: { urgent: ClassLatency; patient: ClassLatency };
   whole: { urgent: ClassLatency; patient: ClassLatency; lookUp: ClassLatency };
   betweenTokensP95Ms: number;
-  /** Share of urgent answers past the target or not answered. */
+  /** Share of urgent requests that missed the latency target or were not answered. */
   urgentMissShare: number;
   refused: { urgent: number; patient: number };
   lost: { urgent: number; patient: number };
-  /** Answers of the busiest patient workspace over those of the least busy one. */
+  /** Ratio of the answers of the busiest patient workspace to those of the least busy one. */
   busiestOverLeast: number;
   events: number;
 }
 
-/** Engine figures of the fakes. */
+/** Performance parameters of the fake engines and services. */
 export interface ServerProfile {
   kvCapacityTokens: number;
   prefillTokensPerMs: number;
@@ -49,18 +49,21 @@
   serviceAnswerMs: number;
 }
 
-/** What to measure. */
+/** Options of a measurement. */
 export interface MeasureOptions {
   settings: Omit<DecisionSettings, 'boxId' | 'zone' | 'incarnation'>;
   engines: ServerProfile;
   scenario: ScenarioName;
   policy: PolicyVariant;
   seed: number;
-  /** No drafts at all, for the urgent figures that drafts are held against. */
+  /** Omits all drafts, to measure the urgent latency without them as a baseline. */
   withoutDrafts?: boolean;
 }
 
-/** First token of 95 in 100, in ms: urgent as the letter has it, patient as a draft may wait. */
+/**
+ * Targets for the 95th percentile of the time to the first token, in ms. The urgent one is a
+ * requirement of the users; patient requests are drafts, which may wait longer.
+ */
 const FIRST_TOKEN_TARGET_MS = { urgent: 880, patient: 3000 } as const;
 const DRAIN_MS = 60_000;
 const HOUR_MS = 3_600_000;
@@ -105,7 +108,7 @@
   );
 }
 
-/** A second site as large as the first, with empty caches. */
+/** Adds a second site of the same size as the first, with empty caches. */
 function withSecondSite(settings: MeasureOptions['settings']): MeasureOptions['settings'] {
   const newName = (name: string): string => `${name}-new`;
   return {
@@ -187,7 +190,7 @@
   return sample.outcome === Outcome.notRun;
 }
 
-/** Accepted and not answered. */
+/** Returns true for a request that was accepted but not answered. */
 function isLost(sample: Sample): boolean {
   return sample.outcome === Outcome.failed || sample.outcome === Outcome.unknown;
 }
@@ -217,7 +220,7 @@
   };
 }
 
-/** Nearest-rank percentile; 0 for no values. */
+/** Returns the nearest-rank percentile of values; 0 for no values. */
 export function percentile(values: readonly number[], percent: number): number {
   const sorted = [...values].sort((a, b) => a - b);
   const rank = Math.max(0, Math.ceil((percent / 100) * sorted.length) - 1);
@@ -234,7 +237,7 @@
   return Math.round((Math.max(...answerCounts) / Math.min(...answerCounts)) * 100) / 100;
 }
 
-/** What the engines cost from the start to the end of the load. */
+/** Returns the cost of the engines until the end of the load, without those of the second site. */
 function costOf(world: World, offers: readonly OfferSpec[], lengthMs: number): number {
   let cost = 0;
   const engines = [...world.servers.values(), ...world.gone].filter(
--- a/packages/reedlug-check/src/measure/median.ts
+++ b/packages/reedlug-check/src/measure/median.ts
@@ -17,12 +17,12 @@
   urgentMissShare: number;
   refusedUrgent: number;
   refusedPatient: number;
-  /** Over all seeds, not a median: one lost request is one too many. */
+  /** Sum over all seeds, since a median would hide a single lost request. */
   lost: number;
   busiestOverLeast: number;
 }
 
-/** The median of values; 0 for none. */
+/** Returns the median of values; 0 for no values. */
 export function median(values: readonly number[]): number {
   const sorted = [...values].sort((a, b) => a - b);
   const middle = Math.floor(sorted.length / 2);
@@ -31,7 +31,7 @@
   return (upper + (sorted[middle - 1] ?? 0)) / 2;
 }
 
-/** One row for each scenario and policy, in the order in which they first appear. */
+/** Returns one row for each scenario and policy, in the order in which they first appear. */
 export function medianRows(results: readonly Measurement[]): MedianRow[] {
   const groups = new Map<string, Measurement[]>();
   for (const result of results) {
--- a/packages/reedlug-check/src/measure/policyVariants.ts
+++ b/packages/reedlug-check/src/measure/policyVariants.ts
@@ -1,7 +1,7 @@
-/** The measured policy and the baselines beside it. */
+/** The measured policy and the baselines that it is compared with. */
 import type { DecisionSettings, PolicySettings } from 'reedlug-decisions';
 
-/** Names of the variants. */
+/** Names of the policy variants. */
 export const PolicyVariant = {
   reedlug: 'reedlug',
   roundRobin: 'roundRobin',
@@ -15,7 +15,7 @@
 } as const;
 export type PolicyVariant = (typeof PolicyVariant)[keyof typeof PolicyVariant];
 
-/** What a plain balancer does: no move of caches, no reserve, the cheapest boxes. */
+/** Policy of a plain load balancer: no cache moves, no reserved slots, the cheapest boxes. */
 const PLAIN_BALANCER: Partial<PolicySettings> = {
   kvMove: false,
   placement: 'cheapestFirst',
@@ -24,7 +24,7 @@
   patientFloorEvery: 1_000_000,
 };
 
-/** What a variant changes. */
+/** Returns the policy settings that a variant changes. */
 export function policyOf(variant: PolicyVariant): Partial<PolicySettings> {
   switch (variant) {
     case PolicyVariant.reedlug:
@@ -46,7 +46,7 @@
   }
 }
 
-/** Settings whose first boxes are bought as the variant would have bought them. */
+/** Returns the settings of a variant, with initial engines as its placement would buy them. */
 export function settingsFor<T extends Pick<DecisionSettings, 'policy' | 'servers'>>(
   settings: T,
   variant: PolicyVariant,
--- a/packages/reedlug-check/src/measure/scenario.ts
+++ b/packages/reedlug-check/src/measure/scenario.ts
@@ -1,4 +1,4 @@
-/** Scenarios of the measurement: the load and what happens to it. */
+/** Scenarios of the measurement: the load and the events during it. */
 import { emit } from '../world/emit.js';
 import type { World } from '../world/worldTypes.js';
 import { reclaimServer, reclaimZone } from '../world/faults.js';
@@ -15,20 +15,20 @@
 } as const;
 export type ScenarioName = (typeof ScenarioName)[keyof typeof ScenarioName];
 
-/** A scenario. */
+/** Load and events of a measurement. */
 export interface Scenario {
   name: ScenarioName;
   lengthMs: number;
-  /** Conversations that begin a second, patient and urgent, against an ordinary day. */
+  /** Rates at which patient and urgent conversations begin, relative to an ordinary day. */
   patientFactor: (atMs: number) => number;
   urgentFactor: number;
-  /** Factor on one workspace's requests, the first patient one. */
+  /** Factor on the draft rate of the first patient workspace. */
   noisyFactor: number;
-  /** Length of a conversation's first prompt against an ordinary one. */
+  /** Length of a conversation's first prompt, relative to an ordinary day. */
   promptFactor: number;
-  /** The deployment is doubled by a second site. */
+  /** True if a second site doubles the deployment. */
   hasSecondSite: boolean;
-  /** Schedules what happens. */
+  /** Schedules the events of the scenario. */
   scheduleEvents: (world: World) => void;
 }
 
@@ -47,7 +47,7 @@
   scheduleEvents: scheduleReclaims,
 };
 
-/** Each reclaimable engine is reclaimed now and then, at its offer's rate. */
+/** Reclaims each reclaimable engine at random times, at the rate of its offer. */
 function scheduleReclaims(world: World): void {
   const INTERVAL_MS = 5000;
   const reclaimSome = (): void => {
@@ -57,7 +57,7 @@
         ({ zone, machineClass, reclaimable }) =>
           zone === server.spec.zone && machineClass === server.spec.machineClass && reclaimable,
       );
-      // An hour of reclaims is packed into the minutes of the run.
+      // The reclaims of an hour happen within ten minutes, because the run is short.
       const reclaimProbability = ((offer?.reclaimsPerHour ?? 0) * INTERVAL_MS) / (10 * MINUTE_MS);
       if (world.random.chance(reclaimProbability)) reclaimServer(world, server.spec.id, NOTICE_MS);
     }
@@ -66,7 +66,7 @@
   world.queue.at(INTERVAL_MS, reclaimSome);
 }
 
-/** The scenario of a name. */
+/** Returns the scenario with a name. */
 export function scenarioOf(name: ScenarioName): Scenario {
   switch (name) {
     case ScenarioName.ordinaryDay:
@@ -118,7 +118,7 @@
   });
 }
 
-/** Operators move the pool to the second site by a plan, over two minutes. */
+/** Lets an operator confirm a plan that moves the pool to the second site over two minutes. */
 function moveToSecondSite(world: World): void {
   const [pool] = world.options.settings.pools;
   const [first] = world.options.settings.zones;
--- a/packages/reedlug-check/src/measure/workload.ts
+++ b/packages/reedlug-check/src/measure/workload.ts
@@ -1,4 +1,4 @@
-/** The load of a measurement: conversations of drafts, short questions, look-ups. */
+/** Generates the load of a measurement: conversations with drafts, short questions and look-ups. */
 import { hashString, Outcome } from 'reedlug-coordination';
 import type { Effect, RequestSpec } from 'reedlug-decisions';
 import { emit } from '../world/emit.js';
@@ -7,7 +7,7 @@
 
 type Finish = Extract<Effect, { type: 'finishRequest' }>;
 
-/** One answered or lost request. */
+/** Measured values of one finished request. */
 export interface Sample {
   workspaceId: string;
   kind: 'engine' | 'service';
@@ -22,7 +22,7 @@
   completionTokens: number;
 }
 
-/** What the load has seen. */
+/** State and samples of the load. */
 export interface Workload {
   samples: Sample[];
   promptTokens: number;
@@ -52,7 +52,7 @@
   affinityHash: number;
 }
 
-/** Conversations of drafts that begin a second on an ordinary day, for each engine. */
+/** Arrivals per second on an ordinary day, for each engine. */
 const DRAFTS_PER_ENGINE = 0.11;
 const QUESTIONS_PER_ENGINE = 0.35;
 const LOOK_UPS_PER_ENGINE = 1.2;
@@ -60,10 +60,10 @@
 const MAX_TRIES = 3;
 const URGENT_DEADLINE_MS = 8000;
 const PATIENT_DEADLINE_MS = 90_000;
-/** Share of requests after which the measurement starts, so that caches are warm. */
+/** Time before the measurement starts, in which the caches warm up. */
 const WARM_UP_MS = 30_000;
 
-/** Wires the load into a world. */
+/** Schedules the load in a world and collects its samples. */
 export function createWorkload(world: World, scenario: Scenario, engineCount: number): Workload {
   const workload: Workload = {
     samples: [],
@@ -97,7 +97,8 @@
 
 function workspacesOf(world: World): { patient: string[]; urgent: string[] } {
   const ids = world.options.settings.workspaces.map(({ id }) => id);
-  // The two largest workspaces of each example draft; the floor's or counter's asks.
+  // In the examples, the workspace of the floor, counter or offices sends the urgent questions, and
+  // the two largest workspaces send the drafts.
   const urgentIds = ids.filter((id) => /floor|counter|offices/.test(id));
   const patient = ids.filter((id) => !urgentIds.includes(id));
   return { patient, urgent: urgentIds.length > 0 ? urgentIds : ids };
@@ -236,7 +237,7 @@
   };
 }
 
-/** Places a request at any ready box, as the balancer does. */
+/** Sends a request to a random box that accepts requests, as the load balancer does. */
 function submitRequest(
   world: World,
   workload: Workload,
@@ -300,7 +301,7 @@
   world.queue.at(world.queue.nowMs() + thinkMs, () => startTurn(world, workload, conversation));
 }
 
-/** A refused caller comes back when it was told to. */
+/** Sends a refused request again after the delay that the refusal asks for. */
 function retryLater(world: World, workload: Workload, open: OpenRequest, finish: Finish): void {
   if (finish.outcome !== Outcome.notRun || open.tries >= MAX_TRIES) return;
   const delayMs = finish.retryAfterMs ?? 1000;
