--- a/packages/reedlug-check/src/replay/recordSeed.ts
+++ b/packages/reedlug-check/src/replay/recordSeed.ts
@@ -1,4 +1,4 @@
-/** Records the events of one box of a checked run as a trace. */
+/** Records the events of one box in a checked run as a trace. */
 import { generatePlan, type FaultKind } from '../check/checkPlan.js';
 import { runPlan } from '../check/runSeed.js';
 import type { TraceHead } from './trace.js';
--- a/packages/reedlug-check/src/replay/trace.ts
+++ b/packages/reedlug-check/src/replay/trace.ts
@@ -1,4 +1,4 @@
-/** Traces: one box's settings and events, one JSON line each. */
+/** Parses and replays traces. A trace holds the settings and events of one box as JSON lines. */
 import {
   createBoxState,
   createInvariantMemory,
@@ -17,16 +17,16 @@
   settings: DecisionSettings;
 }
 
-/** A trace. */
+/** A parsed trace. */
 export interface Trace {
   head: TraceHead;
   events: BoxEvent[];
 }
 
-/** A read trace, or why there is none. */
+/** A parsed trace, or the reason why the text is not a valid trace. */
 export type TraceResult = { kind: 'trace'; trace: Trace } | { kind: 'invalid'; fault: string };
 
-/** Reads the text of a trace; a last line that was cut off by a crash is left out. */
+/** Parses the text of a trace. Ignores an incomplete last line, which a crash can leave. */
 export function parseTrace(text: string): TraceResult {
   const lines = text.split('\n').filter((line) => line !== '');
   const values: unknown[] = [];
@@ -40,22 +40,22 @@
   }
   const [head, ...events] = values;
   if ((head as TraceHead | undefined)?.kind !== 'head') {
-    return { kind: 'invalid', fault: 'line 1 is not the head of a trace' };
+    return { kind: 'invalid', fault: 'line 1 is not a trace header' };
   }
   return { kind: 'trace', trace: { head: head as TraceHead, events: events as BoxEvent[] } };
 }
 
-/** What a replay showed. */
+/** Result of a replay. */
 export interface ReplayResult {
   events: number;
   effects: number;
-  /** The same for the same events: a chained digest of their texts. */
+  /** Chained digest of the effects as JSON, which is equal for equal events. */
   effectsDigest: string;
   outcomes: Record<string, { outcome: string; reason: string; tokens: number }>;
   violation: string | undefined;
 }
 
-/** Runs a trace again. */
+/** Replays a trace and checks the invariants after each event. */
 export function replayTrace(trace: Trace, digest: (text: string) => string): ReplayResult {
   const { head, events } = trace;
   const state = createBoxState({
@@ -89,25 +89,25 @@
   outcomes[requestId] = { outcome, reason, tokens: completionTokens };
 }
 
-/** Stated outcomes of a trace. */
+/** Expected outcomes of a trace. */
 export interface Expectation {
   effectsDigest: string | undefined;
   outcomes: Record<string, { outcome: string; reason?: string; tokens?: number }>;
 }
 
-/** Where a replay differs from what was stated. */
+/** Returns the differences between a replay and what was expected of it. */
 export function differences(result: ReplayResult, expected: Expectation): string[] {
   const mismatches: string[] = [];
   if (result.violation !== undefined) mismatches.push(`broken invariant: ${result.violation}`);
   if (expected.effectsDigest !== undefined && expected.effectsDigest !== result.effectsDigest) {
-    mismatches.push(`effects ${result.effectsDigest}, stated ${expected.effectsDigest}`);
+    mismatches.push(`effects digest ${result.effectsDigest}, expected ${expected.effectsDigest}`);
   }
   for (const [requestId, expectedOutcome] of Object.entries(expected.outcomes)) {
     const actualOutcome = result.outcomes[requestId];
     for (const [field, value] of Object.entries(expectedOutcome)) {
       const actual = actualOutcome?.[field as keyof typeof actualOutcome];
       if (actual !== value)
-        mismatches.push(`${requestId}: ${field} ${String(actual)}, stated ${value}`);
+        mismatches.push(`${requestId}: ${field} ${String(actual)}, expected ${value}`);
     }
   }
   return mismatches;
