--- a/packages/reedlug-check/src/index.ts
+++ b/packages/reedlug-check/src/index.ts
@@ -1,4 +1,4 @@
-/** Randomised check, policy measurement and replay of reedlug's decisions. */
+/** Randomised checks, policy measurements and trace replays of reedlug's decisions. */
 export * from './check/checkPlan.js';
 export * from './check/runCheck.js';
 export * from './check/runSeed.js';
--- a/packages/reedlug-check/src/world/boxList.ts
+++ b/packages/reedlug-check/src/world/boxList.ts
@@ -1,13 +1,13 @@
-/** The platform's list of servers, as boxes read it: late. */
+/** The platform's list of servers, which boxes read with a lag. */
 import type { BoxListEntry } from 'reedlug-decisions';
 import { emit } from './emit.js';
 import { platformReachable } from './links.js';
 import type { World, WorldBox } from './worldTypes.js';
 
-/** Pause between readings of the list, in ms. */
+/** Interval at which a box reads the list, in ms. */
 const LIST_POLL_INTERVAL_MS = 1000;
 
-/** Gives a box the list of servers every second while it reaches the platform. */
+/** Sends a box the list of servers every second while it can reach the platform. */
 export function scheduleBoxList(world: World, box: WorldBox, atMs: number): void {
   world.queue.at(atMs, () => {
     if (!box.alive) return;
@@ -23,7 +23,7 @@
   return (listHistory.findLast(({ atMs }) => atMs <= asOfMs) ?? listHistory[0])?.entries ?? [];
 }
 
-/** Notes the servers as they are for the lagging list. */
+/** Records the current servers in the history from which the lagging list is read. */
 export function recordServerList(world: World): void {
   const entries = [...world.servers.values()].map(({ spec, incarnation, leaving }) => ({
     spec,
--- a/packages/reedlug-check/src/world/emit.ts
+++ b/packages/reedlug-check/src/world/emit.ts
@@ -1,8 +1,8 @@
-/** Events of a world's boxes. */
+/** Delivers events to the boxes of a world. */
 import { reduceChecked, type BoxEvent, type EventBody } from 'reedlug-decisions';
 import type { World, WorldBox } from './worldTypes.js';
 
-/** Gives an event to a box, now or when its pause ends. */
+/** Delivers an event to a box, now or when its pause ends. A dead box receives nothing. */
 export function emit(world: World, box: WorldBox, body: EventBody): void {
   if (!box.alive) return;
   const nowMs = world.queue.nowMs();
@@ -18,7 +18,7 @@
   }
 }
 
-/** Gives an event to a box after a delay; lost when the box has died or started again since. */
+/** Delivers an event to a box after a delay, unless the box has died or restarted by then. */
 export function emitLater(world: World, box: WorldBox, delayMs: number, body: EventBody): void {
   world.queue.at(world.queue.nowMs() + delayMs, () => emit(world, box, body));
 }
--- a/packages/reedlug-check/src/world/engineFake.ts
+++ b/packages/reedlug-check/src/world/engineFake.ts
@@ -1,4 +1,4 @@
-/** An engine between the boxes' effects and the engine model. */
+/** A fake engine, which translates the effects of boxes into calls of the engine model. */
 import type { Effect, EventBody } from 'reedlug-decisions';
 import {
   advanceEngine,
@@ -13,15 +13,15 @@
 import { Delay, delayBetween, isUnresponsive, arePartitioned } from './links.js';
 import type { World, WorldBox, WorldEngine } from './worldTypes.js';
 
-/** KV cache that an engine sends in one ms, in tokens. */
+/** Rate at which an engine sends its KV cache, in tokens per ms. */
 const KV_TOKENS_PER_MS = 40;
 const KV_SETUP_MS = 20;
-/** Longest time that a doubled event is late, in ms. */
+/** Maximum extra delay of a duplicated event, in ms. Cache events are delayed by half of it. */
 const MAX_EXTRA_DELAY_MS = 1500;
 
 type SendAttempt = Extract<Effect, { type: 'sendAttempt' }>;
 
-/** Takes an attempt at an engine. */
+/** Submits an attempt to an engine after the network delay. */
 export function submitEngineAttempt(
   world: World,
   box: WorldBox,
@@ -89,7 +89,7 @@
   return 0;
 }
 
-/** Lets an engine work when its next iteration is due. */
+/** Schedules the engine's next iteration, in place of a later one. */
 function scheduleIteration(world: World, engine: WorldEngine): void {
   const dueMs = Math.max(engine.model.nextAtMs, engine.stalledUntilMs);
   if (dueMs >= engine.iterationAtMs || dueMs === Number.POSITIVE_INFINITY) return;
@@ -140,13 +140,13 @@
   return boxId === undefined ? undefined : world.boxes.get(boxId);
 }
 
-/** Stops a run whose caller cancelled it or went away. */
+/** Stops a run whose caller cancelled it or disconnected. */
 export function cancelEngineRun(engine: WorldEngine, attemptId: string): void {
   engine.callers.delete(attemptId);
   stopRun(engine.model, attemptId);
 }
 
-/** Stops a run and keeps its cache under a ticket. */
+/** Stops a run and keeps its KV cache under a ticket, for import at another engine. */
 export function exportEngineKv(
   world: World,
   box: WorldBox,
@@ -178,7 +178,7 @@
   });
 }
 
-/** Sends an idle prefix to another engine; lost when either dies first. */
+/** Sends the cache of an idle prefix to another engine, unless either dies before it arrives. */
 export function moveEngineCache(
   world: World,
   box: WorldBox,
@@ -196,7 +196,7 @@
   });
 }
 
-/** Answers a probe of an engine, with its cache events. */
+/** Answers a probe of an engine and sends its cache events, some of which are lost. */
 export function answerEngineProbe(world: World, box: WorldBox, engine: WorldEngine): void {
   const serverId = engine.spec.id;
   const delayMs = delayBetween(world, box.settings.zone, engine.spec.zone) * 2;
@@ -216,7 +216,7 @@
   });
 }
 
-/** Cuts every stream of an engine that has died. */
+/** Marks an engine as dead and closes its streams. */
 export function killEngine(world: World, engine: WorldEngine): void {
   engine.alive = false;
   engine.endedAtMs = world.queue.nowMs();
--- a/packages/reedlug-check/src/world/engineProfile.ts
+++ b/packages/reedlug-check/src/world/engineProfile.ts
@@ -1,14 +1,14 @@
-/** What the engines of a world are like. */
+/** Performance of the engines in a world. */
 import type { ServerSpec } from 'reedlug-decisions';
 import type { EngineModelOptions } from 'reedlug-standins';
 
-/** What an engine of a world is like, but for what its description says. */
+/** Performance parameters of an engine; its other options come from its spec. */
 export type EngineProfile = Omit<
   EngineModelOptions,
   'engineId' | 'model' | 'version' | 'slots' | 'tokensPerEvent'
 >;
 
-/** The options of an engine's model from its description. */
+/** Returns the options of an engine's model from its spec and its performance parameters. */
 export function engineOptionsOf(
   { id, pool, version, slots }: ServerSpec,
   profile: EngineProfile,
--- a/packages/reedlug-check/src/world/faults.ts
+++ b/packages/reedlug-check/src/world/faults.ts
@@ -6,7 +6,7 @@
 import { startBox } from './world.js';
 import type { World } from './worldTypes.js';
 
-/** Ends a server, as a reclaim or a crash does. */
+/** Ends a server after a reclaim or a crash. */
 export function endServer(world: World, serverId: string): void {
   const server = world.servers.get(serverId);
   if (server === undefined || !server.alive) return;
@@ -17,7 +17,7 @@
   recordServerList(world);
 }
 
-/** Reclaims a server after a notice; `heardBy` may leave boxes out. */
+/** Reclaims a server after a notice, which is sent to the boxes that `isNotified` selects. */
 export function reclaimServer(
   world: World,
   serverId: string,
@@ -49,7 +49,7 @@
   }
 }
 
-/** Kills a box; its connections to servers are cut. */
+/** Kills a box and closes its connections to servers. */
 export function killBox(world: World, boxId: string): void {
   const box = world.boxes.get(boxId);
   if (box === undefined || !box.alive) return;
@@ -62,7 +62,7 @@
   }
 }
 
-/** Kills a box and starts it again after a while. */
+/** Kills a box and restarts it after a delay. */
 export function restartBox(world: World, boxId: string, afterMs: number): void {
   killBox(world, boxId);
   world.queue.at(world.queue.nowMs() + afterMs, () => {
--- a/packages/reedlug-check/src/world/links.ts
+++ b/packages/reedlug-check/src/world/links.ts
@@ -1,7 +1,7 @@
-/** Who reaches whom in a world, and how long it takes. */
+/** Connectivity and network delays in a world. */
 import type { World, WorldBox, WorldServer } from './worldTypes.js';
 
-/** Delays of the fakes, one way, in ms. */
+/** One-way delays of the fakes, in ms. */
 export const Delay = {
   sameZone: 0.2,
   platform: 3,
@@ -9,23 +9,23 @@
   connectionLoss: 5,
 } as const;
 
-/** True when a box reaches the platform. */
+/** Returns true if a box can reach the platform. */
 export function platformReachable(world: World, box: WorldBox): boolean {
   return !world.cutFromPlatform.has(box.settings.zone);
 }
 
-/** True when two zones are cut off from each other. */
+/** Returns true if two zones are separated by a network partition. */
 export function arePartitioned(world: World, a: string, b: string): boolean {
   return world.cutZones.has(`${a}|${b}`);
 }
 
-/** True when a server gives a box no answer: dead, stalled or cut off. */
+/** Returns true if a server does not answer a box because it is dead, stalled or partitioned. */
 export function isUnresponsive(world: World, box: WorldBox, server: WorldServer): boolean {
   if (!server.alive || world.queue.nowMs() < server.stalledUntilMs) return true;
   return arePartitioned(world, box.settings.zone, server.spec.zone);
 }
 
-/** One-way delay between two zones. */
+/** Returns the one-way delay between two zones, in ms. */
 export function delayBetween(world: World, a: string, b: string): number {
   return a === b ? Delay.sameZone : world.options.crossZoneMs;
 }
--- a/packages/reedlug-check/src/world/performEffect.ts
+++ b/packages/reedlug-check/src/world/performEffect.ts
@@ -1,4 +1,4 @@
-/** Carries out the boxes' effects against the fakes. */
+/** Performs the effects of boxes against the fakes. */
 import type { Effect } from 'reedlug-decisions';
 import {
   answerEngineProbe,
@@ -14,7 +14,7 @@
 import { delayBetween, platformReachable, arePartitioned } from './links.js';
 import type { World, WorldBox } from './worldTypes.js';
 
-/** Carries out one effect. */
+/** Performs one effect. */
 export function performEffect(world: World, box: WorldBox, effect: Effect): void {
   const { boxId } = box.settings;
   switch (effect.type) {
@@ -114,7 +114,7 @@
   const { serverId, orderId, fence, wanted, validForMs } = effect;
   const server = world.servers.get(serverId);
   if (server?.kind !== 'engine') return;
-  // An order may be long under way, but not longer than it is valid.
+  // An order can be in flight for a long time, but never longer than it is valid.
   const delayMs = world.random.unit() * validForMs;
   world.queue.at(world.queue.nowMs() + delayMs, () => {
     if (!server.alive) return;
@@ -136,7 +136,7 @@
   });
 }
 
-/** Names one life of a box. */
+/** Returns the name of one incarnation of a box. */
 function processName(box: WorldBox): string {
   return `${box.settings.boxId}/${box.settings.incarnation}`;
 }
--- a/packages/reedlug-check/src/world/platformFake.ts
+++ b/packages/reedlug-check/src/world/platformFake.ts
@@ -1,4 +1,4 @@
-/** The platform: table, snapshots and cloud, with the faults that are on. */
+/** A fake platform with a table and a cloud, which are subject to the active faults. */
 import type { TableAnswer, TableOp } from 'reedlug-coordination';
 import type { CommandResult, CloudRequest } from 'reedlug-decisions';
 import { applyTableOp } from 'reedlug-standins';
@@ -8,12 +8,12 @@
 import type { World, WorldBox } from './worldTypes.js';
 import { endServer } from './faults.js';
 
-/** Time after which a caller of the platform gives up, in ms. */
+/** Time after which a box gives up on an answer of the platform, in ms. */
 const TIMEOUT_MS = 1000;
-/** Slowness of a slow table, in ms. */
+/** Mean extra delay of a slow table, in ms. */
 const MEAN_SLOW_TABLE_DELAY_MS = 700;
 
-/** Carries out a table operation for a box. */
+/** Performs a table operation for a box. */
 export function handleTableOp(world: World, box: WorldBox, opId: string, op: TableOp): void {
   const { faults, queue } = world;
   const answerLater = (delayMs: number, answer: TableAnswer): void =>
@@ -34,7 +34,7 @@
   });
 }
 
-/** Carries out a request to the cloud. */
+/** Performs a request of a box to the cloud. */
 export function handleCloudRequest(
   world: World,
   box: WorldBox,
--- a/packages/reedlug-check/src/world/serviceFake.ts
+++ b/packages/reedlug-check/src/world/serviceFake.ts
@@ -1,4 +1,4 @@
-/** A plain service: runs each call that reaches it, then answers. */
+/** A fake plain service, which runs each request that reaches it and then answers. */
 import type { Effect } from 'reedlug-decisions';
 import { emitLater } from './emit.js';
 import { Delay, delayBetween, isUnresponsive, arePartitioned } from './links.js';
@@ -6,7 +6,7 @@
 
 const STATUS_OK = 200;
 
-/** Takes an attempt at a plain service. */
+/** Submits an attempt to a plain service after the network delay. */
 export function submitServiceAttempt(
   world: World,
   box: WorldBox,
--- a/packages/reedlug-check/src/world/world.ts
+++ b/packages/reedlug-check/src/world/world.ts
@@ -1,6 +1,6 @@
 /**
- * A small world for the reducers of several entry boxes: fakes at the
- * interfaces under virtual time. Delays are fixed; networks are not modelled.
+ * A world runs the reducers of several entry boxes against fakes of all other
+ * systems under virtual time. Delays are fixed; networks are not modelled.
  */
 import {
   createBoxState,
@@ -31,7 +31,7 @@
 /** Epoch time at the start of every world. */
 export const WORLD_EPOCH_MS = Date.UTC(2026, 11, 1, 8);
 
-/** Makes a world with every box and server of the settings up. */
+/** Creates a world in which every box and server of the settings is running. */
 export function createWorld(options: WorldOptions, performEffect: World['performEffect']): World {
   const world: World = {
     options,
@@ -71,12 +71,12 @@
   return world.incarnationCount;
 }
 
-/** Seed of the generator in the state of one life of a box. */
+/** Returns the seed of the random generator in the state of one incarnation of a box. */
 export function stateSeedOf(world: World, incarnation: number): number {
   return world.options.seed * 1000 + incarnation;
 }
 
-/** Starts a box, or starts it again as a fresh process that holds nothing. */
+/** Starts a box, or restarts it as a new process without any state. */
 export function startBox(world: World, boxId: string): void {
   const { options, queue } = world;
   const zone = options.settings.boxes.find(({ id }) => id === boxId)?.zone ?? '';
@@ -91,7 +91,7 @@
   const memory = createInvariantMemory();
   const box: WorldBox = { settings, state, memory, alive: true, pausedUntilMs: 0 };
   world.boxes.set(boxId, box);
-  // Boxes tick at different moments, as real ones do.
+  // The boxes tick at different times, as real boxes do.
   scheduleTick(world, box, queue.nowMs() + (incarnation % 10) * (options.tickMs / 10));
   scheduleBoxList(world, box, queue.nowMs() + 10);
   queue.at(queue.nowMs() + Delay.platform, () => {
@@ -113,7 +113,7 @@
   });
 }
 
-/** Adds a server that is up. */
+/** Adds a running server. */
 export function addServer(world: World, spec: ServerSpec): WorldServer {
   const base = {
     spec,
@@ -145,7 +145,7 @@
   };
 }
 
-/** Runs until a time. */
+/** Runs all events up to a time. */
 export function runUntil(world: World, untilMs: number): void {
   while (world.queue.runNext(untilMs));
 }
--- a/packages/reedlug-check/src/world/worldTypes.ts
+++ b/packages/reedlug-check/src/world/worldTypes.ts
@@ -1,4 +1,4 @@
-/** What a world of boxes and fakes holds. */
+/** Types of a world of boxes and fakes. */
 import type {
   BoxEvent,
   BoxListEntry,
@@ -18,7 +18,7 @@
   TableModel,
 } from 'reedlug-standins';
 
-/** An entry box with its reducer. */
+/** An entry box with the state of its reducer. */
 export interface WorldBox {
   settings: DecisionSettings;
   state: BoxState;
@@ -28,7 +28,7 @@
   pausedUntilMs: number;
 }
 
-/** An engine. */
+/** A fake engine. */
 export interface WorldEngine {
   kind: 'engine';
   spec: ServerSpec;
@@ -39,13 +39,13 @@
   startedAtMs: number;
   endedAtMs: number | undefined;
   model: EngineModel;
-  /** Boxes by the attempts that they have open here. */
+  /** Ids of the boxes that have attempts open at this engine, by attempt id. */
   callers: Map<string, string>;
   tickets: Map<string, number>;
   iterationAtMs: number;
 }
 
-/** A plain service. */
+/** A fake plain service. */
 export interface WorldService {
   kind: 'service';
   spec: ServerSpec;
@@ -57,44 +57,44 @@
 
 export type WorldServer = WorldEngine | WorldService;
 
-/** Faults of the platform that are on now. */
+/** Active faults of the platform. */
 export interface PlatformFaults {
   tableDownUntilMs: number;
   tableSlowUntilMs: number;
-  /** Share of writes whose answer is lost after they took effect. */
+  /** Share of writes that take effect but whose answer is lost. */
   loseAnswers: number;
   refuseStartsUntilMs: number;
   listLagMs: number;
 }
 
-/** What the world tells its observer. */
+/** Callbacks for those who check or measure a world. */
 export interface WorldObserver {
   onTokens: (boxId: string, requestId: string, offset: number, tokens: readonly string[]) => void;
   onFinish: (boxId: string, finish: Extract<Effect, { type: 'finishRequest' }>) => void;
-  /** A request's bytes reached a server and it was taken. */
+  /** Called when a request reaches a server and the server accepts it. */
   onRun: (serverId: string, requestId: string, attemptId: string) => void;
   onPrefill: (affinityHash: number, cachedTokens: number, contextTokens: number) => void;
   onOrder: (serverId: string, fence: number, sentBy: string) => void;
   onOperator: (askId: string, answer: OperatorAnswer) => void;
 }
 
-/** What a world is made of. */
+/** Options of a world. */
 export interface WorldOptions {
   seed: number;
-  /** Settings of the boxes, but for their id, zone and incarnation. */
+  /** Settings that all boxes share. */
   settings: Omit<DecisionSettings, 'boxId' | 'zone' | 'incarnation'>;
   engineOptions: (spec: ServerSpec) => EngineModelOptions;
   serviceAnswerMs: number;
   crossZoneMs: number;
   tickMs: number;
-  /** Time that a started engine takes until it serves. */
+  /** Time from the start of an engine until it serves requests. */
   engineStartMs: number;
   mutations: ReadonlySet<Mutation>;
-  /** Late and doubled engine events, as a share. */
+  /** Share of the engines' token events that are delivered twice, the second time late. */
   duplicateEventShare: number;
 }
 
-/** The world. */
+/** Boxes, fakes and active faults of a simulated deployment. */
 export interface World {
   options: WorldOptions;
   queue: EventQueue;
@@ -106,7 +106,7 @@
   snapshot: unknown;
   faults: PlatformFaults;
   cutFromPlatform: Set<string>;
-  /** Pairs of zones, as `a|b` in both orders. */
+  /** Partitioned pairs of zones, as `a|b` in both orders. */
   cutZones: Set<string>;
   listHistory: { atMs: number; entries: readonly BoxListEntry[] }[];
   cloudFence: number;
@@ -115,7 +115,7 @@
   performEffect: (world: World, box: WorldBox, effect: Effect) => void;
   eventCount: number;
   incarnationCount: number;
-  /** Told of each event of each box before it is reduced. */
+  /** Called with each event of each box before it is reduced. */
   onEvent: ((boxId: string, event: BoxEvent) => void) | undefined;
   epochStartMs: number;
 }
