--- a/packages/reedlug-check/src/__tests__/check.test.ts
+++ b/packages/reedlug-check/src/__tests__/check.test.ts
@@ -17,14 +17,14 @@
   });
 }
 
-test('every promise holds under all faults', () => {
+test('every guarantee holds under all faults', () => {
   const summary = check({ lastSeed: 25 });
   expect(summary.violations.map(({ result }) => result.violation)).deep.equal([]);
   expect(Object.keys(summary.faultCounts).sort()).deep.equal([...ALL_FAULTS].sort());
   expect(summary.events).greaterThan(25 * MIN_EVENTS);
 });
 
-test('announced faults lose nothing that was accepted', () => {
+test('announced faults lose no accepted request', () => {
   const summary = check({ lastSeed: 30, kinds: BENIGN_FAULTS });
   expect(summary.violations.map(({ result }) => result.violation)).deep.equal([]);
 });
--- a/packages/reedlug-check/src/__tests__/inForce.test.ts
+++ b/packages/reedlug-check/src/__tests__/inForce.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { measureInForceMs } from '../check/inForce.js';
 
-/** Bound of the users, in virtual ms. */
+/** Maximum that the users require, in virtual ms. */
 const IN_FORCE_WITHIN_MS = 5000;
 
 test('a confirmed revision is in force at every box within five seconds', () => {
@@ -11,7 +11,7 @@
   }
 });
 
-test('a zone cut off from the platform hears of a revision from its peers', () => {
+test('a zone that cannot reach the platform receives a revision from its peers', () => {
   for (let seed = 1; seed <= 10; seed += 1) {
     const params = { seed, boxId: 'zone-a-1', cutFromPlatform: 'zone-c' };
     expect(measureInForceMs(params)).lessThanOrEqual(IN_FORCE_WITHIN_MS);
--- a/packages/reedlug-check/src/__tests__/replay.test.ts
+++ b/packages/reedlug-check/src/__tests__/replay.test.ts
@@ -21,10 +21,10 @@
   .map((file) => file.slice(0, -'.trace'.length));
 
 for (const name of names) {
-  test(`trace ${name} runs to its stated outcomes`, () => {
-    const stated = parse(readFileSync(new URL(`${name}.yaml`, TRACES), 'utf8')) as Expectation;
-    expect(Object.keys(stated.outcomes).length).greaterThan(5);
-    expect(differences(replay(name), stated)).deep.equal([]);
+  test(`trace ${name} replays with its expected outcomes`, () => {
+    const expected = parse(readFileSync(new URL(`${name}.yaml`, TRACES), 'utf8')) as Expectation;
+    expect(Object.keys(expected.outcomes).length).greaterThan(5);
+    expect(differences(replay(name), expected)).deep.equal([]);
   });
 }
 
@@ -32,12 +32,12 @@
   expect(replay('zone-reclaimed').effectsDigest).equal(replay('zone-reclaimed').effectsDigest);
 });
 
-test('a wrong outcome is told', () => {
-  const stated = { effectsDigest: undefined, outcomes: { nobody: { outcome: 'completed' } } };
-  expect(differences(replay('zone-reclaimed'), stated)).length(1);
+test('a wrong outcome is reported', () => {
+  const expected = { effectsDigest: undefined, outcomes: { nobody: { outcome: 'completed' } } };
+  expect(differences(replay('zone-reclaimed'), expected)).length(1);
 });
 
-test('a last line that was cut off is left out', () => {
+test('an incomplete last line is ignored', () => {
   const text = readFileSync(new URL('zone-reclaimed.trace', TRACES), 'utf8');
   const cut = parseTrace(text.slice(0, -20));
   const whole = parseTrace(text);
