--- a/packages/reedlug-standins/src/http/engineServer.ts
+++ b/packages/reedlug-standins/src/http/engineServer.ts
@@ -1,4 +1,4 @@
-/** The engine model behind its HTTP protocol, on the real clock. */
+/** A stand-in engine, which serves the engine model over its HTTP protocol in real time. */
 import type { ServerResponse } from 'node:http';
 import { hashString } from 'reedlug-coordination';
 import {
@@ -25,13 +25,13 @@
   server: RunningServer;
   model: EngineModel;
   checksFence: boolean;
-  /** Says nothing for a while; requests stay open. */
+  /** Stops answering for a while. Requests stay open. */
   stall: (forMs: number) => void;
-  /** Refuses new work from now on. */
+  /** Refuses new requests from now on. */
   drain: () => void;
-  /** Dies: every connection is cut. */
+  /** Closes every connection, as a crash does. */
   kill: () => Promise<void>;
-  /** Runs taken since the start, by attempt id. */
+  /** Attempt ids of the runs accepted since the start. */
   taken: string[];
 }
 
--- a/packages/reedlug-standins/src/http/freePorts.ts
+++ b/packages/reedlug-standins/src/http/freePorts.ts
@@ -1,19 +1,19 @@
 /**
- * Free loopback ports for programs that name their ports before they listen.
+ * Finds free loopback ports for programs that are given their ports before they listen.
  *
- * They lie below the ports that the system hands out by itself: one of those
- * may go to an outgoing connection between the search and the listening.
+ * The ports lie below the ephemeral range: the system could assign an ephemeral port to an
+ * outgoing connection after the search and before the program listens.
  */
 import { createServer } from 'node:net';
 
-/** First port tried, and the first one that the system may hand out (Linux's default range). */
+/** First port that is tried, and first port of the ephemeral range (Linux's default). */
 const FIRST_PORT = 20_000;
 const FIRST_EPHEMERAL_PORT = 32_768;
 
-/** Where this process goes on; processes begin at different places. */
+/** Next port to try. Processes start at different ports so that they seldom try the same one. */
 let nextPort = FIRST_PORT + ((process.pid * 97) % (FIRST_EPHEMERAL_PORT - FIRST_PORT));
 
-/** Finds so many free ports, each one given out once by this process. */
+/** Finds `count` free ports. This process returns each port only once. */
 export async function findFreePorts(count: number): Promise<number[]> {
   const ports: number[] = [];
   while (ports.length < count) {
--- a/packages/reedlug-standins/src/http/jsonServer.ts
+++ b/packages/reedlug-standins/src/http/jsonServer.ts
@@ -1,4 +1,4 @@
-/** A small HTTP server for stand-ins: routes, JSON in and out. */
+/** A small HTTP server for stand-ins, with routes and JSON bodies. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import findMyWay from 'find-my-way';
 
@@ -10,14 +10,14 @@
   params: Readonly<Record<string, string | undefined>>;
 }
 
-/** A route of a stand-in. It answers by itself, or by the value that it returns. */
+/** A route of a stand-in. `handle` returns undefined if it answers by itself or not at all. */
 export interface JsonRoute {
   method: 'GET' | 'POST' | 'PUT' | 'HEAD' | 'PATCH' | 'DELETE';
   path: string;
   handle: (request: JsonRequest) => JsonAnswer | undefined | Promise<JsonAnswer | undefined>;
 }
 
-/** A JSON answer. */
+/** Status and JSON body of an answer. */
 export interface JsonAnswer {
   status: number;
   value: unknown;
@@ -28,11 +28,11 @@
   address: string;
   port: number;
   close: () => Promise<void>;
-  /** Cuts every open connection, as a dying box does, and stops listening. */
+  /** Closes every open connection, as a crash of the box does, and stops listening. */
   kill: () => Promise<void>;
 }
 
-/** Starts a server on a loopback port; 0 takes any. */
+/** Starts a server on a loopback port. Port 0 selects any free port. */
 export async function startJsonServer(
   routes: readonly JsonRoute[],
   port: number,
--- a/packages/reedlug-standins/src/http/platformServer.ts
+++ b/packages/reedlug-standins/src/http/platformServer.ts
@@ -1,4 +1,4 @@
-/** The platform's services in one process: table, object store, cloud, box list, weight store. */
+/** A stand-in for the platform's table, object store, cloud, box list and weight store. */
 import type { TableOp } from 'reedlug-coordination';
 import type { BoxListEntry, CloudRequest } from 'reedlug-decisions';
 import { applyTableOp, createTableModel, type TableModel } from '../models/tableModel.js';
@@ -13,14 +13,14 @@
 export interface PlatformFaults {
   tableDown: boolean;
   tableSlowMs: number;
-  /** The next so many writes take effect and their answers are lost. */
+  /** Number of upcoming writes that take effect but whose answers are lost. */
   answersToLose: number;
   refuseStarts: boolean;
-  /** The box list answers what it knew this long ago, in ms. */
+  /** Age of the box list that callers get, in ms. */
   listLagMs: number;
 }
 
-/** A notice as the cloud API tells it. */
+/** A reclaim notice as the cloud API returns it. */
 export interface CloudNotice {
   sequence: number;
   boxId: string;
@@ -28,12 +28,12 @@
   leavesAtMs: number;
 }
 
-/** A running platform. */
+/** A running stand-in platform. */
 export interface PlatformServer {
   server: RunningServer;
   table: TableModel;
   faults: PlatformFaults;
-  /** The boxes as they are; the list that callers read lags behind. */
+  /** Sets the current boxes. The list that callers read lags behind. */
   setBoxes: (entries: readonly BoxListEntry[]) => void;
   notice: (boxId: string, incarnation: number, noticeMs: number) => void;
   onStart: (start: (ask: Extract<CloudRequest, { kind: 'start' }>) => Promise<void>) => void;
--- a/packages/reedlug-standins/src/http/serviceServer.ts
+++ b/packages/reedlug-standins/src/http/serviceServer.ts
@@ -1,4 +1,4 @@
-/** A plain service with a few records, which counts how often each request was run. */
+/** A stand-in for a plain service, which stores records and counts the runs of each request. */
 import {
   startJsonServer,
   type JsonAnswer,
@@ -9,7 +9,7 @@
 /** A running stand-in service. */
 export interface ServiceServer {
   server: RunningServer;
-  /** How often each non-repeatable request was run, by its `ref` field. */
+  /** Number of runs of each non-repeatable request, by its `ref` field. */
   runs: Map<string, number>;
   stall: (forMs: number) => void;
   drain: () => void;
--- a/packages/reedlug-standins/src/models/engineModel.ts
+++ b/packages/reedlug-standins/src/models/engineModel.ts
@@ -1,7 +1,7 @@
 /**
- * A model engine: continuous batching, priorities, and a prefix cache of
- * limited size. It works in iterations; each one computes a chunk of one
- * prompt and one token of every running request.
+ * Model of an engine with continuous batching, priorities and a prefix cache
+ * of limited size. Each iteration computes a chunk of prompt tokens, and one
+ * token of every running request whose prompt is complete.
  */
 import type { EngineReport } from 'reedlug-decisions';
 import { answerToken } from './answerText.js';
@@ -15,30 +15,30 @@
   /** KV cache for running requests and idle prefixes, in tokens. */
   kvCapacityTokens: number;
   prefillTokensPerMs: number;
-  /** Time of one token of one lone request. */
+  /** Time per token when only one request runs. */
   interTokenMs: number;
-  /** Slowdown of a full engine, as a share of `interTokenMs`. */
+  /** Extra time per token of a full engine, as a share of `interTokenMs`. */
   crowding: number;
-  /** Tokens that a request gathers before they are sent on; the first one goes alone. */
+  /** Number of tokens that are sent together. The first token is sent alone. */
   tokensPerEvent: number;
 }
 
 /** A request at an engine. */
 export interface EngineRun {
   attemptId: string;
-  /** Names the answer: the same key gives the same tokens at every engine. */
+  /** Key of the answer. The same key gives the same tokens at every engine. */
   answerKey: string;
   affinityHash: number;
   promptTokens: number;
   resumeOffset: number;
-  /** Length of the whole answer. */
+  /** Length of the whole answer, in tokens. */
   totalTokens: number;
   urgent: boolean;
-  /** Tokens whose KV cache came with it; 0 without a move. */
+  /** Number of tokens whose KV cache was moved here with the request; 0 without a move. */
   importedTokens: number;
 }
 
-/** What an engine says of a run. */
+/** Output of an engine for a run. */
 export type EngineOutput =
   | { kind: 'tokens'; attemptId: string; offset: number; tokens: string[] }
   | { kind: 'ended'; attemptId: string; totalTokens: number; cachedTokens: number };
@@ -73,15 +73,15 @@
   evicted: number[];
   hitTokens: number;
   requestedTokens: number;
-  /** Told of every prompt work: context length and how much of it was cached. */
+  /** Called for every prefill, with the length of the context and of its cached part. */
   onPrefill: (affinityHash: number, cachedTokens: number, contextTokens: number) => void;
 }
 
-/** Prompt tokens computed in one iteration at most. */
+/** Maximum number of prompt tokens computed in one iteration. */
 const PREFILL_CHUNK_TOKENS = 512;
-/** Decay of the recent hit share with each new request. */
+/** Factor by which each new request decays the recent cache hits. */
 const HIT_DECAY = 0.9;
-/** Requests that may wait inside an engine, as a multiple of its slots. */
+/** Maximum number of requests that wait inside an engine, as a multiple of its slots. */
 const WAITING_FACTOR = 4;
 
 /** Returns an idle engine. */
@@ -108,7 +108,7 @@
   };
 }
 
-/** Takes a run, or refuses it before running. */
+/** Accepts a run, or refuses it before it starts. */
 export function submitRun(
   engine: EngineModel,
   run: EngineRun,
@@ -174,7 +174,7 @@
   engine.cache.delete(affinityHash);
 }
 
-/** Evicts idle prefixes, then puts the youngest patient run back to wait. */
+/** Evicts idle prefixes, then requeues the latest patient runs, until the KV cache suffices. */
 function evictToFit(engine: EngineModel): void {
   const { kvCapacityTokens } = engine.options;
   for (const affinityHash of engine.cache.keys()) {
@@ -202,7 +202,7 @@
   return interTokenMs * (1 + crowding * use) + prefillTokens / prefillTokensPerMs;
 }
 
-/** Works until `nowMs`; returns what it said, in order. */
+/** Runs the iterations that are due by `nowMs`. Returns their output in order. */
 export function advanceEngine(engine: EngineModel, nowMs: number): EngineOutput[] {
   const outputs: EngineOutput[] = [];
   while (engine.nextAtMs <= nowMs) {
@@ -223,7 +223,7 @@
   return prefilled;
 }
 
-/** Computes up to one chunk of prompt tokens, urgent prompts first; small ones share a chunk. */
+/** Computes up to one chunk of prompt tokens, urgent prompts first. Short prompts share a chunk. */
 function prefillChunk(engine: EngineModel): number {
   let remaining = PREFILL_CHUNK_TOKENS;
   for (const urgent of [true, false]) {
@@ -278,7 +278,10 @@
   evictToFit(engine);
 }
 
-/** Stops a run; its context stays as an idle prefix. Returns the context length, or undefined. */
+/**
+ * Stops a run and keeps its context as an idle prefix, unless its prompt is incomplete. Returns
+ * undefined if the run was still waiting or does not exist.
+ */
 export function stopRun(
   engine: EngineModel,
   attemptId: string,
@@ -296,7 +299,7 @@
   return { offset: live.offset, contextTokens };
 }
 
-/** What the engine reports of itself. */
+/** Returns the engine's report of its load and state. */
 export function reportOf(engine: EngineModel): EngineReport {
   const { kvCapacityTokens } = engine.options;
   return {
@@ -312,7 +315,7 @@
   };
 }
 
-/** Takes the evictions since the last call, under the next sequence number. */
+/** Returns the evictions since the last call, under the next sequence number, and clears them. */
 export function takeCacheEvent(
   engine: EngineModel,
 ): { sequence: number; evicted: number[] } | undefined {
--- a/packages/reedlug-standins/src/models/tableModel.ts
+++ b/packages/reedlug-standins/src/models/tableModel.ts
@@ -1,14 +1,14 @@
 /** In-memory transactional table: conditional writes, reads and ordered scans. */
 import type { TableAnswer, TableOp, TableRow } from 'reedlug-coordination';
 
-/** The table's rows. */
+/** State of a table. */
 export interface TableModel {
   rows: Map<string, TableRow>;
-  /** Keys in order; rebuilt when a key was added. */
+  /** Sorted keys, which are rebuilt after a key was added. */
   sortedKeys: string[];
   sortedIsStale: boolean;
   operations: number;
-  /** Version of the next write, from one counter for all rows; undefined where each row counts its own writes. */
+  /** Returns the version of the next write of any row; undefined if each row counts its own. */
   nextVersion: (() => number) | undefined;
 }
 
@@ -17,7 +17,7 @@
   return { rows: new Map(), sortedKeys: [], sortedIsStale: false, operations: 0, nextVersion };
 }
 
-/** Carries out an operation. */
+/** Applies an operation to a table. */
 export function applyTableOp(table: TableModel, op: TableOp): TableAnswer {
   table.operations += 1;
   switch (op.kind) {
--- a/packages/reedlug-standins/src/virtual/eventQueue.ts
+++ b/packages/reedlug-standins/src/virtual/eventQueue.ts
@@ -1,4 +1,4 @@
-/** Virtual time: actions in the order of their time, then of their scheduling. */
+/** Virtual time: runs actions in the order of their time, then of their scheduling. */
 import TinyQueue from 'tinyqueue';
 
 interface Entry {
@@ -12,7 +12,7 @@
   nowMs: () => number;
   /** Schedules an action; a past time means now. */
   at: (atMs: number, run: () => void) => void;
-  /** Runs the next action; false when there is none before `untilMs`. */
+  /** Runs the next action due by `untilMs`; without one, moves to that time and returns false. */
   runNext: (untilMs: number) => boolean;
 }
 
--- a/packages/reedlug-standins/src/virtual/random.ts
+++ b/packages/reedlug-standins/src/virtual/random.ts
@@ -1,23 +1,23 @@
 /** Seeded random numbers. */
 import { xoroshiro128plus, type RandomGenerator } from 'pure-rand';
 
-/** Draws from one generator. */
+/** Random values from one generator. */
 export interface Random {
-  /** In [0, 1). */
+  /** Returns a number in [0, 1). */
   unit: () => number;
-  /** A whole number from `low` to `high`, both included. */
+  /** Returns an integer from `low` to `high`, both included. */
   whole: (low: number, high: number) => number;
   chance: (probability: number) => boolean;
   pick: <T>(items: readonly T[]) => T;
-  /** From an exponential distribution. */
+  /** Returns a sample from an exponential distribution. */
   exponential: (mean: number) => number;
-  /** From a log-normal distribution, by its median and spread. */
+  /** Returns a sample from a log-normal distribution with a median and a spread. */
   logNormal: (median: number, sigma: number) => number;
 }
 
 const RANGE = 0x1_0000_0000;
 
-/** Returns draws for a seed. */
+/** Returns a generator that gives the same values for the same seed. */
 export function createRandom(seed: number): Random {
   const generator: RandomGenerator = xoroshiro128plus(seed);
   const unit = (): number => (generator.unsafeNext() >>> 0) / RANGE;
@@ -29,7 +29,7 @@
     chance: (probability) => unit() < probability,
     pick(items) {
       const item = items[Math.floor(unit() * items.length)];
-      if (item === undefined) throw new RangeError('pick from an empty list');
+      if (item === undefined) throw new RangeError('cannot pick from an empty list');
       return item;
     },
     exponential: (mean) => -mean * Math.log(1 - unit()),
