--- a/packages/reedlug-check/src/check/checkPlan.ts
+++ b/packages/reedlug-check/src/check/checkPlan.ts
@@ -1,8 +1,8 @@
-/** What happens in one checked run, drawn from its seed beforehand, so that it can be shrunk. */
+/** Generates the whole plan of a checked run from its seed in advance, so that it can be shrunk. */
 import { createRandom, type Random } from 'reedlug-standins';
 import { CHECK_WORKSPACES, CHECK_ZONES, checkSettings } from './checkSettings.js';
 
-/** Kinds of faults, from the brief's list. */
+/** Kinds of faults that a checked run can inject. */
 export const FaultKind = {
   reclaimServer: 'reclaimServer',
   reclaimZone: 'reclaimZone',
@@ -24,7 +24,7 @@
 } as const;
 export type FaultKind = (typeof FaultKind)[keyof typeof FaultKind];
 
-/** Faults that are announced, or that no request may be lost by. */
+/** Faults that are announced in advance or that must not lose any accepted request. */
 export const BENIGN_FAULTS: readonly FaultKind[] = [
   FaultKind.reclaimServer,
   FaultKind.reclaimZone,
@@ -34,11 +34,11 @@
   FaultKind.staleList,
 ];
 
-/** One fault. `target` and `other` are picked among what is there when it strikes. */
+/** One fault. `target` and `other` select among what exists when the fault is injected. */
 export interface PlannedFault {
   atMs: number;
   kind: FaultKind;
-  /** In [0, 1); chooses the server, box or zone. */
+  /** Fraction in [0, 1) that selects the server, box or zone. */
   target: number;
   other: number;
   durationMs: number;
@@ -55,23 +55,23 @@
 } as const;
 export type CallKind = (typeof CallKind)[keyof typeof CallKind];
 
-/** One request of a caller. */
+/** One planned request of a caller. */
 export interface PlannedCall {
   atMs: number;
   kind: CallKind;
   requestId: string;
   workspaceId: string;
-  /** In [0, 1); chooses the entry box. */
+  /** Fraction in [0, 1) that selects the entry box. */
   box: number;
   key: string | undefined;
   conversation: number;
   promptTokens: number;
   maxTokens: number;
-  /** When the caller's connection goes away, after the call. */
+  /** Time from the call until the caller disconnects; undefined if it stays connected. */
   goneAfterMs: number | undefined;
 }
 
-/** One pair of operators who want the same item changed. */
+/** Two operators who try to change the same item. */
 export interface PlannedRace {
   atMs: number;
   kind: 'setLimits' | 'setPriority' | 'setEngine';
@@ -80,7 +80,7 @@
   secondAfterMs: number;
 }
 
-/** Everything that happens in a run. */
+/** Everything that is planned for a run. */
 export interface CheckPlan {
   seed: number;
   lengthMs: number;
@@ -89,13 +89,13 @@
   races: PlannedRace[];
 }
 
-/** Time before the first fault, in which the boxes get to know each other. */
+/** Time before the first fault, in which the boxes discover each other. */
 const WARM_UP_MS = 2500;
 const CALLS_PER_SECOND = 12;
-const RACES = 4;
+const RACE_COUNT = 4;
 
-/** Draws a plan. */
-export function drawPlan(params: {
+/** Generates the plan of a seed. */
+export function generatePlan(params: {
   seed: number;
   lengthMs: number;
   faultCount: number;
@@ -106,13 +106,13 @@
   return {
     seed: params.seed,
     lengthMs,
-    calls: drawCalls(random, params.seed, lengthMs),
-    faults: drawFaults(random, lengthMs, params.faultCount, params.kinds),
-    races: drawRaces(random, lengthMs),
+    calls: generateCalls(random, params.seed, lengthMs),
+    faults: generateFaults(random, lengthMs, params.faultCount, params.kinds),
+    races: generateRaces(random, lengthMs),
   };
 }
 
-function drawFaults(
+function generateFaults(
   random: Random,
   lengthMs: number,
   count: number,
@@ -125,15 +125,15 @@
     other: random.unit(),
     durationMs: 500 + random.unit() * 4500,
   }));
-  // Every third fault strikes together with the one before it.
+  // Every third fault is injected within 200 ms of the previous one, so that their effects combine.
   for (const [index, fault] of faults.entries()) {
-    const before = faults[index - 1];
-    if (index % 3 === 2 && before !== undefined) fault.atMs = before.atMs + random.unit() * 200;
+    const previous = faults[index - 1];
+    if (index % 3 === 2 && previous !== undefined) fault.atMs = previous.atMs + random.unit() * 200;
   }
   return faults.sort((a, b) => a.atMs - b.atMs);
 }
 
-function drawCalls(random: Random, seed: number, lengthMs: number): PlannedCall[] {
+function generateCalls(random: Random, seed: number, lengthMs: number): PlannedCall[] {
   const calls: PlannedCall[] = [];
   const kinds = [
     ...Array<CallKind>(4).fill(CallKind.lookUp),
@@ -146,14 +146,19 @@
   let atMs = WARM_UP_MS - 500;
   while (atMs < lengthMs) {
     atMs += random.exponential(1000 / CALLS_PER_SECOND);
-    const call = drawCall(random, `r${seed}-${calls.length}`, random.pick(kinds), atMs);
+    const call = generateCall(random, `r${seed}-${calls.length}`, random.pick(kinds), atMs);
     calls.push(call);
-    if (call.key !== undefined) calls.push(...drawRepeats(random, call));
+    if (call.key !== undefined) calls.push(...generateDuplicates(random, call));
   }
   return calls.sort((a, b) => a.atMs - b.atMs);
 }
 
-function drawCall(random: Random, requestId: string, kind: CallKind, atMs: number): PlannedCall {
+function generateCall(
+  random: Random,
+  requestId: string,
+  kind: CallKind,
+  atMs: number,
+): PlannedCall {
   const isDraft = kind === CallKind.draft || kind === CallKind.singleDraft;
   return {
     atMs,
@@ -169,11 +174,11 @@
   };
 }
 
-/** The same notice again, at other boxes, at once or later. */
-function drawRepeats(random: Random, call: PlannedCall): PlannedCall[] {
-  const repeats: PlannedCall[] = [];
+/** Returns up to three repeats of a call under the same key, at random boxes and times. */
+function generateDuplicates(random: Random, call: PlannedCall): PlannedCall[] {
+  const duplicates: PlannedCall[] = [];
   for (let index = 1; random.chance(0.5) && index < 4; index += 1) {
-    repeats.push({
+    duplicates.push({
       ...call,
       requestId: `${call.requestId}-again${index}`,
       atMs: call.atMs + random.pick([0, 1, 20, 300, 2500]) * random.unit(),
@@ -181,11 +186,11 @@
       goneAfterMs: undefined,
     });
   }
-  return repeats;
+  return duplicates;
 }
 
-function drawRaces(random: Random, lengthMs: number): PlannedRace[] {
-  return Array.from({ length: RACES }, (_, index) => ({
+function generateRaces(random: Random, lengthMs: number): PlannedRace[] {
+  return Array.from({ length: RACE_COUNT }, (_, index) => ({
     atMs: WARM_UP_MS + random.unit() * (lengthMs - WARM_UP_MS),
     kind: (['setLimits', 'setPriority', 'setEngine'] as const)[index % 3] ?? 'setLimits',
     item: random.unit(),
@@ -194,15 +199,15 @@
   }));
 }
 
-/** Ids of the boxes of every checked run. */
+/** Ids of the boxes in every checked run. */
 export const CHECK_BOX_IDS: readonly string[] = checkSettings().boxes.map(({ id }) => id);
 
-/** An element by a number in [0, 1); undefined for an empty list. */
-export function chosen<T>(items: readonly T[], at: number): T | undefined {
-  return items[Math.floor(at * items.length)];
+/** Returns the element that a fraction in [0, 1) selects; undefined for an empty list. */
+export function elementAtFraction<T>(items: readonly T[], fraction: number): T | undefined {
+  return items[Math.floor(fraction * items.length)];
 }
 
-/** A zone by a number in [0, 1). */
-export function chosenZone(at: number): string {
-  return chosen(CHECK_ZONES, at) ?? CHECK_ZONES[0];
+/** Returns the zone that a fraction in [0, 1) selects. */
+export function zoneAtFraction(fraction: number): string {
+  return elementAtFraction(CHECK_ZONES, fraction) ?? CHECK_ZONES[0];
 }
--- a/packages/reedlug-check/src/check/runCheck.ts
+++ b/packages/reedlug-check/src/check/runCheck.ts
@@ -1,28 +1,28 @@
-/** Checks a range of seeds and sums up. */
+/** Checks a range of seeds and totals the results. */
 import type { Mutation } from 'reedlug-decisions';
-import { drawPlan, FaultKind } from './checkPlan.js';
+import { generatePlan, FaultKind } from './checkPlan.js';
 import { runPlan, type SeedResult } from './runSeed.js';
-import { shrinkPlan, type Shrunk } from './shrink.js';
+import { shrinkPlan, type ShrunkPlan } from './shrink.js';
 
-/** What to check. */
+/** Options of a check. */
 export interface CheckOptions {
   firstSeed: number;
   lastSeed: number;
-  /** Events that a run has at the least. */
+  /** Minimum number of events in a run. */
   minEvents: number;
   kinds: readonly FaultKind[];
   mutations: ReadonlySet<Mutation>;
-  /** Stop at the first violation, as the check of the checker does. */
+  /** Stops at the first violation without shrinking its plan, as the tests of the checker need. */
   stopAtFirst: boolean;
   onSeed?: (result: SeedResult) => void;
 }
 
-/** The sum of a check. */
+/** Totals over all seeds of a check. */
 export interface CheckSummary {
   seeds: number;
   events: number;
   faults: number;
-  violations: Shrunk[];
+  violations: ShrunkPlan[];
   faultCounts: Partial<Record<FaultKind, number>>;
   outcomes: Record<string, number>;
   confirmed: number;
@@ -32,11 +32,11 @@
 /** Every kind of fault. */
 export const ALL_FAULTS: readonly FaultKind[] = Object.values(FaultKind);
 
-/** Events that a second of a run has at the least. */
-const EVENTS_PER_SECOND = 200;
+/** Minimum number of events in a second of a run. */
+const MIN_EVENTS_PER_SECOND = 200;
 const FAULTS_PER_SECOND = 0.8;
 
-/** Runs the seeds. */
+/** Runs the plan of each seed. Shrinks the plans that violate a guarantee. */
 export function runCheck(options: CheckOptions): CheckSummary {
   const summary: CheckSummary = {
     seeds: 0,
@@ -48,12 +48,12 @@
     confirmed: 0,
     conflicts: 0,
   };
-  const lengthMs = Math.max(6000, (options.minEvents / EVENTS_PER_SECOND) * 1000);
+  const lengthMs = Math.max(6000, (options.minEvents / MIN_EVENTS_PER_SECOND) * 1000);
   const faultCount = Math.round((lengthMs / 1000) * FAULTS_PER_SECOND);
   for (let seed = options.firstSeed; seed <= options.lastSeed; seed += 1) {
-    const plan = drawPlan({ seed, lengthMs, faultCount, kinds: options.kinds });
+    const plan = generatePlan({ seed, lengthMs, faultCount, kinds: options.kinds });
     const result = runPlan(plan, options.mutations);
-    addTo(summary, result);
+    addResult(summary, result);
     options.onSeed?.(result);
     if (result.violation === undefined) continue;
     if (options.stopAtFirst) {
@@ -65,7 +65,7 @@
   return summary;
 }
 
-function addTo(summary: CheckSummary, result: SeedResult): void {
+function addResult(summary: CheckSummary, result: SeedResult): void {
   summary.seeds += 1;
   summary.events += result.events;
   summary.faults += result.faults;
--- a/packages/reedlug-check/src/check/runSeed.ts
+++ b/packages/reedlug-check/src/check/runSeed.ts
@@ -1,21 +1,21 @@
-/** One checked run: a plan played against the reducers, with every promise asserted. */
+/** Runs one plan against the reducers and checks every guarantee. */
 import {
   BrokenInvariantError,
   type BoxEvent,
   type DecisionSettings,
   type Mutation,
 } from 'reedlug-decisions';
-import { carryOut } from '../world/carryOut.js';
-import { engineOptionsOf, type EngineFigures } from '../world/engineFigures.js';
+import { performEffect } from '../world/performEffect.js';
+import { engineOptionsOf, type EngineProfile } from '../world/engineProfile.js';
 import { createWorld, runUntil, stateSeedOf } from '../world/world.js';
 import type { World } from '../world/worldTypes.js';
 import { createCallers, type Callers, type WorldViolation } from './callers.js';
 import { BENIGN_FAULTS, FaultKind, type CheckPlan } from './checkPlan.js';
 import { checkSettings } from './checkSettings.js';
 import { createOperators, type Operators } from './operators.js';
-import { throwFault } from './throwFault.js';
+import { injectFault } from './injectFault.js';
 
-/** What came of a run. */
+/** Result of a run. */
 export interface SeedResult {
   seed: number;
   events: number;
@@ -25,15 +25,15 @@
   outcomes: Record<string, number>;
   confirmed: number;
   conflicts: number;
-  /** Last events before a violation. */
+  /** Last events of the run, which lead to the violation if there is one. */
   lastEvents: string[];
 }
 
-/** Time after the last call and fault in which everything has to come to its end. */
-const QUIET_MS = 45_000;
-const LAST_EVENTS = 60;
+/** Time after the last call and fault within which every request must finish. */
+const SETTLE_MS = 45_000;
+const MAX_LAST_EVENTS = 60;
 
-/** Takes the lives and events of the boxes, for a trace. */
+/** Receives the settings and events of the boxes to record them in a trace. */
 export interface RunRecorder {
   onStart: (
     boxId: string,
@@ -44,7 +44,7 @@
   onEvent: (boxId: string, event: BoxEvent) => void;
 }
 
-/** Plays a plan. */
+/** Runs a plan until its end or the first violation. */
 export function runPlan(
   plan: CheckPlan,
   mutations: ReadonlySet<Mutation>,
@@ -59,13 +59,13 @@
     recorder?.onEvent(boxId, event);
     if (event.type === 'tick') return;
     lastEvents.push(`${boxId} ${JSON.stringify(event)}`);
-    if (lastEvents.length > LAST_EVENTS) lastEvents.shift();
+    if (lastEvents.length > MAX_LAST_EVENTS) lastEvents.shift();
   };
   const callers = createCallers(world, plan.calls);
   const operators = createOperators(world, plan.races);
-  const orders = watchOrders(world);
-  for (const fault of plan.faults) world.queue.at(fault.atMs, () => throwFault(world, fault));
-  const violation = play(world, plan, callers, operators, orders);
+  const orderViolations = watchFences(world);
+  for (const fault of plan.faults) world.queue.at(fault.atMs, () => injectFault(world, fault));
+  const violation = findViolation(world, plan, callers, operators, orderViolations);
   return {
     seed: plan.seed,
     events: world.eventCount,
@@ -79,15 +79,15 @@
   };
 }
 
-/** Engines of the checked deployment: a small cache, so that it overflows. */
-const CHECK_ENGINE: EngineFigures = {
+/** Engines of the checked deployment. Their KV cache is small enough to overflow. */
+const CHECK_ENGINE: EngineProfile = {
   kvCapacityTokens: 16_000,
   prefillTokensPerMs: 8,
   interTokenMs: 10,
   crowding: 0.5,
 };
 
-/** A world of the checked deployment, with nothing planned. */
+/** Returns a world of the checked deployment without planned calls or faults. */
 export function createCheckWorld(seed: number, mutations: ReadonlySet<Mutation>): World {
   const settings = checkSettings();
   return createWorld(
@@ -100,48 +100,51 @@
       tickMs: 50,
       engineStartMs: 1500,
       mutations,
-      doubledEvents: 0.05,
+      duplicateEventShare: 0.05,
     },
-    carryOut,
+    performEffect,
   );
 }
 
-/** Orders must never step back at a server, and no two holders may use one fence. */
-function watchOrders(world: World): WorldViolation[] {
+/**
+ * Records a violation when a server accepts a lower fence than before, or when two processes send
+ * orders under the same fence. Each grant of the lease has its own fence, and fences only increase.
+ */
+function watchFences(world: World): WorldViolation[] {
   const violations: WorldViolation[] = [];
-  const highest = new Map<string, number>();
-  const holders = new Map<number, string>();
+  const highestFences = new Map<string, number>();
+  const fenceHolders = new Map<number, string>();
   world.observer.onOrder = (serverId, fence, sentBy) => {
-    const holder = holders.get(fence) ?? sentBy;
-    holders.set(fence, holder);
+    const holder = fenceHolders.get(fence) ?? sentBy;
+    fenceHolders.set(fence, holder);
     if (holder !== sentBy) {
-      const detail = `${holder} and ${sentBy} both sent orders under fence ${fence}`;
+      const detail = `${holder} and ${sentBy} sent orders under the same fence ${fence}`;
       violations.push({ name: 'fenceShared', detail });
     }
-    const before = highest.get(serverId) ?? 0;
-    if (fence < before) {
-      const detail = `${serverId} took fence ${fence} of ${sentBy} after ${before}`;
+    const previous = highestFences.get(serverId) ?? 0;
+    if (fence < previous) {
+      const detail = `${serverId} accepted fence ${fence} from ${sentBy} after fence ${previous}`;
       violations.push({ name: 'orderSteppedBack', detail });
     }
-    highest.set(serverId, Math.max(before, fence));
+    highestFences.set(serverId, Math.max(previous, fence));
   };
   return violations;
 }
 
-function play(
+function findViolation(
   world: World,
   plan: CheckPlan,
   callers: Callers,
   operators: Operators,
-  orders: readonly WorldViolation[],
+  orderViolations: readonly WorldViolation[],
 ): WorldViolation | undefined {
   try {
     const STEP_MS = 1000;
-    const endMs = plan.lengthMs + QUIET_MS;
+    const endMs = plan.lengthMs + SETTLE_MS;
     for (let untilMs = STEP_MS; untilMs <= endMs; untilMs += STEP_MS) {
       runUntil(world, untilMs);
-      const found = callers.violations[0] ?? operators.violations[0] ?? orders[0];
-      if (found !== undefined) return found;
+      const violation = callers.violations[0] ?? operators.violations[0] ?? orderViolations[0];
+      if (violation !== undefined) return violation;
       if (untilMs > plan.lengthMs + STEP_MS * 8 && allFinished(callers)) break;
     }
   } catch (error) {
@@ -149,42 +152,46 @@
     const name = error.violation?.name ?? 'unknown';
     return { name, detail: error.message };
   }
-  return atTheEnd(world, plan, callers);
+  return checkFinalState(world, plan, callers);
 }
 
 function allFinished(callers: Callers): boolean {
   return [...callers.calls.values()].every((call) => call.finish !== undefined || !call.box.alive);
 }
 
-function atTheEnd(world: World, plan: CheckPlan, callers: Callers): WorldViolation | undefined {
+function checkFinalState(
+  world: World,
+  plan: CheckPlan,
+  callers: Callers,
+): WorldViolation | undefined {
   for (const call of callers.calls.values()) {
     if (call.finish === undefined && call.box.alive) {
       const phase = call.box.state.requests.get(call.planned.requestId)?.phase.kind;
       return { name: 'noOutcome', detail: `${call.planned.requestId} (${phase ?? 'no record'})` };
     }
   }
-  return configNotInForce(world) ?? lostByBenignFaults(plan, callers);
+  return findStaleConfig(world) ?? findLostRequest(plan, callers);
 }
 
-function configNotInForce(world: World): WorldViolation | undefined {
+function findStaleConfig(world: World): WorldViolation | undefined {
   const revisions = [...world.table.rows.keys()].filter((key) => key.startsWith('config/log/'));
   for (const [boxId, box] of world.boxes) {
     if (!box.alive || box.state.config.revision === revisions.length) continue;
-    const detail = `${boxId} is at ${box.state.config.revision} of ${revisions.length}`;
+    const detail = `${boxId} has revision ${box.state.config.revision} of ${revisions.length}`;
     return { name: 'configNotInForce', detail };
   }
   return undefined;
 }
 
-/** Announced faults alone lose nothing that was accepted. */
-function lostByBenignFaults(plan: CheckPlan, callers: Callers): WorldViolation | undefined {
+/** Returns a violation if a request was lost although the plan has only benign faults. */
+function findLostRequest(plan: CheckPlan, callers: Callers): WorldViolation | undefined {
   if (!plan.faults.every(({ kind }) => BENIGN_FAULTS.includes(kind))) return undefined;
   for (const call of callers.calls.values()) {
     const { finish, planned } = call;
     if (finish === undefined || call.gone || planned.kind === 'singleDraft') continue;
     const lost = finish.outcome === 'failed' || finish.outcome === 'unknown';
     if (!lost || finish.reason === 'handedOver') continue;
-    const detail = `${planned.requestId} (${planned.kind}) ended ${finish.outcome}, ${finish.reason}`;
+    const detail = `${planned.requestId} (${planned.kind}) finished as ${finish.outcome}: ${finish.reason}`;
     return { name: 'lostByAnnouncedFault', detail };
   }
   return undefined;
--- a/packages/reedlug-check/src/check/shrink.ts
+++ b/packages/reedlug-check/src/check/shrink.ts
@@ -1,32 +1,32 @@
-/** Shrinks a plan that breaks a promise: fewer faults, races and calls, the same violation. */
+/** Shrinks a plan to fewer faults, races and calls that cause the same violation. */
 import type { Mutation } from 'reedlug-decisions';
 import type { CheckPlan } from './checkPlan.js';
 import { runPlan, type SeedResult } from './runSeed.js';
 
 /** A shrunk plan with its result. */
-export interface Shrunk {
+export interface ShrunkPlan {
   plan: CheckPlan;
   result: SeedResult;
 }
 
-/** Runs that shrinking may take. */
+/** Maximum number of runs to shrink one plan. */
 const MAX_RUNS = 150;
 
-/** Takes parts out of a plan while it still breaks the same promise. */
+/** Removes faults, races and calls from a plan while it still causes the same violation. */
 export function shrinkPlan(
   plan: CheckPlan,
   result: SeedResult,
   mutations: ReadonlySet<Mutation>,
-): Shrunk {
-  const name = result.violation?.name;
-  let best: Shrunk = { plan, result };
+): ShrunkPlan {
+  const violationName = result.violation?.name;
+  let best: ShrunkPlan = { plan, result };
   let runs = 0;
   const tryPlan = (candidate: CheckPlan): boolean => {
     if (runs >= MAX_RUNS) return false;
     runs += 1;
-    const tried = runPlan(candidate, mutations);
-    if (tried.violation?.name !== name) return false;
-    best = { plan: candidate, result: tried };
+    const candidateResult = runPlan(candidate, mutations);
+    if (candidateResult.violation?.name !== violationName) return false;
+    best = { plan: candidate, result: candidateResult };
     return true;
   };
   for (const part of ['faults', 'races', 'calls'] as const) {
@@ -38,17 +38,17 @@
   return best;
 }
 
-/** Takes out ever smaller runs of items, as delta debugging does (A. Zeller). */
+/** Removes smaller and smaller ranges of items, as delta debugging does (A. Zeller). */
 function shrinkPart(
   length: number,
-  tryWithout: (keep: (index: number) => boolean) => boolean,
+  tryKeeping: (keep: (index: number) => boolean) => boolean,
 ): void {
-  let left = length;
-  for (let size = Math.ceil(left / 2); size >= 1; size = Math.floor(size / 2)) {
-    for (let start = 0; start < left;) {
+  let remaining = length;
+  for (let size = Math.ceil(remaining / 2); size >= 1; size = Math.floor(size / 2)) {
+    for (let start = 0; start < remaining;) {
       const end = start + size;
-      const shrunk = tryWithout((index) => index < start || index >= end);
-      if (shrunk) left -= Math.min(size, left - start);
+      const shrunk = tryKeeping((index) => index < start || index >= end);
+      if (shrunk) remaining -= Math.min(size, remaining - start);
       else start += size;
     }
   }
--- a/packages/reedlug-check/src/measure/measure.ts
+++ b/packages/reedlug-check/src/measure/measure.ts
@@ -1,27 +1,27 @@
-/** Measures a policy in a scenario: the reducers and fakes under virtual time. */
+/** Measures a policy in a scenario by running the reducers against fakes under virtual time. */
 import { Outcome } from 'reedlug-coordination';
 import type { DecisionSettings, OfferSpec } from 'reedlug-decisions';
-import { carryOut } from '../world/carryOut.js';
-import { engineOptionsOf } from '../world/engineFigures.js';
+import { performEffect } from '../world/performEffect.js';
+import { engineOptionsOf } from '../world/engineProfile.js';
 import { createWorld, runUntil } from '../world/world.js';
 import type { World, WorldEngine } from '../world/worldTypes.js';
 import { settingsFor, type PolicyVariant } from './policyVariants.js';
 import { scenarioOf, type Scenario, type ScenarioName } from './scenario.js';
 import { createWorkload, type Sample, type Workload } from './workload.js';
 
-/** Latency of one class, in ms. */
+/** Latency percentiles of one request class, in ms. */
 export interface ClassLatency {
   p50Ms: number;
   p95Ms: number;
   p99Ms: number;
 }
 
-/** What a run measured. */
+/** Result of a measurement run. */
 export interface Measurement {
   scenario: ScenarioName;
   policy: PolicyVariant;
   seed: number;
-  /** Answers of engines within the latency target. */
+  /** Number of engine answers whose first token came within the latency target. */
   answersWithinTarget: number;
   cost: number;
   costPerThousandWithinTarget: number;
@@ -31,17 +31,17 @@
   firstToken: { urgent: ClassLatency; patient: ClassLatency };
   whole: { urgent: ClassLatency; patient: ClassLatency; lookUp: ClassLatency };
   betweenTokensP95Ms: number;
-  /** Share of urgent answers past the target or not answered. */
+  /** Share of urgent requests that missed the latency target or were not answered. */
   urgentMissShare: number;
   refused: { urgent: number; patient: number };
   lost: { urgent: number; patient: number };
-  /** Answers of the busiest patient workspace over those of the least busy one. */
+  /** Ratio of the answers of the busiest patient workspace to those of the least busy one. */
   busiestOverLeast: number;
   events: number;
 }
 
-/** Engine figures of the fakes. */
-export interface EngineFigures {
+/** Performance parameters of the fake engines and services. */
+export interface ServerProfile {
   kvCapacityTokens: number;
   prefillTokensPerMs: number;
   interTokenMs: number;
@@ -49,19 +49,22 @@
   serviceAnswerMs: number;
 }
 
-/** What to measure. */
+/** Options of a measurement. */
 export interface MeasureOptions {
   settings: Omit<DecisionSettings, 'boxId' | 'zone' | 'incarnation'>;
-  engines: EngineFigures;
+  engines: ServerProfile;
   scenario: ScenarioName;
   policy: PolicyVariant;
   seed: number;
-  /** No drafts at all, for the urgent figures that drafts are held against. */
+  /** Omits all drafts, to measure the urgent latency without them as a baseline. */
   withoutDrafts?: boolean;
 }
 
-/** First token of 95 in 100, in ms: urgent as the letter has it, patient as a draft may wait. */
-const TARGET_MS = { urgent: 880, patient: 3000 } as const;
+/**
+ * Targets for the 95th percentile of the time to the first token, in ms. The urgent one is a
+ * requirement of the users; patient requests are drafts, which may wait longer.
+ */
+const FIRST_TOKEN_TARGET_MS = { urgent: 880, patient: 3000 } as const;
 const DRAIN_MS = 60_000;
 const HOUR_MS = 3_600_000;
 const TICK_MS = 50;
@@ -69,66 +72,66 @@
 
 /** Runs one measurement. */
 export function measure(options: MeasureOptions): Measurement {
-  const scenario = adjusted(scenarioOf(options.scenario), options.withoutDrafts ?? false);
-  const given = scenario.twoSites ? withSecondSite(options.settings) : options.settings;
-  const settings = settingsFor(given, options.policy);
-  const world = worldFor(options, settings);
-  const engines = options.settings.servers.filter(({ kind }) => kind === 'engine').length;
-  const workload = createWorkload(world, scenario, engines);
-  scenario.happen(world);
+  const scenario = adjustScenario(scenarioOf(options.scenario), options.withoutDrafts ?? false);
+  const baseSettings = scenario.hasSecondSite ? withSecondSite(options.settings) : options.settings;
+  const settings = settingsFor(baseSettings, options.policy);
+  const world = createMeasuredWorld(options, settings);
+  const engineCount = options.settings.servers.filter(({ kind }) => kind === 'engine').length;
+  const workload = createWorkload(world, scenario, engineCount);
+  scenario.scheduleEvents(world);
   runUntil(world, scenario.lengthMs + DRAIN_MS);
   return summarise(options, world, scenario, workload);
 }
 
-function adjusted(scenario: Scenario, withoutDrafts: boolean): Scenario {
+function adjustScenario(scenario: Scenario, withoutDrafts: boolean): Scenario {
   return withoutDrafts ? { ...scenario, patientFactor: () => 0, noisyFactor: 1 } : scenario;
 }
 
-function worldFor(
+function createMeasuredWorld(
   options: MeasureOptions,
   settings: Omit<DecisionSettings, 'boxId' | 'zone' | 'incarnation'>,
 ): World {
-  const { serviceAnswerMs, ...figures } = options.engines;
+  const { serviceAnswerMs, ...engineProfile } = options.engines;
   return createWorld(
     {
       seed: options.seed,
       settings,
-      engineOptions: (spec) => engineOptionsOf(spec, figures, 8),
+      engineOptions: (spec) => engineOptionsOf(spec, engineProfile, 8),
       serviceAnswerMs,
       crossZoneMs: settings.policy.crossZoneMs,
       tickMs: TICK_MS,
       engineStartMs: ENGINE_START_MS,
       mutations: new Set(),
-      doubledEvents: 0,
+      duplicateEventShare: 0,
     },
-    carryOut,
+    performEffect,
   );
 }
 
-/** A second site as large as the first, with empty caches. */
+/** Adds a second site of the same size as the first, with empty caches. */
 function withSecondSite(settings: MeasureOptions['settings']): MeasureOptions['settings'] {
-  const renamed = (name: string): string => `${name}-new`;
+  const newName = (name: string): string => `${name}-new`;
   return {
     ...settings,
     zones: [
       ...settings.zones,
-      ...settings.zones.map(({ name, site }) => ({ name: renamed(name), site: renamed(site) })),
+      ...settings.zones.map(({ name, site }) => ({ name: newName(name), site: newName(site) })),
     ],
     boxes: [
       ...settings.boxes,
-      ...settings.boxes.map((box) => ({ ...box, id: renamed(box.id), zone: renamed(box.zone) })),
+      ...settings.boxes.map((box) => ({ ...box, id: newName(box.id), zone: newName(box.zone) })),
     ],
     servers: [
       ...settings.servers,
       ...settings.servers.map((spec) => ({
         ...spec,
-        id: renamed(spec.id),
-        zone: renamed(spec.zone),
+        id: newName(spec.id),
+        zone: newName(spec.zone),
       })),
     ],
     offers: [
       ...settings.offers,
-      ...settings.offers.map((offer) => ({ ...offer, zone: renamed(offer.zone) })),
+      ...settings.offers.map((offer) => ({ ...offer, zone: newName(offer.zone) })),
     ],
   };
 }
@@ -140,72 +143,76 @@
   workload: Workload,
 ): Measurement {
   const { samples } = workload;
-  const engine = samples.filter(({ kind }) => kind === 'engine');
-  const urgent = engine.filter(({ requestClass }) => requestClass === 'urgent');
-  const patient = engine.filter(({ requestClass }) => requestClass === 'patient');
+  const engineSamples = samples.filter(({ kind }) => kind === 'engine');
+  const urgent = engineSamples.filter(({ requestClass }) => requestClass === 'urgent');
+  const patient = engineSamples.filter(({ requestClass }) => requestClass === 'patient');
   const lookUps = samples.filter(({ kind }) => kind === 'service');
-  const within = engine.filter(withinTarget).length;
+  const withinTargetCount = engineSamples.filter(isWithinTarget).length;
   const cost = costOf(world, options.settings.offers, scenario.lengthMs);
   return {
     scenario: options.scenario,
     policy: options.policy,
     seed: options.seed,
-    answersWithinTarget: within,
+    answersWithinTarget: withinTargetCount,
     cost,
-    costPerThousandWithinTarget: (cost / Math.max(1, within)) * 1000,
+    costPerThousandWithinTarget: (cost / Math.max(1, withinTargetCount)) * 1000,
     promptTokens: workload.promptTokens,
     recomputedTokens: workload.recomputedTokens,
     recomputedShare: workload.recomputedTokens / Math.max(1, workload.promptTokens),
-    firstToken: { urgent: firstTokens(urgent), patient: firstTokens(patient) },
-    whole: { urgent: wholes(urgent), patient: wholes(patient), lookUp: wholes(lookUps) },
+    firstToken: { urgent: firstTokenLatency(urgent), patient: firstTokenLatency(patient) },
+    whole: {
+      urgent: wholeAnswerLatency(urgent),
+      patient: wholeAnswerLatency(patient),
+      lookUp: wholeAnswerLatency(lookUps),
+    },
     betweenTokensP95Ms: percentile(
-      completed(engine).map((sample) => sample.betweenTokensMs),
+      completedSamples(engineSamples).map((sample) => sample.betweenTokensMs),
       95,
     ),
-    urgentMissShare: 1 - urgent.filter(withinTarget).length / Math.max(1, urgent.length),
-    refused: counts(samples, isRefused),
-    lost: counts(samples, isLost),
+    urgentMissShare: 1 - urgent.filter(isWithinTarget).length / Math.max(1, urgent.length),
+    refused: countByClass(samples, isRefused),
+    lost: countByClass(samples, isLost),
     busiestOverLeast: busiestOverLeast(patient),
     events: world.eventCount,
   };
 }
 
-function completed(samples: readonly Sample[]): Sample[] {
+function completedSamples(samples: readonly Sample[]): Sample[] {
   return samples.filter(({ outcome }) => outcome === Outcome.completed);
 }
 
-function withinTarget(sample: Sample): boolean {
+function isWithinTarget(sample: Sample): boolean {
   if (sample.outcome !== Outcome.completed || sample.firstTokenMs === undefined) return false;
-  return sample.firstTokenMs <= TARGET_MS[sample.requestClass];
+  return sample.firstTokenMs <= FIRST_TOKEN_TARGET_MS[sample.requestClass];
 }
 
 function isRefused(sample: Sample): boolean {
   return sample.outcome === Outcome.notRun;
 }
 
-/** Accepted and not answered. */
+/** Returns true for a request that was accepted but not answered. */
 function isLost(sample: Sample): boolean {
   return sample.outcome === Outcome.failed || sample.outcome === Outcome.unknown;
 }
 
-function counts(
+function countByClass(
   samples: readonly Sample[],
-  fits: (sample: Sample) => boolean,
+  matches: (sample: Sample) => boolean,
 ): { urgent: number; patient: number } {
-  const fitting = samples.filter(fits);
-  const urgent = fitting.filter(({ requestClass }) => requestClass === 'urgent').length;
-  return { urgent, patient: fitting.length - urgent };
+  const matching = samples.filter(matches);
+  const urgent = matching.filter(({ requestClass }) => requestClass === 'urgent').length;
+  return { urgent, patient: matching.length - urgent };
 }
 
-function firstTokens(samples: readonly Sample[]): ClassLatency {
-  return latency(completed(samples).map(({ firstTokenMs }) => firstTokenMs ?? 0));
+function firstTokenLatency(samples: readonly Sample[]): ClassLatency {
+  return percentilesOf(completedSamples(samples).map(({ firstTokenMs }) => firstTokenMs ?? 0));
 }
 
-function wholes(samples: readonly Sample[]): ClassLatency {
-  return latency(completed(samples).map(({ wholeMs }) => wholeMs));
+function wholeAnswerLatency(samples: readonly Sample[]): ClassLatency {
+  return percentilesOf(completedSamples(samples).map(({ wholeMs }) => wholeMs));
 }
 
-function latency(values: readonly number[]): ClassLatency {
+function percentilesOf(values: readonly number[]): ClassLatency {
   return {
     p50Ms: percentile(values, 50),
     p95Ms: percentile(values, 95),
@@ -213,7 +220,7 @@
   };
 }
 
-/** Nearest-rank percentile; 0 for no values. */
+/** Returns the nearest-rank percentile of values; 0 for no values. */
 export function percentile(values: readonly number[], percent: number): number {
   const sorted = [...values].sort((a, b) => a - b);
   const rank = Math.max(0, Math.ceil((percent / 100) * sorted.length) - 1);
@@ -222,15 +229,15 @@
 
 function busiestOverLeast(samples: readonly Sample[]): number {
   const answered = new Map<string, number>();
-  for (const { workspaceId } of completed(samples)) {
+  for (const { workspaceId } of completedSamples(samples)) {
     answered.set(workspaceId, (answered.get(workspaceId) ?? 0) + 1);
   }
-  const sums = [...answered.values()];
-  if (sums.length === 0) return 0;
-  return Math.round((Math.max(...sums) / Math.min(...sums)) * 100) / 100;
+  const answerCounts = [...answered.values()];
+  if (answerCounts.length === 0) return 0;
+  return Math.round((Math.max(...answerCounts) / Math.min(...answerCounts)) * 100) / 100;
 }
 
-/** What the engines cost from the start to the end of the load. */
+/** Returns the cost of the engines until the end of the load, without those of the second site. */
 function costOf(world: World, offers: readonly OfferSpec[], lengthMs: number): number {
   let cost = 0;
   const engines = [...world.servers.values(), ...world.gone].filter(
--- a/packages/reedlug-check/src/measure/median.ts
+++ b/packages/reedlug-check/src/measure/median.ts
@@ -17,12 +17,12 @@
   urgentMissShare: number;
   refusedUrgent: number;
   refusedPatient: number;
-  /** Over all seeds, not a median: one lost request is one too many. */
+  /** Sum over all seeds, since a median would hide a single lost request. */
   lost: number;
   busiestOverLeast: number;
 }
 
-/** The median of values; 0 for none. */
+/** Returns the median of values; 0 for no values. */
 export function median(values: readonly number[]): number {
   const sorted = [...values].sort((a, b) => a - b);
   const middle = Math.floor(sorted.length / 2);
@@ -31,7 +31,7 @@
   return (upper + (sorted[middle - 1] ?? 0)) / 2;
 }
 
-/** One row for each scenario and policy, in the order in which they first appear. */
+/** Returns one row for each scenario and policy, in the order in which they first appear. */
 export function medianRows(results: readonly Measurement[]): MedianRow[] {
   const groups = new Map<string, Measurement[]>();
   for (const result of results) {
@@ -44,23 +44,23 @@
 function rowOf(group: readonly Measurement[]): MedianRow[] {
   const [first] = group;
   if (first === undefined) return [];
-  const of = (value: (result: Measurement) => number): number => median(group.map(value));
+  const medianOf = (value: (result: Measurement) => number): number => median(group.map(value));
   return [
     {
       scenario: first.scenario,
       policy: first.policy,
       seeds: group.length,
-      costPerThousand: of((result) => result.costPerThousandWithinTarget),
-      recomputedTokens: of((result) => result.recomputedTokens),
-      recomputedShare: of((result) => result.recomputedShare),
-      urgentFirstP95Ms: of((result) => result.firstToken.urgent.p95Ms),
-      patientFirstP95Ms: of((result) => result.firstToken.patient.p95Ms),
-      lookUpP95Ms: of((result) => result.whole.lookUp.p95Ms),
-      urgentMissShare: of((result) => result.urgentMissShare),
-      refusedUrgent: of((result) => result.refused.urgent),
-      refusedPatient: of((result) => result.refused.patient),
+      costPerThousand: medianOf((result) => result.costPerThousandWithinTarget),
+      recomputedTokens: medianOf((result) => result.recomputedTokens),
+      recomputedShare: medianOf((result) => result.recomputedShare),
+      urgentFirstP95Ms: medianOf((result) => result.firstToken.urgent.p95Ms),
+      patientFirstP95Ms: medianOf((result) => result.firstToken.patient.p95Ms),
+      lookUpP95Ms: medianOf((result) => result.whole.lookUp.p95Ms),
+      urgentMissShare: medianOf((result) => result.urgentMissShare),
+      refusedUrgent: medianOf((result) => result.refused.urgent),
+      refusedPatient: medianOf((result) => result.refused.patient),
       lost: group.reduce((sum, { lost }) => sum + lost.urgent + lost.patient, 0),
-      busiestOverLeast: of((result) => result.busiestOverLeast),
+      busiestOverLeast: medianOf((result) => result.busiestOverLeast),
     },
   ];
 }
--- a/packages/reedlug-check/src/measure/policyVariants.ts
+++ b/packages/reedlug-check/src/measure/policyVariants.ts
@@ -1,7 +1,7 @@
-/** The measured policy and the baselines beside it. */
+/** The measured policy and the baselines that it is compared with. */
 import type { DecisionSettings, PolicySettings } from 'reedlug-decisions';
 
-/** Names of the variants. */
+/** Names of the policy variants. */
 export const PolicyVariant = {
   reedlug: 'reedlug',
   roundRobin: 'roundRobin',
@@ -15,8 +15,8 @@
 } as const;
 export type PolicyVariant = (typeof PolicyVariant)[keyof typeof PolicyVariant];
 
-/** What a plain balancer does: no move of caches, no reserve, the cheapest boxes. */
-const PLAIN: Partial<PolicySettings> = {
+/** Policy of a plain load balancer: no cache moves, no reserved slots, the cheapest boxes. */
+const PLAIN_BALANCER: Partial<PolicySettings> = {
   kvMove: false,
   placement: 'cheapestFirst',
   sizing: 'fixed',
@@ -24,7 +24,7 @@
   patientFloorEvery: 1_000_000,
 };
 
-/** What a variant changes. */
+/** Returns the policy settings that a variant changes. */
 export function policyOf(variant: PolicyVariant): Partial<PolicySettings> {
   switch (variant) {
     case PolicyVariant.reedlug:
@@ -32,7 +32,7 @@
     case PolicyVariant.roundRobin:
     case PolicyVariant.leastRequests:
     case PolicyVariant.stickyHash:
-      return { ...PLAIN, routing: variant };
+      return { ...PLAIN_BALANCER, routing: variant };
     case PolicyVariant.noKvMove:
       return { kvMove: false };
     case PolicyVariant.onDemandOnly:
@@ -46,16 +46,20 @@
   }
 }
 
-/** Settings whose first boxes are bought as the variant would have bought them. */
+/** Returns the settings of a variant, with initial engines as its placement would buy them. */
 export function settingsFor<T extends Pick<DecisionSettings, 'policy' | 'servers'>>(
   settings: T,
   variant: PolicyVariant,
 ): T {
   const policy = { ...settings.policy, ...policyOf(variant) };
-  return { ...settings, policy, servers: settings.servers.map((spec) => bought(spec, policy)) };
+  return {
+    ...settings,
+    policy,
+    servers: settings.servers.map((spec) => withPlacement(spec, policy)),
+  };
 }
 
-function bought(
+function withPlacement(
   spec: DecisionSettings['servers'][number],
   policy: PolicySettings,
 ): DecisionSettings['servers'][number] {
--- a/packages/reedlug-check/src/world/emit.ts
+++ b/packages/reedlug-check/src/world/emit.ts
@@ -1,8 +1,8 @@
-/** Events of a world's boxes. */
+/** Delivers events to the boxes of a world. */
 import { reduceChecked, type BoxEvent, type EventBody } from 'reedlug-decisions';
 import type { World, WorldBox } from './worldTypes.js';
 
-/** Gives an event to a box, now or when its pause ends. */
+/** Delivers an event to a box, now or when its pause ends. A dead box receives nothing. */
 export function emit(world: World, box: WorldBox, body: EventBody): void {
   if (!box.alive) return;
   const nowMs = world.queue.nowMs();
@@ -14,11 +14,11 @@
   if (body.type !== 'tick') world.eventCount += 1;
   world.onEvent?.(box.settings.boxId, event);
   for (const effect of reduceChecked(box.memory, box.state, event)) {
-    world.carryOut(world, box, effect);
+    world.performEffect(world, box, effect);
   }
 }
 
-/** Gives an event to a box after a delay; lost when the box has died or started again since. */
+/** Delivers an event to a box after a delay, unless the box has died or restarted by then. */
 export function emitLater(world: World, box: WorldBox, delayMs: number, body: EventBody): void {
   world.queue.at(world.queue.nowMs() + delayMs, () => emit(world, box, body));
 }
--- a/packages/reedlug-check/src/world/world.ts
+++ b/packages/reedlug-check/src/world/world.ts
@@ -1,6 +1,6 @@
 /**
- * A small world for the reducers of several entry boxes: fakes at the
- * interfaces under virtual time. Delays are fixed; networks are not modelled.
+ * A world runs the reducers of several entry boxes against fakes of all other
+ * systems under virtual time. Delays are fixed; networks are not modelled.
  */
 import {
   createBoxState,
@@ -14,12 +14,12 @@
   createRandom,
   createTableModel,
 } from 'reedlug-standins';
-import { noteList, scheduleBoxList } from './boxList.js';
+import { recordServerList, scheduleBoxList } from './boxList.js';
 import { emit } from './emit.js';
 import { Delay, platformReachable } from './links.js';
 import type { World, WorldBox, WorldObserver, WorldOptions, WorldServer } from './worldTypes.js';
 
-const SILENT: WorldObserver = {
+const NO_OP_OBSERVER: WorldObserver = {
   onTokens: () => undefined,
   onFinish: () => undefined,
   onRun: () => undefined,
@@ -31,8 +31,8 @@
 /** Epoch time at the start of every world. */
 export const WORLD_EPOCH_MS = Date.UTC(2026, 11, 1, 8);
 
-/** Makes a world with every box and server of the settings up. */
-export function createWorld(options: WorldOptions, carryOut: World['carryOut']): World {
+/** Creates a world in which every box and server of the settings is running. */
+export function createWorld(options: WorldOptions, performEffect: World['performEffect']): World {
   const world: World = {
     options,
     queue: createEventQueue(),
@@ -54,10 +54,10 @@
     listHistory: [],
     cloudFence: 0,
     startTokens: new Set(),
-    observer: { ...SILENT },
-    carryOut,
+    observer: { ...NO_OP_OBSERVER },
+    performEffect,
     eventCount: 0,
-    incarnations: 0,
+    incarnationCount: 0,
     onEvent: undefined,
     epochStartMs: WORLD_EPOCH_MS,
   };
@@ -67,16 +67,16 @@
 }
 
 function nextIncarnation(world: World): number {
-  world.incarnations += 1;
-  return world.incarnations;
+  world.incarnationCount += 1;
+  return world.incarnationCount;
 }
 
-/** Seed of the generator in the state of one life of a box. */
+/** Returns the seed of the random generator in the state of one incarnation of a box. */
 export function stateSeedOf(world: World, incarnation: number): number {
   return world.options.seed * 1000 + incarnation;
 }
 
-/** Starts a box, or starts it again as a fresh process that holds nothing. */
+/** Starts a box, or restarts it as a new process without any state. */
 export function startBox(world: World, boxId: string): void {
   const { options, queue } = world;
   const zone = options.settings.boxes.find(({ id }) => id === boxId)?.zone ?? '';
@@ -91,7 +91,7 @@
   const memory = createInvariantMemory();
   const box: WorldBox = { settings, state, memory, alive: true, pausedUntilMs: 0 };
   world.boxes.set(boxId, box);
-  // Boxes tick at different moments, as real ones do.
+  // The boxes tick at different times, as real boxes do.
   scheduleTick(world, box, queue.nowMs() + (incarnation % 10) * (options.tickMs / 10));
   scheduleBoxList(world, box, queue.nowMs() + 10);
   queue.at(queue.nowMs() + Delay.platform, () => {
@@ -113,7 +113,7 @@
   });
 }
 
-/** Adds a server that is up. */
+/** Adds a running server. */
 export function addServer(world: World, spec: ServerSpec): WorldServer {
   const base = {
     spec,
@@ -125,13 +125,13 @@
   const server: WorldServer =
     spec.kind === 'service'
       ? { kind: 'service', ...base }
-      : { kind: 'engine', ...base, ...engineParts(world, spec, base.incarnation) };
+      : { kind: 'engine', ...base, ...createEngineFields(world, spec, base.incarnation) };
   world.servers.set(spec.id, server);
-  noteList(world);
+  recordServerList(world);
   return server;
 }
 
-function engineParts(world: World, spec: ServerSpec, incarnation: number) {
+function createEngineFields(world: World, spec: ServerSpec, incarnation: number) {
   const model = createEngineModel(world.options.engineOptions(spec), incarnation);
   model.onPrefill = (affinityHash, cachedTokens, contextTokens) =>
     world.observer.onPrefill(affinityHash, cachedTokens, contextTokens);
@@ -141,11 +141,11 @@
     endedAtMs: undefined,
     callers: new Map<string, string>(),
     tickets: new Map<string, number>(),
-    pumpAtMs: Number.POSITIVE_INFINITY,
+    iterationAtMs: Number.POSITIVE_INFINITY,
   };
 }
 
-/** Runs until a time. */
+/** Runs all events up to a time. */
 export function runUntil(world: World, untilMs: number): void {
   while (world.queue.runNext(untilMs));
 }
--- a/packages/reedlug-standins/src/models/engineModel.ts
+++ b/packages/reedlug-standins/src/models/engineModel.ts
@@ -1,7 +1,7 @@
 /**
- * A model engine: continuous batching, priorities, and a prefix cache of
- * limited size. It works in iterations; each one computes a chunk of one
- * prompt and one token of every running request.
+ * Model of an engine with continuous batching, priorities and a prefix cache
+ * of limited size. Each iteration computes a chunk of prompt tokens, and one
+ * token of every running request whose prompt is complete.
  */
 import type { EngineReport } from 'reedlug-decisions';
 import { answerToken } from './answerText.js';
@@ -15,31 +15,31 @@
   /** KV cache for running requests and idle prefixes, in tokens. */
   kvCapacityTokens: number;
   prefillTokensPerMs: number;
-  /** Time of one token of one lone request. */
+  /** Time per token when only one request runs. */
   interTokenMs: number;
-  /** Slowdown of a full engine, as a share of `interTokenMs`. */
+  /** Extra time per token of a full engine, as a share of `interTokenMs`. */
   crowding: number;
-  /** Tokens that a request gathers before they are sent on; the first one goes alone. */
+  /** Number of tokens that are sent together. The first token is sent alone. */
   tokensPerEvent: number;
 }
 
 /** A request at an engine. */
 export interface EngineRun {
   attemptId: string;
-  /** Names the answer: the same key gives the same tokens at every engine. */
+  /** Key of the answer. The same key gives the same tokens at every engine. */
   answerKey: string;
   affinityHash: number;
   promptTokens: number;
   resumeOffset: number;
-  /** Length of the whole answer. */
+  /** Length of the whole answer, in tokens. */
   totalTokens: number;
   urgent: boolean;
-  /** Tokens whose KV cache came with it; 0 without a move. */
+  /** Number of tokens whose KV cache was moved here with the request; 0 without a move. */
   importedTokens: number;
 }
 
-/** What an engine says of a run. */
-export type EngineSaying =
+/** Output of an engine for a run. */
+export type EngineOutput =
   | { kind: 'tokens'; attemptId: string; offset: number; tokens: string[] }
   | { kind: 'ended'; attemptId: string; totalTokens: number; cachedTokens: number };
 
@@ -72,16 +72,16 @@
   cacheSequence: number;
   evicted: number[];
   hitTokens: number;
-  askedTokens: number;
-  /** Told of every prompt work: context length and how much of it was cached. */
+  requestedTokens: number;
+  /** Called for every prefill, with the length of the context and of its cached part. */
   onPrefill: (affinityHash: number, cachedTokens: number, contextTokens: number) => void;
 }
 
-/** Prompt tokens computed in one iteration at most. */
+/** Maximum number of prompt tokens computed in one iteration. */
 const PREFILL_CHUNK_TOKENS = 512;
-/** Decay of the recent hit share with each new request. */
+/** Factor by which each new request decays the recent cache hits. */
 const HIT_DECAY = 0.9;
-/** Requests that may wait inside an engine, as a multiple of its slots. */
+/** Maximum number of requests that wait inside an engine, as a multiple of its slots. */
 const WAITING_FACTOR = 4;
 
 /** Returns an idle engine. */
@@ -103,12 +103,12 @@
     cacheSequence: 0,
     evicted: [],
     hitTokens: 0,
-    askedTokens: 0,
+    requestedTokens: 0,
     onPrefill: () => undefined,
   };
 }
 
-/** Takes a run, or refuses it before running. */
+/** Accepts a run, or refuses it before it starts. */
 export function submitRun(
   engine: EngineModel,
   run: EngineRun,
@@ -162,11 +162,11 @@
   live.cachedTokens = Math.min(cached, live.run.promptTokens);
   live.prefillLeft = Math.max(1, context - cached);
   engine.hitTokens = engine.hitTokens * HIT_DECAY + cached;
-  engine.askedTokens = engine.askedTokens * HIT_DECAY + context;
+  engine.requestedTokens = engine.requestedTokens * HIT_DECAY + context;
   engine.onPrefill(affinityHash, cached, context);
   engine.running.push(live);
   engine.runningTokens += context;
-  makeRoom(engine);
+  evictToFit(engine);
 }
 
 function dropCached(engine: EngineModel, affinityHash: number): void {
@@ -174,8 +174,8 @@
   engine.cache.delete(affinityHash);
 }
 
-/** Evicts idle prefixes, then puts the youngest patient run back to wait. */
-function makeRoom(engine: EngineModel): void {
+/** Evicts idle prefixes, then requeues the latest patient runs, until the KV cache suffices. */
+function evictToFit(engine: EngineModel): void {
   const { kvCapacityTokens } = engine.options;
   for (const affinityHash of engine.cache.keys()) {
     if (engine.runningTokens + engine.cacheTokens <= kvCapacityTokens) return;
@@ -202,59 +202,59 @@
   return interTokenMs * (1 + crowding * use) + prefillTokens / prefillTokensPerMs;
 }
 
-/** Works until `nowMs`; returns what it said, in order. */
-export function advanceEngine(engine: EngineModel, nowMs: number): EngineSaying[] {
-  const sayings: EngineSaying[] = [];
+/** Runs the iterations that are due by `nowMs`. Returns their output in order. */
+export function advanceEngine(engine: EngineModel, nowMs: number): EngineOutput[] {
+  const outputs: EngineOutput[] = [];
   while (engine.nextAtMs <= nowMs) {
     const atMs = engine.nextAtMs;
-    const prefilled = iterate(engine, sayings);
+    const prefilled = iterate(engine, outputs);
     const idle = engine.running.length === 0 && engine.waiting.length === 0;
     engine.nextAtMs = idle ? Number.POSITIVE_INFINITY : atMs + iterationMs(engine, prefilled);
   }
-  return sayings;
+  return outputs;
 }
 
-function iterate(engine: EngineModel, sayings: EngineSaying[]): number {
+function iterate(engine: EngineModel, outputs: EngineOutput[]): number {
   admitWaiting(engine);
   const prefilled = prefillChunk(engine);
   for (const live of [...engine.running]) {
-    if (live.prefillLeft === 0 && engine.running.includes(live)) generate(engine, live, sayings);
+    if (live.prefillLeft === 0 && engine.running.includes(live)) generate(engine, live, outputs);
   }
   return prefilled;
 }
 
-/** Computes up to one chunk of prompt tokens, urgent prompts first; small ones share a chunk. */
+/** Computes up to one chunk of prompt tokens, urgent prompts first. Short prompts share a chunk. */
 function prefillChunk(engine: EngineModel): number {
-  let left = PREFILL_CHUNK_TOKENS;
+  let remaining = PREFILL_CHUNK_TOKENS;
   for (const urgent of [true, false]) {
     for (const live of engine.running) {
-      if (left === 0) return PREFILL_CHUNK_TOKENS;
+      if (remaining === 0) return PREFILL_CHUNK_TOKENS;
       if (live.run.urgent !== urgent || live.prefillLeft === 0) continue;
-      const tokens = Math.min(left, live.prefillLeft);
+      const tokens = Math.min(remaining, live.prefillLeft);
       live.prefillLeft -= tokens;
-      left -= tokens;
+      remaining -= tokens;
     }
   }
-  return PREFILL_CHUNK_TOKENS - left;
+  return PREFILL_CHUNK_TOKENS - remaining;
 }
 
-function generate(engine: EngineModel, live: LiveRun, sayings: EngineSaying[]): void {
+function generate(engine: EngineModel, live: LiveRun, outputs: EngineOutput[]): void {
   const { run } = live;
   if (live.offset < run.totalTokens) {
     live.offset += 1;
     engine.runningTokens += 1;
-    makeRoom(engine);
+    evictToFit(engine);
   }
   const done = live.offset >= run.totalTokens;
   const pending = live.offset - live.sentOffset;
   const isFirst = live.sentOffset === run.resumeOffset;
   if (pending > 0 && (done || isFirst || pending >= engine.options.tokensPerEvent)) {
-    sayings.push(tokensSaying(live));
+    outputs.push(tokensOutput(live));
   }
-  if (done) finish(engine, live, sayings);
+  if (done) finish(engine, live, outputs);
 }
 
-function tokensSaying(live: LiveRun): EngineSaying {
+function tokensOutput(live: LiveRun): EngineOutput {
   const { run, sentOffset, offset } = live;
   const tokens: string[] = [];
   for (let at = sentOffset; at < offset; at += 1) tokens.push(answerToken(run.answerKey, at));
@@ -262,12 +262,12 @@
   return { kind: 'tokens', attemptId: run.attemptId, offset: sentOffset, tokens };
 }
 
-function finish(engine: EngineModel, live: LiveRun, sayings: EngineSaying[]): void {
+function finish(engine: EngineModel, live: LiveRun, outputs: EngineOutput[]): void {
   const { run, cachedTokens } = live;
   removeRunning(engine, live);
   putCached(engine, run.affinityHash, contextOf(live));
   const { attemptId, totalTokens } = run;
-  sayings.push({ kind: 'ended', attemptId, totalTokens, cachedTokens });
+  outputs.push({ kind: 'ended', attemptId, totalTokens, cachedTokens });
 }
 
 /** Puts an idle prefix into the cache. */
@@ -275,10 +275,13 @@
   dropCached(engine, affinityHash);
   engine.cache.set(affinityHash, tokens);
   engine.cacheTokens += tokens;
-  makeRoom(engine);
+  evictToFit(engine);
 }
 
-/** Stops a run; its context stays as an idle prefix. Returns the context length, or undefined. */
+/**
+ * Stops a run and keeps its context as an idle prefix, unless its prompt is incomplete. Returns
+ * undefined if the run was still waiting or does not exist.
+ */
 export function stopRun(
   engine: EngineModel,
   attemptId: string,
@@ -296,7 +299,7 @@
   return { offset: live.offset, contextTokens };
 }
 
-/** What the engine reports of itself. */
+/** Returns the engine's report of its load and state. */
 export function reportOf(engine: EngineModel): EngineReport {
   const { kvCapacityTokens } = engine.options;
   return {
@@ -308,11 +311,11 @@
     role: engine.role,
     leaving: engine.leaving,
     kvUsedShare: Math.min(1, (engine.runningTokens + engine.cacheTokens) / kvCapacityTokens),
-    kvHitShare: engine.askedTokens === 0 ? 1 : engine.hitTokens / engine.askedTokens,
+    kvHitShare: engine.requestedTokens === 0 ? 1 : engine.hitTokens / engine.requestedTokens,
   };
 }
 
-/** Takes the evictions since the last call, under the next sequence number. */
+/** Returns the evictions since the last call, under the next sequence number, and clears them. */
 export function takeCacheEvent(
   engine: EngineModel,
 ): { sequence: number; evicted: number[] } | undefined {
--- a/packages/reedlug-standins/src/models/tableModel.ts
+++ b/packages/reedlug-standins/src/models/tableModel.ts
@@ -1,14 +1,14 @@
 /** In-memory transactional table: conditional writes, reads and ordered scans. */
 import type { TableAnswer, TableOp, TableRow } from 'reedlug-coordination';
 
-/** The table's rows. */
+/** State of a table. */
 export interface TableModel {
   rows: Map<string, TableRow>;
-  /** Keys in order; rebuilt when a key was added. */
+  /** Sorted keys, which are rebuilt after a key was added. */
   sortedKeys: string[];
   sortedIsStale: boolean;
   operations: number;
-  /** Version of the next write, from one counter for all rows; undefined where each row counts its own writes. */
+  /** Returns the version of the next write of any row; undefined if each row counts its own. */
   nextVersion: (() => number) | undefined;
 }
 
@@ -17,14 +17,14 @@
   return { rows: new Map(), sortedKeys: [], sortedIsStale: false, operations: 0, nextVersion };
 }
 
-/** Carries out an operation. */
+/** Applies an operation to a table. */
 export function applyTableOp(table: TableModel, op: TableOp): TableAnswer {
   table.operations += 1;
   switch (op.kind) {
     case 'transact':
       return transact(table, op);
     case 'read':
-      return { kind: 'done', rows: present(table, op.keys) };
+      return { kind: 'done', rows: existingRows(table, op.keys) };
     case 'scan':
       return { kind: 'done', rows: scan(table, op) };
   }
@@ -35,7 +35,7 @@
     (write) => (table.rows.get(write.key)?.version ?? 0) !== write.expectVersion,
   );
   if (conflicts.length > 0) {
-    const rows = present(
+    const rows = existingRows(
       table,
       conflicts.map((write) => write.key),
     );
@@ -49,14 +49,14 @@
   }
   return {
     kind: 'done',
-    rows: present(
+    rows: existingRows(
       table,
       op.writes.map((write) => write.key),
     ),
   };
 }
 
-function present(table: TableModel, keys: readonly string[]): TableRow[] {
+function existingRows(table: TableModel, keys: readonly string[]): TableRow[] {
   return keys.flatMap((key) => {
     const row = table.rows.get(key);
     return row === undefined ? [] : [row];
