--- a/packages/reedlug/src/bench/benchWorker.ts
+++ b/packages/reedlug/src/bench/benchWorker.ts
@@ -52,7 +52,7 @@
     peerSecret: 'bench-secret-of-one-box',
     peerTls: undefined,
     logger: () => undefined,
-    cuts: { platform: () => false, zone: () => false },
+    partitions: { platform: () => false, zone: () => false },
     onEvent: undefined,
     onStopped: (error) => {
       if (error !== undefined) throw error;
--- a/packages/reedlug/src/commands/entry.ts
+++ b/packages/reedlug/src/commands/entry.ts
@@ -44,7 +44,7 @@
       peerSecret: await readPeerSecret(settings),
       peerTls: await readPeerTls(settings),
       logger,
-      cuts: { platform: () => false, zone: () => false },
+      partitions: { platform: () => false, zone: () => false },
       onEvent: trace === undefined ? undefined : onEvent,
       onStarted: (head) => void trace?.write(`${JSON.stringify(head)}\n`),
       onStopped: stopped.resolve,
--- a/packages/reedlug/src/daemon/answerStore.ts
+++ b/packages/reedlug/src/daemon/answerStore.ts
@@ -5,53 +5,53 @@
 /** Answers by attempt and by request. */
 export interface AnswerStore {
   /** Keeps the answer of an attempt until its request ends. */
-  putAttempt: (attemptId: string, answer: ServiceAnswer) => void;
-  takeAttempt: (attemptId: string) => ServiceAnswer | undefined;
+  setAttemptAnswer: (attemptId: string, answer: ServiceAnswer) => void;
+  takeAttemptAnswer: (attemptId: string) => ServiceAnswer | undefined;
   /** Keeps the answer of a request for followers; the oldest goes when there are too many. */
-  keep: (requestId: string, answer: ServiceAnswer) => void;
-  kept: (requestId: string) => ServiceAnswer | undefined;
-  forget: (requestId: string) => void;
+  setRequestAnswer: (requestId: string, answer: ServiceAnswer) => void;
+  getRequestAnswer: (requestId: string) => ServiceAnswer | undefined;
+  removeRequestAnswer: (requestId: string) => void;
 }
 
-const KEPT_BYTES_LIMIT = 16 * 1024 * 1024;
+const MAX_STORED_BYTES = 16 * 1024 * 1024;
 
 /** Returns an empty store. */
 export function createAnswerStore(): AnswerStore {
   const byAttempt = new Map<string, ServiceAnswer>();
   const byRequest = new Map<string, ServiceAnswer>();
-  let keptBytes = 0;
+  let storedBytes = 0;
   const forget = (requestId: string): void => {
-    keptBytes -= byRequest.get(requestId)?.body.length ?? 0;
+    storedBytes -= byRequest.get(requestId)?.body.length ?? 0;
     byRequest.delete(requestId);
   };
   return {
-    putAttempt: (attemptId, answer) => void byAttempt.set(attemptId, answer),
-    takeAttempt(attemptId) {
+    setAttemptAnswer: (attemptId, answer) => void byAttempt.set(attemptId, answer),
+    takeAttemptAnswer(attemptId) {
       const answer = byAttempt.get(attemptId);
       byAttempt.delete(attemptId);
       return answer;
     },
-    keep(requestId, answer) {
+    setRequestAnswer(requestId, answer) {
       byRequest.set(requestId, answer);
-      keptBytes += answer.body.length;
+      storedBytes += answer.body.length;
       for (const oldest of byRequest.keys()) {
-        if (keptBytes <= KEPT_BYTES_LIMIT) break;
+        if (storedBytes <= MAX_STORED_BYTES) break;
         forget(oldest);
       }
     },
-    kept: (requestId) => byRequest.get(requestId),
-    forget,
+    getRequestAnswer: (requestId) => byRequest.get(requestId),
+    removeRequestAnswer: forget,
   };
 }
 
 /** An answer in the form of the peer link. */
-export function relayAnswer(answer: ServiceAnswer): RelayedAnswer {
+export function encodeAnswer(answer: ServiceAnswer): RelayedAnswer {
   const contentType = answer.headers['content-type'] ?? 'application/octet-stream';
   return { contentType, latin1: answer.body.toString('latin1') };
 }
 
 /** An answer that came over the peer link. */
-export function receiveAnswer(answer: RelayedAnswer, status: number): ServiceAnswer {
+export function decodeAnswer(answer: RelayedAnswer, status: number): ServiceAnswer {
   const headers = { 'content-type': answer.contentType };
   return { status, headers, body: Buffer.from(answer.latin1, 'latin1') };
 }
--- a/packages/reedlug/src/daemon/callerEffects.ts
+++ b/packages/reedlug/src/daemon/callerEffects.ts
@@ -2,21 +2,21 @@
 import type { Effect } from 'reedlug-decisions';
 import type { ServiceAnswer } from '../backends/serviceClient.js';
 import { Measure } from '../observe/histograms.js';
-import { receiveAnswer } from './answerStore.js';
+import { decodeAnswer } from './answerStore.js';
 import type { FinishEffect } from './exchange.js';
 import type { Runtime } from './runtime.js';
 
 /** Hands tokens to the caller's connection, if it is here. */
-export function deliver(
+export function deliverTokens(
   runtime: Runtime,
   effect: Extract<Effect, { type: 'deliverTokens' }>,
 ): void {
   const { requestId, offset, tokens } = effect;
-  noteBetweenTokens(runtime, requestId, tokens.length);
+  recordTokenInterval(runtime, requestId, tokens.length);
   runtime.exchanges.get(requestId)?.onTokens(offset, tokens);
 }
 
-function noteBetweenTokens(runtime: Runtime, requestId: string, count: number): void {
+function recordTokenInterval(runtime: Runtime, requestId: string, count: number): void {
   const nowMs = performance.now();
   const lastMs = runtime.lastTokenAtMs.get(requestId);
   runtime.lastTokenAtMs.set(requestId, nowMs);
@@ -28,13 +28,13 @@
 }
 
 /** Ends a request towards its caller. */
-export function finish(runtime: Runtime, effect: FinishEffect): void {
+export function finishRequest(runtime: Runtime, effect: FinishEffect): void {
   const { requestId } = effect;
-  const answer = answerFor(runtime, effect);
-  noteFinish(runtime, effect);
+  const answer = serviceAnswerFor(runtime, effect);
+  recordFinish(runtime, effect);
   runtime.lastTokenAtMs.delete(requestId);
   if (answer !== undefined && runtime.state.requests.get(requestId)?.claimHeld === true) {
-    runtime.answers.keep(requestId, answer);
+    runtime.answers.setRequestAnswer(requestId, answer);
   }
   runtime.payloads.delete(requestId);
   const exchange = runtime.exchanges.get(requestId);
@@ -43,14 +43,15 @@
 }
 
 /** The answer of a plain service: of the winning attempt, relayed by a peer, or kept here. */
-function answerFor(runtime: Runtime, effect: FinishEffect): ServiceAnswer | undefined {
-  if (effect.attemptId !== undefined) return runtime.answers.takeAttempt(effect.attemptId);
-  if (effect.answer !== undefined) return receiveAnswer(effect.answer, effect.status ?? 200);
-  if (effect.sourceRequestId !== undefined) return runtime.answers.kept(effect.sourceRequestId);
+function serviceAnswerFor(runtime: Runtime, effect: FinishEffect): ServiceAnswer | undefined {
+  if (effect.attemptId !== undefined) return runtime.answers.takeAttemptAnswer(effect.attemptId);
+  if (effect.answer !== undefined) return decodeAnswer(effect.answer, effect.status ?? 200);
+  if (effect.sourceRequestId !== undefined)
+    return runtime.answers.getRequestAnswer(effect.sourceRequestId);
   return undefined;
 }
 
-function noteFinish(runtime: Runtime, effect: FinishEffect): void {
+function recordFinish(runtime: Runtime, effect: FinishEffect): void {
   const spec = runtime.state.requests.get(effect.requestId)?.spec;
   if (spec === undefined) {
     runtime.metrics.count('refused', { reason: effect.reason });
--- a/packages/reedlug/src/daemon/effects.ts
+++ b/packages/reedlug/src/daemon/effects.ts
@@ -14,13 +14,13 @@
   sendOrder,
 } from '../backends/engineClient.js';
 import { callService, probeService } from '../backends/serviceClient.js';
-import { relayAnswer } from './answerStore.js';
-import { deliver, finish } from './callerEffects.js';
+import { encodeAnswer } from './answerStore.js';
+import { deliverTokens, finishRequest } from './callerEffects.js';
 import { encodePayload, type Payload } from './exchange.js';
 import type { Runtime } from './runtime.js';
 
 /** Carries out one effect. */
-export function carryOut(runtime: Runtime, effect: Effect): void {
+export function runEffect(runtime: Runtime, effect: Effect): void {
   switch (effect.type) {
     case 'sendAttempt':
       return sendAttempt(runtime, effect);
@@ -31,11 +31,11 @@
         exportKv(runtime.pools, spec, effect.attemptId, runtime.emit),
       );
     case 'moveCache':
-      return moveOne(runtime, effect);
+      return startCacheMove(runtime, effect);
     case 'deliverTokens':
-      return deliver(runtime, effect);
+      return deliverTokens(runtime, effect);
     case 'finishRequest':
-      return finish(runtime, effect);
+      return finishRequest(runtime, effect);
     case 'requestTable':
       void runtime.platform
         .table(effect.op)
@@ -45,24 +45,24 @@
       void runtime.platform.writeSnapshot(effect.snapshot);
       return undefined;
     case 'sendPeer':
-      runtime.peerLink?.send(effect.boxId, withDaemonParts(runtime, effect.message));
+      runtime.peerLink?.send(effect.boxId, attachDaemonData(runtime, effect.message));
       return undefined;
     case 'probeServer':
-      return probe(runtime, effect.serverId);
+      return probeServer(runtime, effect.serverId);
     case 'sendOrder':
-      return order(runtime, effect);
+      return sendEngineOrder(runtime, effect);
     case 'askCloud':
       void runtime.platform
         .cloud(effect.ask)
         .then((answer) => runtime.emit({ type: 'cloudAnswered', askId: effect.askId, answer }));
       return undefined;
     case 'answerOperator':
-      runtime.operatorWaits.get(effect.askId)?.(effect.answer);
-      runtime.operatorWaits.delete(effect.askId);
+      runtime.pendingOperatorRequests.get(effect.askId)?.(effect.answer);
+      runtime.pendingOperatorRequests.delete(effect.askId);
       return undefined;
     case 'forgetRequest':
       runtime.payloads.delete(effect.requestId);
-      runtime.answers.forget(effect.requestId);
+      runtime.answers.removeRequestAnswer(effect.requestId);
       return undefined;
     case 'stopped':
       runtime.options.onStopped(undefined);
@@ -80,8 +80,8 @@
   if (spec !== undefined) void run(spec);
 }
 
-function isCut(runtime: Runtime, spec: Spec): boolean {
-  return runtime.options.cuts.zone(spec.zone);
+function isPartitioned(runtime: Runtime, spec: Spec): boolean {
+  return runtime.options.partitions.zone(spec.zone);
 }
 
 function sendAttempt(runtime: Runtime, effect: Extract<Effect, { type: 'sendAttempt' }>): void {
@@ -93,19 +93,19 @@
     runtime.emit({ type: 'attemptLost', attemptId, reached: false });
     return;
   }
-  if (isCut(runtime, spec)) {
+  if (isPartitioned(runtime, spec)) {
     runtime.emit({ type: 'attemptRefused', attemptId, reason: 'notConnected' });
     return;
   }
   switch (payload.kind) {
     case 'prompt':
-      return openStream(runtime, effect, spec, record, payload.prompt);
+      return startEngineStream(runtime, effect, spec, record, payload.prompt);
     case 'call':
-      return openCall(runtime, effect, spec, payload);
+      return startServiceCall(runtime, effect, spec, payload);
   }
 }
 
-function openStream(
+function startEngineStream(
   runtime: Runtime,
   effect: Extract<Effect, { type: 'sendAttempt' }>,
   spec: Spec,
@@ -143,7 +143,7 @@
   return runtime.state.servers.get(serverId)?.spec.address;
 }
 
-function openCall(
+function startServiceCall(
   runtime: Runtime,
   effect: Extract<Effect, { type: 'sendAttempt' }>,
   spec: Spec,
@@ -159,7 +159,7 @@
     call,
     timeoutMs,
     signal: controller.signal,
-    onAnswer: (answer) => runtime.answers.putAttempt(attemptId, answer),
+    onAnswer: (answer) => runtime.answers.setAttemptAnswer(attemptId, answer),
     emit: (event) => {
       if (!runtime.calls.delete(attemptId)) return;
       runtime.emit(event);
@@ -176,7 +176,7 @@
   call?.abort();
 }
 
-function moveOne(runtime: Runtime, effect: Extract<Effect, { type: 'moveCache' }>): void {
+function startCacheMove(runtime: Runtime, effect: Extract<Effect, { type: 'moveCache' }>): void {
   const source = runtime.state.servers.get(effect.serverId)?.spec;
   const target = runtime.state.servers.get(effect.targetServerId)?.spec;
   if (source === undefined || target === undefined) return;
@@ -185,23 +185,23 @@
 }
 
 /** Puts in what only the daemon holds: payloads of handed requests, answers of services. */
-function withDaemonParts(runtime: Runtime, message: PeerMessage): PeerMessage {
+function attachDaemonData(runtime: Runtime, message: PeerMessage): PeerMessage {
   if (message.kind === 'handover') {
     const payload = runtime.payloads.get(message.spec.requestId);
     return payload === undefined ? message : { ...message, payload: encodePayload(payload) };
   }
   if (message.kind === 'sight') {
-    const answer = runtime.answers.kept(message.sight.requestId);
+    const answer = runtime.answers.getRequestAnswer(message.sight.requestId);
     if (answer === undefined) return message;
-    return { ...message, sight: { ...message.sight, answer: relayAnswer(answer) } };
+    return { ...message, sight: { ...message.sight, answer: encodeAnswer(answer) } };
   }
   return message;
 }
 
-function probe(runtime: Runtime, serverId: string): void {
+function probeServer(runtime: Runtime, serverId: string): void {
   const spec = runtime.state.servers.get(serverId)?.spec;
   if (spec === undefined) return;
-  if (isCut(runtime, spec)) {
+  if (isPartitioned(runtime, spec)) {
     runtime.emit({ type: 'serverReported', serverId, report: undefined });
     return;
   }
@@ -209,7 +209,7 @@
   else void probeService(runtime.pools, spec, runtime.emit);
 }
 
-function order(runtime: Runtime, effect: Extract<Effect, { type: 'sendOrder' }>): void {
+function sendEngineOrder(runtime: Runtime, effect: Extract<Effect, { type: 'sendOrder' }>): void {
   const { orderId, wanted, fence, validForMs } = effect;
   withServer(runtime, effect.serverId, async (spec) => {
     const answer = await sendOrder(runtime.pools, spec, {
--- a/packages/reedlug/src/daemon/entryDaemon.ts
+++ b/packages/reedlug/src/daemon/entryDaemon.ts
@@ -26,11 +26,11 @@
 import { toDecisionSettings } from '../settings/decisionSettings.js';
 import type { Settings } from '../settings/settingsTypes.js';
 import { createAnswerStore } from './answerStore.js';
-import { carryOut } from './effects.js';
+import { runEffect } from './effects.js';
 import { decodePayload, type Exchange, type Payload } from './exchange.js';
 import type { EntryDaemonOptions, Runtime } from './runtime.js';
 
-export type { CutSwitches, EntryDaemonOptions } from './runtime.js';
+export type { PartitionSwitches as CutSwitches, EntryDaemonOptions } from './runtime.js';
 
 /** Time between two ticks, in ms. */
 const TICK_MS = 20;
@@ -41,9 +41,9 @@
   histograms: Histograms;
   settings: Settings;
   /** Gives a caller's request to the decisions. */
-  begin: (spec: RequestSpec, payload: Payload, exchange: Exchange) => void;
+  submitRequest: (spec: RequestSpec, payload: Payload, exchange: Exchange) => void;
   /** Follows a request from an offset. */
-  follow: (
+  followRequest: (
     params: { followId: string; requestId: string; workspaceId: string; fromOffset: number },
     exchange: Exchange,
   ) => void;
@@ -65,28 +65,28 @@
   const state = createBoxState({ settings: decisionSettings, seed, nowMs: startedAtMs });
   options.onStarted?.({ kind: 'head', seed, startedAtMs, settings: decisionSettings });
   const memory = createInvariantMemory();
-  const waiting: BoxEvent[] = [];
-  let draining = false;
-  let dead = false;
-  let rejected = 0;
+  const eventQueue: BoxEvent[] = [];
+  let isDispatching = false;
+  let isStopped = false;
+  let rejectedPeerCount = 0;
 
   const emit = (body: EventBody): void => {
-    if (dead) return;
-    waiting.push({ ...body, nowMs: performance.now() });
-    if (draining) return;
-    draining = true;
-    for (let event = waiting.shift(); event !== undefined; event = waiting.shift()) {
+    if (isStopped) return;
+    eventQueue.push({ ...body, nowMs: performance.now() });
+    if (isDispatching) return;
+    isDispatching = true;
+    for (let event = eventQueue.shift(); event !== undefined; event = eventQueue.shift()) {
       options.onEvent?.(event);
-      for (const effect of reduceChecked(memory, state, event)) carryOut(runtime, effect);
+      for (const effect of reduceChecked(memory, state, event)) runEffect(runtime, effect);
     }
-    draining = false;
+    isDispatching = false;
   };
   const guardedEmit = (body: EventBody): void => {
     try {
       emit(body);
     } catch (error) {
       if (!(error instanceof BrokenInvariantError)) throw error;
-      dead = true;
+      isStopped = true;
       logger('invariantBroken', { message: error.message, eventType: error.eventType });
       options.onStopped(error);
     }
@@ -96,20 +96,20 @@
     state,
     emit: guardedEmit,
     pools: createServerPools(),
-    platform: createPlatformClients(settings.platform, options.cuts.platform),
+    platform: createPlatformClients(settings.platform, options.partitions.platform),
     peerLink: undefined,
     exchanges: new Map(),
     payloads: new Map(),
     streams: new Map(),
     calls: new Map(),
     answers: createAnswerStore(),
-    operatorWaits: new Map(),
+    pendingOperatorRequests: new Map(),
     histograms: createHistograms(),
     metrics: createMetrics(settings.metrics, (message) => logger('metricsFailed', { message })),
     lastTokenAtMs: new Map(),
   };
   runtime.peerLink = await openPeerLink(runtime, (reason) => {
-    rejected += 1;
+    rejectedPeerCount += 1;
     logger('peerRejected', { reason });
   });
   const timers = startTimers(runtime);
@@ -118,12 +118,12 @@
     state,
     histograms: runtime.histograms,
     settings,
-    begin(spec, payload, exchange) {
+    submitRequest(spec, payload, exchange) {
       runtime.exchanges.set(spec.requestId, exchange);
       runtime.payloads.set(spec.requestId, payload);
       guardedEmit({ type: 'requestArrived', spec });
     },
-    follow(params, exchange) {
+    followRequest(params, exchange) {
       runtime.exchanges.set(params.followId, exchange);
       guardedEmit({ type: 'followAsked', ...params });
     },
@@ -133,15 +133,15 @@
     },
     ask: (ask) =>
       new Promise((resolve) => {
-        const askId = `ask-${box.id}-${runtime.operatorWaits.size}-${performance.now()}`;
-        runtime.operatorWaits.set(askId, resolve);
+        const askId = `ask-${box.id}-${runtime.pendingOperatorRequests.size}-${performance.now()}`;
+        runtime.pendingOperatorRequests.set(askId, resolve);
         guardedEmit({ type: 'operatorAsked', askId, ask, epochMs: Date.now() });
       }),
     emit: guardedEmit,
-    ready: () => !dead && isReady(state),
-    rejectedPeers: () => rejected,
+    ready: () => !isStopped && isReady(state),
+    rejectedPeers: () => rejectedPeerCount,
     kill: async () => {
-      dead = true;
+      isStopped = true;
       for (const timer of timers) clearInterval(timer);
       for (const stream of runtime.streams.values()) stream.abort();
       for (const call of runtime.calls.values()) call.abort();
@@ -153,8 +153,8 @@
 }
 
 function openPeerLink(runtime: Runtime, onRejected: (reason: string) => void): Promise<PeerLink> {
-  const { settings, box, peerSecret, peerTls, cuts } = runtime.options;
-  const zoneOf = new Map(settings.boxes.map(({ id, zone }) => [id, zone]));
+  const { settings, box, peerSecret, peerTls, partitions: cuts } = runtime.options;
+  const zoneByBoxId = new Map(settings.boxes.map(({ id, zone }) => [id, zone]));
   return startPeerLink({
     boxId: box.id,
     listen: box.peers,
@@ -163,14 +163,14 @@
       .map(({ id, peers }) => ({ id, address: peers })),
     secret: peerSecret,
     tls: peerTls,
-    onMessage: (from, message) => takePeerMessage(runtime, from, message),
+    onMessage: (from, message) => receivePeerMessage(runtime, from, message),
     onRejected,
-    isCut: (boxId) => cuts.zone(zoneOf.get(boxId) ?? ''),
+    isCut: (boxId) => cuts.zone(zoneByBoxId.get(boxId) ?? ''),
   });
 }
 
 /** Takes out what belongs to the daemon before the decisions see a message. */
-function takePeerMessage(runtime: Runtime, from: string, message: PeerMessage): void {
+function receivePeerMessage(runtime: Runtime, from: string, message: PeerMessage): void {
   if (message.kind === 'handover' && message.payload !== undefined) {
     const payload = decodePayload(message.payload);
     if (payload === undefined) return;
@@ -184,9 +184,9 @@
 function startTimers(runtime: Runtime): NodeJS.Timeout[] {
   const { platform } = runtime.options.settings;
   let noticeSequence = 0;
-  const tick = setInterval(() => runtime.emit({ type: 'tick', epochMs: Date.now() }), TICK_MS);
-  const list = setInterval(() => void readBoxList(runtime), platform.boxListEveryMs);
-  const notices = setInterval(() => {
+  const tickTimer = setInterval(() => runtime.emit({ type: 'tick', epochMs: Date.now() }), TICK_MS);
+  const boxListTimer = setInterval(() => void readBoxList(runtime), platform.boxListEveryMs);
+  const noticesTimer = setInterval(() => {
     void readNotices(runtime, noticeSequence).then((last) => {
       noticeSequence = Math.max(noticeSequence, last);
     });
@@ -194,7 +194,7 @@
   void runtime.platform
     .readSnapshot()
     .then((snapshot) => runtime.emit({ type: 'snapshotRead', snapshot }));
-  return [tick, list, notices];
+  return [tickTimer, boxListTimer, noticesTimer];
 }
 
 async function readBoxList(runtime: Runtime): Promise<void> {
@@ -202,14 +202,14 @@
   if (entries !== undefined) runtime.emit({ type: 'boxListRead', entries });
 }
 
-async function readNotices(runtime: Runtime, after: number): Promise<number> {
-  let last = after;
-  for (const notice of await runtime.platform.notices(after)) {
-    last = Math.max(last, notice.sequence);
+async function readNotices(runtime: Runtime, afterSequence: number): Promise<number> {
+  let lastSequence = afterSequence;
+  for (const notice of await runtime.platform.notices(afterSequence)) {
+    lastSequence = Math.max(lastSequence, notice.sequence);
     const leavesAtMs = performance.now() + notice.leavesInMs;
     const { boxId, incarnation } = notice;
     if (boxId === runtime.options.box.id) runtime.emit({ type: 'boxReclaimNoticed', leavesAtMs });
     else runtime.emit({ type: 'reclaimNoticed', serverId: boxId, incarnation, leavesAtMs });
   }
-  return last;
+  return lastSequence;
 }
--- a/packages/reedlug/src/daemon/runtime.ts
+++ b/packages/reedlug/src/daemon/runtime.ts
@@ -18,7 +18,7 @@
 import type { Exchange, Payload } from './exchange.js';
 
 /** Switches for tests of cuts; all closed in production. */
-export interface CutSwitches {
+export interface PartitionSwitches {
   /** Nothing passes between this box and the platform. */
   platform: () => boolean;
   /** Nothing passes between this box and a zone. */
@@ -33,7 +33,7 @@
   peerSecret: string;
   peerTls: PeerTls | undefined;
   logger: Logger;
-  cuts: CutSwitches;
+  partitions: PartitionSwitches;
   /** Takes each event, for a trace. */
   onEvent: ((event: BoxEvent) => void) | undefined;
   /** Takes what the state was made from, for the head of a trace. */
@@ -60,7 +60,7 @@
   streams: Map<string, EngineStream>;
   calls: Map<string, AbortController>;
   answers: AnswerStore;
-  operatorWaits: Map<string, (answer: OperatorAnswer) => void>;
+  pendingOperatorRequests: Map<string, (answer: OperatorAnswer) => void>;
   histograms: Histograms;
   metrics: Metrics;
   lastTokenAtMs: Map<string, number>;
--- a/packages/reedlug/src/dev/devCluster.ts
+++ b/packages/reedlug/src/dev/devCluster.ts
@@ -130,7 +130,7 @@
     peerSecret: settings.peerSecret ?? '',
     peerTls: undefined,
     logger: boxLogger,
-    cuts: {
+    partitions: {
       platform: () => cluster.cutFromPlatform.has(box.zone),
       zone: (zone) => cluster.cutZones.has(`${box.zone}|${zone}`),
     },
--- a/packages/reedlug/src/http/modelRoutes.ts
+++ b/packages/reedlug/src/http/modelRoutes.ts
@@ -131,5 +131,5 @@
   response.on('close', () => {
     if (!response.writableEnded) context.daemon.callerGone(requestId);
   });
-  context.daemon.begin(spec, { kind: 'prompt', prompt: request.prompt }, exchange);
+  context.daemon.submitRequest(spec, { kind: 'prompt', prompt: request.prompt }, exchange);
 }
--- a/packages/reedlug/src/http/requestRoutes.ts
+++ b/packages/reedlug/src/http/requestRoutes.ts
@@ -81,7 +81,7 @@
     if (tokensSeen > 0) tell(200, { requestId, state: 'running', tokens: tokensSeen });
     else tell(404, notKnown(requestId));
   }, ASK_PEERS_MS);
-  context.daemon.follow({ followId, requestId, workspaceId, fromOffset: 0 }, exchange);
+  context.daemon.followRequest({ followId, requestId, workspaceId, fromOffset: 0 }, exchange);
 }
 
 function notKnown(requestId: string): unknown {
@@ -117,5 +117,5 @@
     if (!response.writableEnded) context.daemon.callerGone(followId);
   });
   const fromOffset = Number(last);
-  context.daemon.follow({ followId, requestId, workspaceId, fromOffset }, exchange);
+  context.daemon.followRequest({ followId, requestId, workspaceId, fromOffset }, exchange);
 }
--- a/packages/reedlug/src/http/serviceRoutes.ts
+++ b/packages/reedlug/src/http/serviceRoutes.ts
@@ -52,7 +52,7 @@
   response.on('close', () => {
     if (!response.writableEnded) context.daemon.callerGone(spec.requestId);
   });
-  context.daemon.begin(
+  context.daemon.submitRequest(
     spec,
     {
       kind: 'call',
