--- a/packages/reedlug/src/http/adminRoutes.ts
+++ b/packages/reedlug/src/http/adminRoutes.ts
@@ -10,12 +10,12 @@
 import { boxStatus } from './boxStatus.js';
 
 /** An operator's request with its JSON body. */
-interface OperatorRequest {
+interface AuthenticatedRequest {
   operatorId: string;
   body: unknown;
 }
 
-type OperatorHandler = (asked: OperatorRequest, params: { id: string }) => Promise<Answer>;
+type OperatorHandler = (request: AuthenticatedRequest, params: { id: string }) => Promise<Answer>;
 
 interface Answer {
   status: number;
@@ -30,7 +30,7 @@
       method,
       path,
       (request, response, params) =>
-        void serveOperator(context, request, response, { id: params['id'] ?? '' }, handler),
+        void handleOperatorRequest(context, request, response, { id: params['id'] ?? '' }, handler),
     );
   route('GET', '/admin/status', async () => ({ status: 200, value: boxStatus(daemon) }));
   route('GET', '/admin/histograms', async () => ({ status: 200, value: daemon.histograms.rows() }));
@@ -51,7 +51,7 @@
   });
 }
 
-async function serveOperator(
+async function handleOperatorRequest(
   context: RouteContext,
   request: IncomingMessage,
   response: ServerResponse,
@@ -87,7 +87,7 @@
   }
 }
 
-const ANSWER_STATUS: { [K in OperatorAnswer['kind']]: number } = {
+const STATUS_BY_ANSWER_KIND: { [K in OperatorAnswer['kind']]: number } = {
   planned: 200,
   invalid: 400,
   confirmed: 200,
@@ -98,5 +98,5 @@
 };
 
 function answerOf(answer: OperatorAnswer): Answer {
-  return { status: ANSWER_STATUS[answer.kind], value: answer };
+  return { status: STATUS_BY_ANSWER_KIND[answer.kind], value: answer };
 }
--- a/packages/reedlug/src/http/apiError.ts
+++ b/packages/reedlug/src/http/apiError.ts
@@ -30,7 +30,7 @@
   retryAfterMs: number | undefined;
 }
 
-const STATUS: { [K in ApiErrorType]: number } = {
+const STATUS_BY_ERROR_TYPE: { [K in ApiErrorType]: number } = {
   badRequest: 400,
   unauthorized: 401,
   notFound: 404,
@@ -49,21 +49,27 @@
 
 /** An error about a request that was never accepted. */
 export function refusedError(type: ApiErrorType, message: string, retryAfterMs?: number): ApiError {
-  return { status: STATUS[type], type, message, outcome: Outcome.notRun, retryAfterMs };
+  return {
+    status: STATUS_BY_ERROR_TYPE[type],
+    type,
+    message,
+    outcome: Outcome.notRun,
+    retryAfterMs,
+  };
 }
 
 /** The error for a request that did not complete. */
-export function errorOfFinish(finish: {
+export function errorFromFinish(finish: {
   outcome: Outcome;
   reason: Reason;
   retryAfterMs: number | undefined;
 }): ApiError {
   const { outcome, retryAfterMs } = finish;
-  const { type, message } = describe(finish.reason, outcome);
-  return { status: STATUS[type], type, message, outcome, retryAfterMs };
+  const { type, message } = describeReason(finish.reason, outcome);
+  return { status: STATUS_BY_ERROR_TYPE[type], type, message, outcome, retryAfterMs };
 }
 
-function describe(reason: Reason, outcome: Outcome): { type: ApiErrorType; message: string } {
+function describeReason(reason: Reason, outcome: Outcome): { type: ApiErrorType; message: string } {
   switch (reason) {
     case Reason.limited:
       return {
@@ -99,11 +105,11 @@
     case Reason.callerGone:
     case Reason.connectionLost:
     case Reason.answered:
-      return lost(outcome);
+      return describeLostAnswer(outcome);
   }
 }
 
-function lost(outcome: Outcome): { type: ApiErrorType; message: string } {
+function describeLostAnswer(outcome: Outcome): { type: ApiErrorType; message: string } {
   if (outcome === Outcome.unknown) {
     return {
       type: 'unknownOutcome',
--- a/packages/reedlug/src/http/callerServer.ts
+++ b/packages/reedlug/src/http/callerServer.ts
@@ -28,8 +28,8 @@
 }
 
 /** How often connections are checked for their time-outs, in ms. */
-const CHECK_CONNECTIONS_MS = 500;
-const HTTP_CLOSE = 'connection: close\r\ncontent-type: application/json\r\n';
+const CONNECTION_CHECK_INTERVAL_MS = 500;
+const CLOSING_JSON_HEADERS = 'connection: close\r\ncontent-type: application/json\r\n';
 
 function createRouter(onMissing: (request: IncomingMessage, response: ServerResponse) => void) {
   return findMyWay({ ignoreTrailingSlash: true, defaultRoute: onMissing, maxParamLength: 500 });
@@ -59,7 +59,7 @@
       maxHeaderSize: maxHeaderBytes,
       headersTimeout: headersTimeoutMs,
       requestTimeout: requestTimeoutMs,
-      connectionsCheckingInterval: CHECK_CONNECTIONS_MS,
+      connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS,
       keepAliveTimeout: 65_000,
     },
     (request, response) => router.lookup(request, response),
@@ -85,13 +85,13 @@
     socket.destroy();
     return;
   }
-  const refused = clientError(error.code);
+  const refused = errorFromParserCode(error.code);
   const body = errorBody(refused, undefined);
-  const head = `HTTP/1.1 ${refused.status} ${refused.type}\r\n${HTTP_CLOSE}`;
+  const head = `HTTP/1.1 ${refused.status} ${refused.type}\r\n${CLOSING_JSON_HEADERS}`;
   socket.end(`${head}content-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`);
 }
 
-function clientError(code: string | undefined): ApiError {
+function errorFromParserCode(code: string | undefined): ApiError {
   switch (code) {
     case 'HPE_HEADER_OVERFLOW':
       return refusedError('headersTooLarge', 'the headers are too large; send fewer');
--- a/packages/reedlug/src/http/exchanges.ts
+++ b/packages/reedlug/src/http/exchanges.ts
@@ -4,7 +4,7 @@
 import { Reason } from 'reedlug-decisions';
 import type { ServiceAnswer } from '../backends/serviceClient.js';
 import type { Exchange, FinishEffect } from '../daemon/exchange.js';
-import { errorBody, errorOfFinish, type ApiError } from './apiError.js';
+import { errorBody, errorFromFinish, type ApiError } from './apiError.js';
 import { ModelForm } from './modelRequest.js';
 import { HeaderName } from './requestHeaders.js';
 
@@ -67,7 +67,7 @@
     onTokens: (_offset, tokens) => void parts.push(...tokens),
     onFinish(finish) {
       if (finish.outcome !== Outcome.completed) {
-        sendError(response, errorOfFinish(finish), requestId);
+        sendError(response, errorFromFinish(finish), requestId);
         return;
       }
       const text = parts.join('');
@@ -96,8 +96,8 @@
   const { response, requestId, model, form, createdAtSeconds } = params;
   const object = form === ModelForm.chat ? 'chat.completion.chunk' : 'text_completion';
   const base = JSON.stringify({ id: requestId, object, created: createdAtSeconds, model });
-  const open = base.slice(0, -1);
-  const start = (): void => {
+  const chunkPrefix = base.slice(0, -1);
+  const writeHeadersOnce = (): void => {
     if (response.headersSent) return;
     response.writeHead(200, {
       'content-type': 'text/event-stream',
@@ -107,35 +107,38 @@
   };
   return {
     onTokens(offset, tokens) {
-      start();
+      writeHeadersOnce();
       const text = JSON.stringify(tokens.join(''));
-      const piece = form === ModelForm.chat ? `"delta":{"content":${text}}` : `"text":${text}`;
-      const choice = `{"index":0,${piece},"finish_reason":null}`;
-      response.write(`id: ${offset + tokens.length}\ndata: ${open},"choices":[${choice}]}\n\n`);
+      const contentField =
+        form === ModelForm.chat ? `"delta":{"content":${text}}` : `"text":${text}`;
+      const choice = `{"index":0,${contentField},"finish_reason":null}`;
+      response.write(
+        `id: ${offset + tokens.length}\ndata: ${chunkPrefix},"choices":[${choice}]}\n\n`,
+      );
     },
     onFinish(finish) {
       if (finish.outcome === Outcome.completed) {
-        start();
-        response.end(lastEvents(open, form, finish));
+        writeHeadersOnce();
+        response.end(finalEvents(chunkPrefix, form, finish));
         return;
       }
       if (!response.headersSent) {
-        sendError(response, errorOfFinish(finish), requestId);
+        sendError(response, errorFromFinish(finish), requestId);
         return;
       }
       // Without `[DONE]` the caller knows that the answer is not whole.
       const event = finish.reason === Reason.handedOver ? 'reconnect' : 'error';
-      response.end(`event: ${event}\ndata: ${errorBody(errorOfFinish(finish), requestId)}\n\n`);
+      response.end(`event: ${event}\ndata: ${errorBody(errorFromFinish(finish), requestId)}\n\n`);
     },
   };
 }
 
-function lastEvents(open: string, form: ModelForm, finish: FinishEffect): string {
-  const piece = form === ModelForm.chat ? '"delta":{}' : '"text":""';
-  const choice = `{"index":0,${piece},"finish_reason":"stop"}`;
+function finalEvents(chunkPrefix: string, form: ModelForm, finish: FinishEffect): string {
+  const emptyContentField = form === ModelForm.chat ? '"delta":{}' : '"text":""';
+  const choice = `{"index":0,${emptyContentField},"finish_reason":"stop"}`;
   const usage = JSON.stringify(usageOf(finish));
-  const last = `${open},"choices":[${choice}],"usage":${usage},"outcome":"${finish.outcome}"}`;
-  return `data: ${last}\n\ndata: [DONE]\n\n`;
+  const lastChunk = `${chunkPrefix},"choices":[${choice}],"usage":${usage},"outcome":"${finish.outcome}"}`;
+  return `data: ${lastChunk}\n\ndata: [DONE]\n\n`;
 }
 
 /** The answer of a plain service, carried through. */
@@ -144,7 +147,7 @@
     onTokens: () => undefined,
     onFinish(finish, answer) {
       if (finish.outcome !== Outcome.completed) {
-        sendError(response, errorOfFinish(finish), requestId);
+        sendError(response, errorFromFinish(finish), requestId);
         return;
       }
       sendServiceAnswer(response, requestId, finish, answer);
@@ -158,12 +161,17 @@
   finish: FinishEffect,
   answer: ServiceAnswer | undefined,
 ): void {
-  const own = { [HeaderName.requestId]: requestId, [HeaderName.outcome]: finish.outcome };
+  const ownHeaders = { [HeaderName.requestId]: requestId, [HeaderName.outcome]: finish.outcome };
   if (answer === undefined) {
     // The request ran and its answer is no longer held by any box.
-    sendJson(response, 200, { requestId, outcome: finish.outcome, status: finish.status }, own);
+    sendJson(
+      response,
+      200,
+      { requestId, outcome: finish.outcome, status: finish.status },
+      ownHeaders,
+    );
     return;
   }
-  response.writeHead(answer.status, { ...answer.headers, ...own });
+  response.writeHead(answer.status, { ...answer.headers, ...ownHeaders });
   response.end(answer.body);
 }
--- a/packages/reedlug/src/http/keys.ts
+++ b/packages/reedlug/src/http/keys.ts
@@ -13,24 +13,24 @@
 
 const BEARER = 'Bearer ';
 /** Keys whose hash is remembered, so that each request does not hash again. */
-const REMEMBERED_LIMIT = 1000;
+const MAX_CACHED_KEYS = 1000;
 
 /** Returns a key ring over hashed keys; `laterOwner` finds those that a plan has added since. */
 export function createKeyRing(
   owners: readonly { id: string; keySha256: string }[],
-  laterOwner: (keySha256: string) => string | undefined = () => undefined,
+  findAddedOwner: (keySha256: string) => string | undefined = () => undefined,
 ): KeyRing {
   const ownerByHash = new Map(owners.map(({ id, keySha256 }) => [keySha256, id]));
-  const remembered = new Map<string, string>();
+  const ownerByAuthorization = new Map<string, string>();
   return {
     ownerOf(authorization) {
       if (authorization === undefined || !authorization.startsWith(BEARER)) return undefined;
-      const known = remembered.get(authorization);
-      if (known !== undefined) return known;
+      const cachedOwner = ownerByAuthorization.get(authorization);
+      if (cachedOwner !== undefined) return cachedOwner;
       const hash = hashKey(authorization.slice(BEARER.length));
-      const owner = ownerByHash.get(hash) ?? laterOwner(hash);
-      if (owner !== undefined && remembered.size < REMEMBERED_LIMIT) {
-        remembered.set(authorization, owner);
+      const owner = ownerByHash.get(hash) ?? findAddedOwner(hash);
+      if (owner !== undefined && ownerByAuthorization.size < MAX_CACHED_KEYS) {
+        ownerByAuthorization.set(authorization, owner);
       }
       return owner;
     },
--- a/packages/reedlug/src/http/modelRoutes.ts
+++ b/packages/reedlug/src/http/modelRoutes.ts
@@ -27,11 +27,11 @@
   response: ServerResponse,
 ): void {
   if (workspaceOf(context, request, response) === undefined) return;
-  const data = modelsOf(context).map((id) => ({ id, object: 'model', owned_by: 'reedlug' }));
+  const data = servedModels(context).map((id) => ({ id, object: 'model', owned_by: 'reedlug' }));
   sendJson(response, 200, { object: 'list', data });
 }
 
-function modelsOf(context: RouteContext): string[] {
+function servedModels(context: RouteContext): string[] {
   const models = new Set<string>();
   for (const { spec } of context.daemon.state.servers.values()) {
     if (spec.kind === ServerKind.engine) models.add(spec.pool);
@@ -57,20 +57,20 @@
     refuseRequest(request, response, 'badRequest', faults.join('; '));
     return;
   }
-  const fault = requestFault(context, parsed.request);
+  const fault = findRequestFault(context, parsed.request);
   if (fault !== undefined) {
     refuseRequest(request, response, fault.type, fault.message);
     return;
   }
-  const spec = specOf(context, workspaceId, parsed.request, headers.headers, body);
-  begin(context, spec, parsed.request, response);
+  const spec = createRequestSpec(context, workspaceId, parsed.request, headers.headers, body);
+  submitModelRequest(context, spec, parsed.request, response);
 }
 
-function requestFault(
+function findRequestFault(
   context: RouteContext,
   request: ModelRequest,
 ): { type: 'notFound' | 'badRequest'; message: string } | undefined {
-  const models = modelsOf(context);
+  const models = servedModels(context);
   if (!models.includes(request.model)) {
     const message = `model ${request.model} is not served; served: ${models.join(', ')}`;
     return { type: 'notFound', message };
@@ -80,7 +80,7 @@
   return { type: 'badRequest', message: `max_tokens may be ${maxTokensLimit} at most` };
 }
 
-function specOf(
+function createRequestSpec(
   context: RouteContext,
   workspaceId: string,
   request: ModelRequest,
@@ -88,9 +88,9 @@
   body: Buffer,
 ): RequestSpec {
   const { callers, workspaces } = context.settings;
-  const ownClass = workspaces.find(({ id }) => id === workspaceId)?.requestClass;
-  const requestClass = headers.requestClass ?? ownClass ?? RequestClass.patient;
-  const defaultMs =
+  const workspaceClass = workspaces.find(({ id }) => id === workspaceId)?.requestClass;
+  const requestClass = headers.requestClass ?? workspaceClass ?? RequestClass.patient;
+  const defaultDeadlineMs =
     requestClass === RequestClass.urgent
       ? callers.urgentDeadlineDefaultMs
       : callers.deadlineDefaultMs;
@@ -106,14 +106,14 @@
     repeatable: headers.repeatable ?? true,
     idempotencyKey: headers.idempotencyKey,
     digest: hasKey ? hashKey(`${request.form} ${body.toString('latin1')}`) : '',
-    deadlineAtMs: performance.now() + (headers.deadlineMs ?? defaultMs),
+    deadlineAtMs: performance.now() + (headers.deadlineMs ?? defaultDeadlineMs),
     affinityHash: hashString(`${workspaceId}|${request.model}|${conversation}`),
     promptTokens: Math.ceil(request.prompt.length / CHARACTERS_PER_TOKEN),
     maxTokens: request.maxTokens ?? callers.maxTokensDefault,
   };
 }
 
-function begin(
+function submitModelRequest(
   context: RouteContext,
   spec: RequestSpec,
   request: ModelRequest,
--- a/packages/reedlug/src/http/requestHeaders.ts
+++ b/packages/reedlug/src/http/requestHeaders.ts
@@ -29,7 +29,7 @@
   lastEventId: 'last-event-id',
 } as const;
 
-const LONGEST_KEY = 255;
+const MAX_KEY_LENGTH = 255;
 
 /** Checks the headers. */
 export function parseRequestHeaders(
@@ -37,20 +37,24 @@
   deadlineLimitMs: number,
 ): RequestHeadersResult {
   const faults: string[] = [];
-  const deadlineMs = parseDeadline(text(headers, HeaderName.deadline), deadlineLimitMs, faults);
-  const requestClass = parseClass(text(headers, HeaderName.requestClass), faults);
-  const repeatable = parseBoolean(text(headers, HeaderName.repeatable), faults);
-  const idempotencyKey = parseKey(text(headers, HeaderName.idempotencyKey), faults);
+  const deadlineMs = parseDeadline(
+    headerValue(headers, HeaderName.deadline),
+    deadlineLimitMs,
+    faults,
+  );
+  const requestClass = parseClass(headerValue(headers, HeaderName.requestClass), faults);
+  const repeatable = parseBoolean(headerValue(headers, HeaderName.repeatable), faults);
+  const idempotencyKey = parseKey(headerValue(headers, HeaderName.idempotencyKey), faults);
   if (faults.length > 0) return { kind: 'invalid', faults };
-  const conversationId = text(headers, HeaderName.conversation);
-  const modelVersion = text(headers, HeaderName.modelVersion);
+  const conversationId = headerValue(headers, HeaderName.conversation);
+  const modelVersion = headerValue(headers, HeaderName.modelVersion);
   return {
     kind: 'valid',
     headers: { deadlineMs, requestClass, repeatable, idempotencyKey, conversationId, modelVersion },
   };
 }
 
-function text(headers: IncomingHttpHeaders, name: string): string | undefined {
+function headerValue(headers: IncomingHttpHeaders, name: string): string | undefined {
   const value = headers[name];
   return Array.isArray(value) ? value[0] : value;
 }
@@ -84,7 +88,7 @@
 
 function parseKey(value: string | undefined, faults: string[]): string | undefined {
   if (value === undefined) return undefined;
-  if (value.length >= 1 && value.length <= LONGEST_KEY) return value;
-  faults.push(`${HeaderName.idempotencyKey} must have 1 to ${LONGEST_KEY} characters`);
+  if (value.length >= 1 && value.length <= MAX_KEY_LENGTH) return value;
+  faults.push(`${HeaderName.idempotencyKey} must have 1 to ${MAX_KEY_LENGTH} characters`);
   return undefined;
 }
--- a/packages/reedlug/src/http/requestRoutes.ts
+++ b/packages/reedlug/src/http/requestRoutes.ts
@@ -9,19 +9,19 @@
 import { HeaderName } from './requestHeaders.js';
 
 /** How long the peers are asked for the outcome of a request, in ms. */
-const ASK_PEERS_MS = 500;
+const PEER_LOOKUP_TIMEOUT_MS = 500;
 
 /** Adds the routes. */
 export function addRequestRoutes(router: Router, context: RouteContext): void {
   router.on('GET', '/v1/requests/:id', (request, response, params) =>
-    tellOutcome(context, request, response, params['id'] ?? ''),
+    sendOutcome(context, request, response, params['id'] ?? ''),
   );
   router.on('GET', '/v1/requests/:id/answer', (request, response, params) =>
-    pickUp(context, request, response, params['id'] ?? ''),
+    resumeAnswer(context, request, response, params['id'] ?? ''),
   );
 }
 
-function tellOutcome(
+function sendOutcome(
   context: RouteContext,
   request: IncomingMessage,
   response: ServerResponse,
@@ -30,19 +30,19 @@
   const workspaceId = workspaceOf(context, request, response);
   if (workspaceId === undefined) return;
   const record = context.daemon.state.requests.get(requestId);
-  const isHere = record?.spec.workspaceId === workspaceId;
-  if (record !== undefined && isHere && !wasHandedOver(record)) {
-    sendJson(response, 200, statusOf(record));
+  const isOwnRequest = record?.spec.workspaceId === workspaceId;
+  if (record !== undefined && isOwnRequest && !wasHandedOver(record)) {
+    sendJson(response, 200, outcomeBody(record));
     return;
   }
-  askPeers(context, response, requestId, workspaceId);
+  lookUpAtPeers(context, response, requestId, workspaceId);
 }
 
 function wasHandedOver(record: RequestRecord): boolean {
   return record.phase.kind === 'settled' && record.phase.reason === 'handedOver';
 }
 
-function statusOf(record: RequestRecord): Record<string, unknown> {
+function outcomeBody(record: RequestRecord): Record<string, unknown> {
   const { spec, phase } = record;
   const { requestId, requestClass } = spec;
   const tokens = record.ledger.tokens.length;
@@ -52,45 +52,54 @@
 }
 
 /** Follows the request for a moment; a peer that has it answers at once. */
-function askPeers(
+function lookUpAtPeers(
   context: RouteContext,
   response: ServerResponse,
   requestId: string,
   workspaceId: string,
 ): void {
   const followId = context.newId();
-  let tokensSeen = 0;
-  let told = false;
-  const tell = (status: number, value: unknown): void => {
-    if (told) return;
-    told = true;
+  let receivedTokens = 0;
+  let isAnswered = false;
+  const answerOnce = (status: number, value: unknown): void => {
+    if (isAnswered) return;
+    isAnswered = true;
     clearTimeout(timer);
     sendJson(response, status, value);
   };
   const exchange: Exchange = {
     onTokens: (offset, tokens) => {
-      tokensSeen = offset + tokens.length;
+      receivedTokens = offset + tokens.length;
     },
     onFinish: ({ outcome, reason, status }) => {
-      if (reason === 'holderGone') tell(404, notKnown(requestId));
-      else tell(200, { requestId, state: 'settled', outcome, reason, status, tokens: tokensSeen });
+      if (reason === 'holderGone') answerOnce(404, notFoundBody(requestId));
+      else
+        answerOnce(200, {
+          requestId,
+          state: 'settled',
+          outcome,
+          reason,
+          status,
+          tokens: receivedTokens,
+        });
     },
   };
   const timer = setTimeout(() => {
     context.daemon.callerGone(followId);
-    if (tokensSeen > 0) tell(200, { requestId, state: 'running', tokens: tokensSeen });
-    else tell(404, notKnown(requestId));
-  }, ASK_PEERS_MS);
+    if (receivedTokens > 0)
+      answerOnce(200, { requestId, state: 'running', tokens: receivedTokens });
+    else answerOnce(404, notFoundBody(requestId));
+  }, PEER_LOOKUP_TIMEOUT_MS);
   context.daemon.followRequest({ followId, requestId, workspaceId, fromOffset: 0 }, exchange);
 }
 
-function notKnown(requestId: string): unknown {
+function notFoundBody(requestId: string): unknown {
   const message = 'no reachable entry box has this request of this workspace';
   return { error: { type: 'notFound', message, outcome: 'unknown', requestId } };
 }
 
 /** Goes on with an answer after the offset in `Last-Event-ID`, at any entry box. */
-function pickUp(
+function resumeAnswer(
   context: RouteContext,
   request: IncomingMessage,
   response: ServerResponse,
@@ -98,8 +107,8 @@
 ): void {
   const workspaceId = workspaceOf(context, request, response);
   if (workspaceId === undefined) return;
-  const last = request.headers[HeaderName.lastEventId] ?? '0';
-  if (typeof last !== 'string' || !/^\d{1,9}$/.test(last)) {
+  const lastEventId = request.headers[HeaderName.lastEventId] ?? '0';
+  if (typeof lastEventId !== 'string' || !/^\d{1,9}$/.test(lastEventId)) {
     refuseRequest(request, response, 'badRequest', `${HeaderName.lastEventId} must be an offset`);
     return;
   }
@@ -116,6 +125,6 @@
   response.on('close', () => {
     if (!response.writableEnded) context.daemon.callerGone(followId);
   });
-  const fromOffset = Number(last);
+  const fromOffset = Number(lastEventId);
   context.daemon.followRequest({ followId, requestId, workspaceId, fromOffset }, exchange);
 }
--- a/packages/reedlug/src/http/serviceRoutes.ts
+++ b/packages/reedlug/src/http/serviceRoutes.ts
@@ -12,7 +12,7 @@
 
 /** Methods that repeat without harm where no route says otherwise. */
 const REPEATABLE_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD']);
-const PREFIX = '/v1/services/';
+const SERVICES_PREFIX = '/v1/services/';
 
 /** Adds the routes. */
 export function addServiceRoutes(router: Router, context: RouteContext): void {
@@ -48,7 +48,7 @@
   }
   const method = request.method ?? 'GET';
   const call = { service, method, path, body };
-  const spec = specOf(context, workspaceId, call, headers.headers);
+  const spec = createRequestSpec(context, workspaceId, call, headers.headers);
   response.on('close', () => {
     if (!response.writableEnded) context.daemon.callerGone(spec.requestId);
   });
@@ -65,7 +65,7 @@
   );
 }
 
-interface Call {
+interface ServiceRequest {
   service: string;
   method: string;
   path: string;
@@ -74,11 +74,14 @@
 
 /** The service's name and the path and query at it. */
 function splitTarget(url: string): { service: string; path: string } {
-  const rest = url.slice(PREFIX.length);
-  const end = rest.search(/[/?]/);
-  if (end < 0) return { service: rest, path: '/' };
-  const tail = rest.slice(end);
-  return { service: rest.slice(0, end), path: tail.startsWith('/') ? tail : `/${tail}` };
+  const target = url.slice(SERVICES_PREFIX.length);
+  const end = target.search(/[/?]/);
+  if (end < 0) return { service: target, path: '/' };
+  const pathAndQuery = target.slice(end);
+  return {
+    service: target.slice(0, end),
+    path: pathAndQuery.startsWith('/') ? pathAndQuery : `/${pathAndQuery}`,
+  };
 }
 
 function knownServices(context: RouteContext): Set<string> {
@@ -89,10 +92,10 @@
   return services;
 }
 
-function specOf(
+function createRequestSpec(
   context: RouteContext,
   workspaceId: string,
-  call: Call,
+  call: ServiceRequest,
   headers: RequestHeaders,
 ): RequestSpec {
   const { settings } = context;
@@ -126,14 +129,17 @@
  * only the settings decide, so that a wrong header cannot double a notice.
  */
 function isRepeatable(
-  call: Call,
+  call: ServiceRequest,
   route: RouteSettings | undefined,
   headers: RequestHeaders,
 ): boolean {
-  const byRoute = route?.repeatable ?? REPEATABLE_METHODS.has(call.method);
-  return byRoute && headers.repeatable !== false;
+  const isRouteRepeatable = route?.repeatable ?? REPEATABLE_METHODS.has(call.method);
+  return isRouteRepeatable && headers.repeatable !== false;
 }
 
-function routeOf(routes: readonly RouteSettings[], call: Call): RouteSettings | undefined {
+function routeOf(
+  routes: readonly RouteSettings[],
+  call: ServiceRequest,
+): RouteSettings | undefined {
   return routes.find((route) => route.service === call.service && route.method === call.method);
 }
