--- a/packages/reedlug/src/bench/slopes.ts
+++ b/packages/reedlug/src/bench/slopes.ts
@@ -17,7 +17,7 @@
   type RequestSpec,
   type ServerSpec,
 } from 'reedlug-decisions';
-import { encodeFrame, encodeShared } from '../peers/frames.js';
+import { encodeFrame, encodeFrameCached } from '../peers/frames.js';
 
 /** A size of the fleet. */
 interface FleetSize {
@@ -186,7 +186,7 @@
       const nowMs = second * 1000 + (tick * 1000) / TICKS_PER_SECOND;
       for (const effect of box.send(nowMs, { type: 'tick', epochMs: nowMs })) {
         if (effect.type === 'sendPeer') {
-          bytes += encodeShared(effect.message).length;
+          bytes += encodeFrameCached(effect.message).length;
           messages += 1;
         }
         if (effect.type !== 'probeServer') continue;
--- a/packages/reedlug/src/daemon/entryDaemon.ts
+++ b/packages/reedlug/src/daemon/entryDaemon.ts
@@ -165,7 +165,7 @@
     tls: peerTls,
     onMessage: (from, message) => receivePeerMessage(runtime, from, message),
     onRejected,
-    isCut: (boxId) => cuts.zone(zoneByBoxId.get(boxId) ?? ''),
+    isPartitioned: (boxId) => cuts.zone(zoneByBoxId.get(boxId) ?? ''),
   });
 }
 
--- a/packages/reedlug/src/peers/frames.ts
+++ b/packages/reedlug/src/peers/frames.ts
@@ -17,14 +17,14 @@
   return frame;
 }
 
-const encoded = new WeakMap<object, Buffer>();
+const frameByMessage = new WeakMap<object, Buffer>();
 
 /** The frame of a message that goes to several peers; encoded once. */
-export function encodeShared(message: object): Buffer {
-  const known = encoded.get(message);
+export function encodeFrameCached(message: object): Buffer {
+  const known = frameByMessage.get(message);
   if (known !== undefined) return known;
   const frame = encodeFrame(message);
-  encoded.set(message, frame);
+  frameByMessage.set(message, frame);
   return frame;
 }
 
@@ -36,17 +36,17 @@
 
 /** Returns a reader that keeps an unfinished frame from chunk to chunk. */
 export function createFrameReader(): FrameReader {
-  let rest: Buffer = Buffer.alloc(0);
+  let buffered: Buffer = Buffer.alloc(0);
   return {
     push(chunk, maxBytes = MAX_FRAME_BYTES) {
-      rest = rest.length === 0 ? chunk : Buffer.concat([rest, chunk]);
+      buffered = buffered.length === 0 ? chunk : Buffer.concat([buffered, chunk]);
       const values: unknown[] = [];
-      while (rest.length >= LENGTH_BYTES) {
-        const length = rest.readUInt32BE(0);
+      while (buffered.length >= LENGTH_BYTES) {
+        const length = buffered.readUInt32BE(0);
         if (length > maxBytes) return undefined;
-        if (rest.length < LENGTH_BYTES + length) break;
-        const body = rest.subarray(LENGTH_BYTES, LENGTH_BYTES + length);
-        rest = rest.subarray(LENGTH_BYTES + length);
+        if (buffered.length < LENGTH_BYTES + length) break;
+        const body = buffered.subarray(LENGTH_BYTES, LENGTH_BYTES + length);
+        buffered = buffered.subarray(LENGTH_BYTES + length);
         try {
           values.push(decoder.decode(body));
         } catch {
--- a/packages/reedlug/src/peers/handshake.ts
+++ b/packages/reedlug/src/peers/handshake.ts
@@ -45,7 +45,7 @@
 }
 
 /** True when the other side's proof is right. */
-export function proofFits(params: {
+export function isProofValid(params: {
   secret: string;
   side: Side;
   own: Hello;
@@ -55,17 +55,17 @@
   const { secret, side, own, other, proof } = params;
   const otherSide: Side = side === 'opener' ? 'listener' : 'opener';
   const expected = createProof({ secret, side: otherSide, own: other, other: own });
-  const given = Buffer.from(proof.mac);
-  const wanted = Buffer.from(expected.mac);
-  return given.length === wanted.length && timingSafeEqual(given, wanted);
+  const receivedMac = Buffer.from(proof.mac);
+  const expectedMac = Buffer.from(expected.mac);
+  return receivedMac.length === expectedMac.length && timingSafeEqual(receivedMac, expectedMac);
 }
 
 /** True for a value that is a hello of this version. */
 export function isHello(value: unknown): value is Hello {
   const hello = value as Partial<Hello> | null;
   if (typeof hello !== 'object' || hello === null || hello.kind !== 'hello') return false;
-  const named = typeof hello.boxId === 'string' && typeof hello.nonce === 'string';
-  return named && hello.version === PEER_LINK_VERSION;
+  const hasTextFields = typeof hello.boxId === 'string' && typeof hello.nonce === 'string';
+  return hasTextFields && hello.version === PEER_LINK_VERSION;
 }
 
 /** True for a value that is a proof. */
--- a/packages/reedlug/src/peers/peerLink.ts
+++ b/packages/reedlug/src/peers/peerLink.ts
@@ -6,13 +6,13 @@
 import { createServer, connect, type Server, type Socket } from 'node:net';
 import * as tls from 'node:tls';
 import type { PeerMessage } from 'reedlug-decisions';
-import { createFrameReader, encodeFrame, encodeShared } from './frames.js';
+import { createFrameReader, encodeFrame, encodeFrameCached } from './frames.js';
 import {
   createHello,
   createProof,
   isHello,
   isProof,
-  proofFits,
+  isProofValid,
   type Hello,
   type Side,
 } from './handshake.js';
@@ -37,7 +37,7 @@
   /** Told of each connection that was refused, with the reason. */
   onRejected: (reason: string) => void;
   /** For tests of cuts: true while nothing passes between this box and a peer. */
-  isCut: (boxId: string) => boolean;
+  isPartitioned: (boxId: string) => boolean;
 }
 
 /** A running peer link. */
@@ -48,12 +48,12 @@
 }
 
 const HANDSHAKE_TIMEOUT_MS = 2000;
-const HANDSHAKE_MAX_BYTES = 1024;
-const RECONNECT_MS = 300;
+const MAX_HELLO_BYTES = 1024;
+const RECONNECT_DELAY_MS = 300;
 /** Messages kept for a peer whose connection is being made. */
-const PENDING_LIMIT = 256;
+const MAX_PENDING_MESSAGES = 256;
 /** A peer that takes nothing is dropped at this many bytes waiting. */
-const BACKLOG_BYTES = 8 * 1024 * 1024;
+const MAX_BACKLOG_BYTES = 8 * 1024 * 1024;
 
 interface Outgoing {
   address: string;
@@ -80,7 +80,8 @@
     port,
     send(boxId, message) {
       const peer = outgoing.get(boxId);
-      if (peer !== undefined && !options.isCut(boxId)) sendTo(options, boxId, peer, message);
+      if (peer !== undefined && !options.isPartitioned(boxId))
+        sendToPeer(options, boxId, peer, message);
     },
     close: async () => {
       for (const socket of incoming) socket.destroy();
@@ -117,22 +118,27 @@
 }
 
 function serveIncoming(options: PeerLinkOptions, socket: Socket): void {
-  handshake(options, socket, 'listener', undefined, (other, reader, rest) => {
-    const take = (values: unknown[] | undefined): void => {
+  runHandshake(options, socket, 'listener', undefined, (other, reader, earlyValues) => {
+    const receiveValues = (values: unknown[] | undefined): void => {
       if (values === undefined) {
         options.onRejected('garbage');
         socket.destroy();
         return;
       }
-      for (const value of values) takeValue(options, socket, other.boxId, value);
+      for (const value of values) receiveValue(options, socket, other.boxId, value);
     };
-    take(rest);
-    socket.on('data', (chunk: Buffer) => take(reader.push(chunk)));
+    receiveValues(earlyValues);
+    socket.on('data', (chunk: Buffer) => receiveValues(reader.push(chunk)));
   });
 }
 
-function takeValue(options: PeerLinkOptions, socket: Socket, from: string, value: unknown): void {
-  if (options.isCut(from)) return;
+function receiveValue(
+  options: PeerLinkOptions,
+  socket: Socket,
+  from: string,
+  value: unknown,
+): void {
+  if (options.isPartitioned(from)) return;
   if (isPeerMessage(value)) {
     options.onMessage(from, value);
     return;
@@ -144,12 +150,12 @@
 type Reader = ReturnType<typeof createFrameReader>;
 
 /** Runs the handshake; `onDone` gets the other side, the reader, and values that came early. */
-function handshake(
+function runHandshake(
   options: PeerLinkOptions,
   socket: Socket,
   side: Side,
   expectedId: string | undefined,
-  onDone: (other: Hello, reader: Reader, rest: unknown[]) => void,
+  onDone: (other: Hello, reader: Reader, earlyValues: unknown[]) => void,
 ): void {
   const own = createHello(options.boxId);
   const reader = createFrameReader();
@@ -166,7 +172,7 @@
   socket.write(encodeFrame(own));
   const onData = (chunk: Buffer): void => {
     // Messages may follow the proof at once, so only the hello is held to the small size.
-    const values = reader.push(chunk, other === undefined ? HANDSHAKE_MAX_BYTES : undefined);
+    const values = reader.push(chunk, other === undefined ? MAX_HELLO_BYTES : undefined);
     if (values === undefined) return reject('garbage');
     while (values.length > 0) {
       const value = values.shift();
@@ -178,7 +184,7 @@
         continue;
       }
       const { secret } = options;
-      if (!isProof(value) || !proofFits({ secret, side, own, other, proof: value })) {
+      if (!isProof(value) || !isProofValid({ secret, side, own, other, proof: value })) {
         return reject('proof');
       }
       clearTimeout(timer);
@@ -190,7 +196,7 @@
   socket.on('data', onData);
 }
 
-function sendTo(
+function sendToPeer(
   options: PeerLinkOptions,
   boxId: string,
   peer: Outgoing,
@@ -198,18 +204,19 @@
 ): void {
   const { socket } = peer;
   if (socket !== undefined && peer.ready) {
-    if (socket.writableLength > BACKLOG_BYTES) socket.destroy();
-    else socket.write(encodeShared(message));
+    if (socket.writableLength > MAX_BACKLOG_BYTES) socket.destroy();
+    else socket.write(encodeFrameCached(message));
     return;
   }
   // A heartbeat says how things are now; an old one is worth nothing.
-  if (message.kind !== 'heartbeat' && peer.pending.length < PENDING_LIMIT) {
+  if (message.kind !== 'heartbeat' && peer.pending.length < MAX_PENDING_MESSAGES) {
     peer.pending.push(message);
   }
-  if (socket === undefined && performance.now() >= peer.retryAtMs) open(options, boxId, peer);
+  if (socket === undefined && performance.now() >= peer.retryAtMs)
+    openConnection(options, boxId, peer);
 }
 
-function open(options: PeerLinkOptions, boxId: string, peer: Outgoing): void {
+function openConnection(options: PeerLinkOptions, boxId: string, peer: Outgoing): void {
   const { host, port } = splitAddress(peer.address);
   const socket =
     options.tls === undefined
@@ -219,9 +226,9 @@
   socket.on('close', () => {
     peer.socket = undefined;
     peer.ready = false;
-    peer.retryAtMs = performance.now() + RECONNECT_MS;
+    peer.retryAtMs = performance.now() + RECONNECT_DELAY_MS;
   });
-  handshake(options, socket, 'opener', boxId, () => {
+  runHandshake(options, socket, 'opener', boxId, () => {
     peer.ready = true;
     for (const message of peer.pending.splice(0)) socket.write(encodeFrame(message));
   });
--- a/packages/reedlug/src/peers/peerMessages.ts
+++ b/packages/reedlug/src/peers/peerMessages.ts
@@ -2,7 +2,7 @@
 import type { PeerMessage } from 'reedlug-decisions';
 
 /** The fields that each kind of message must have, by type. */
-const SHAPES: { [K in PeerMessage['kind']]: Readonly<Record<string, string>> } = {
+const FIELD_TYPES: { [K in PeerMessage['kind']]: Readonly<Record<string, string>> } = {
   heartbeat: {
     incarnation: 'number',
     zone: 'string',
@@ -26,9 +26,9 @@
   if (typeof value !== 'object' || value === null) return false;
   const message = value as Record<string, unknown>;
   const { kind } = message;
-  if (typeof kind !== 'string' || !Object.hasOwn(SHAPES, kind)) return false;
-  const shape = SHAPES[kind as PeerMessage['kind']];
-  return Object.entries(shape).every(([field, type]) => typeOf(message[field]) === type);
+  if (typeof kind !== 'string' || !Object.hasOwn(FIELD_TYPES, kind)) return false;
+  const fieldTypes = FIELD_TYPES[kind as PeerMessage['kind']];
+  return Object.entries(fieldTypes).every(([field, type]) => typeOf(message[field]) === type);
 }
 
 function typeOf(value: unknown): string {
