--- a/packages/reedlug/src/backends/engineClient.ts
+++ b/packages/reedlug/src/backends/engineClient.ts
@@ -14,12 +14,12 @@
   EngineRefusal,
   KvExportAnswer,
 } from './engineProtocol.js';
-import { neverConnected } from './httpErrors.js';
+import { failedToConnect } from './httpErrors.js';
 import type { ServerPools } from './serverPools.js';
 import { createSseParser } from './sseParser.js';
 
 /** How long the short calls to an engine may take, in ms. */
-const SHORT_CALL_MS = 2000;
+const CALL_TIMEOUT_MS = 2000;
 const STATUS_OK = 200;
 const STATUS_REFUSED = 409;
 
@@ -67,22 +67,22 @@
   let status = 0;
   let refusal = '';
   let closed = false;
-  const close = (event: EventBody | undefined): void => {
+  const closeOnce = (event: EventBody | undefined): void => {
     if (closed) return;
     closed = true;
     onClosed();
     if (event !== undefined) emit(event);
   };
   const onData = (data: string): void => {
-    const event = eventOfChunk(attemptId, data);
+    const event = eventFromChunk(attemptId, data);
     if (event === undefined || closed) return;
-    if (event.type === 'attemptEnded') close(event);
+    if (event.type === 'attemptEnded') closeOnce(event);
     else emit(event);
   };
   return {
-    onRequestStart(started) {
-      controller = started;
-      if (closed) started.abort(new Error('cancelled'));
+    onRequestStart(startedController) {
+      controller = startedController;
+      if (closed) startedController.abort(new Error('cancelled'));
     },
     onResponseStart(_controller, statusCode) {
       status = statusCode;
@@ -92,19 +92,19 @@
       else refusal += decoder.decode(chunk, { stream: true });
     },
     onResponseEnd() {
-      close(closingEvent(attemptId, status, refusal));
+      closeOnce(responseEndEvent(attemptId, status, refusal));
     },
     onResponseError(_controller, error) {
-      close(errorEvent(attemptId, error));
+      closeOnce(responseErrorEvent(attemptId, error));
     },
     abort() {
-      close(undefined);
+      closeOnce(undefined);
       controller?.abort(new Error('cancelled'));
     },
   };
 }
 
-function eventOfChunk(attemptId: string, data: string): EventBody | undefined {
+function eventFromChunk(attemptId: string, data: string): EventBody | undefined {
   const chunk = parseChunk(data);
   if (chunk === undefined) return undefined;
   if (chunk.end === true) {
@@ -129,20 +129,20 @@
 }
 
 /** The end of a response without an end marker is a loss; a 409 is a refusal before running. */
-function closingEvent(attemptId: string, status: number, refusal: string): EventBody {
+function responseEndEvent(attemptId: string, status: number, refusal: string): EventBody {
   if (status !== STATUS_REFUSED) return { type: 'attemptLost', attemptId, reached: true };
   const reason = (parseChunk(refusal) as EngineRefusal | undefined)?.refused;
   return { type: 'attemptRefused', attemptId, reason: reason ?? RefusalReason.full };
 }
 
-function errorEvent(attemptId: string, error: unknown): EventBody {
-  if (neverConnected(error)) {
+function responseErrorEvent(attemptId: string, error: unknown): EventBody {
+  if (failedToConnect(error)) {
     return { type: 'attemptRefused', attemptId, reason: RefusalReason.notConnected };
   }
   return { type: 'attemptLost', attemptId, reached: true };
 }
 
-async function shortCall<T>(
+async function callEngine<T>(
   pools: ServerPools,
   spec: ServerSpec,
   request: { method: 'GET' | 'POST'; path: string; body?: unknown },
@@ -152,8 +152,8 @@
     path: request.path,
     headers: JSON_HEADERS,
     body: request.body === undefined ? null : JSON.stringify(request.body),
-    headersTimeout: SHORT_CALL_MS,
-    bodyTimeout: SHORT_CALL_MS,
+    headersTimeout: CALL_TIMEOUT_MS,
+    bodyTimeout: CALL_TIMEOUT_MS,
   });
   return { status: response.statusCode, body: (await response.body.json()) as T };
 }
@@ -162,7 +162,7 @@
 export async function probeEngine(pools: ServerPools, spec: ServerSpec, emit: Emit): Promise<void> {
   const serverId = spec.id;
   try {
-    const { body } = await shortCall<EngineLoadAnswer>(pools, spec, {
+    const { body } = await callEngine<EngineLoadAnswer>(pools, spec, {
       method: 'GET',
       path: '/v1/load',
     });
@@ -182,7 +182,7 @@
   emit: Emit,
 ): Promise<void> {
   try {
-    const { status, body } = await shortCall<KvExportAnswer>(pools, spec, {
+    const { status, body } = await callEngine<KvExportAnswer>(pools, spec, {
       method: 'POST',
       path: '/v1/kv/export',
       body: { request_id: attemptId },
@@ -206,7 +206,7 @@
 ): Promise<void> {
   const { source, target, affinityHash, tokens } = params;
   try {
-    const { status } = await shortCall(pools, source, {
+    const { status } = await callEngine(pools, source, {
       method: 'POST',
       path: '/v1/kv/move',
       body: { cache_key: affinityHash, target: target.address },
@@ -225,7 +225,7 @@
   order: EngineOrderRequest,
 ): Promise<CommandResult> {
   try {
-    const { status, body } = await shortCall<{ error?: string }>(pools, spec, {
+    const { status, body } = await callEngine<{ error?: string }>(pools, spec, {
       method: 'POST',
       path: '/v1/orders',
       body: order,
--- a/packages/reedlug/src/backends/httpErrors.ts
+++ b/packages/reedlug/src/backends/httpErrors.ts
@@ -10,7 +10,7 @@
 ]);
 
 /** True when the connection was never made, so that no byte can have left. */
-export function neverConnected(error: unknown): boolean {
+export function failedToConnect(error: unknown): boolean {
   const code = (error as { code?: unknown }).code;
   return typeof code === 'string' && NOT_CONNECTED_CODES.has(code);
 }
--- a/packages/reedlug/src/backends/serverPools.ts
+++ b/packages/reedlug/src/backends/serverPools.ts
@@ -9,7 +9,7 @@
 }
 
 const CONNECT_TIMEOUT_MS = 1000;
-const KEEP_ALIVE_MS = 4000;
+const KEEP_ALIVE_TIMEOUT_MS = 4000;
 
 /** Returns pools that are made on first use. */
 export function createServerPools(): ServerPools {
@@ -23,7 +23,7 @@
           connections: null,
           pipelining: 1,
           connect: { timeout: CONNECT_TIMEOUT_MS },
-          keepAliveTimeout: KEEP_ALIVE_MS,
+          keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
           headersTimeout: 0,
           bodyTimeout: 0,
         });
--- a/packages/reedlug/src/backends/serviceClient.ts
+++ b/packages/reedlug/src/backends/serviceClient.ts
@@ -1,7 +1,7 @@
 /** Calls to plain services: method, query, body and status are carried through. */
 import { RefusalReason, type EventBody, type ServerSpec } from 'reedlug-decisions';
 import type { Emit } from './engineClient.js';
-import { neverConnected } from './httpErrors.js';
+import { failedToConnect } from './httpErrors.js';
 import type { ServerPools } from './serverPools.js';
 
 /** A call as the caller made it, without the headers that belong to one connection. */
@@ -21,7 +21,7 @@
 }
 
 /** Headers that belong to one connection and are not carried through. */
-const HOP_HEADERS: ReadonlySet<string> = new Set([
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
   'proxy-authenticate',
@@ -40,12 +40,12 @@
 export function endToEndHeaders(
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): Record<string, string> {
-  const passed: Record<string, string> = {};
+  const forwarded: Record<string, string> = {};
   for (const [key, value] of Object.entries(headers)) {
-    if (value === undefined || HOP_HEADERS.has(key)) continue;
-    passed[key] = Array.isArray(value) ? value.join(', ') : value;
+    if (value === undefined || HOP_BY_HOP_HEADERS.has(key)) continue;
+    forwarded[key] = Array.isArray(value) ? value.join(', ') : value;
   }
-  return passed;
+  return forwarded;
 }
 
 /** Calls a service; the answer goes to `onAnswer`, what follows from it to `emit`. */
@@ -59,10 +59,10 @@
   onAnswer: (answer: ServiceAnswer) => void;
   emit: Emit;
 }): void {
-  void run(params).then(params.emit);
+  void requestService(params).then(params.emit);
 }
 
-async function run(params: Parameters<typeof callService>[0]): Promise<EventBody> {
+async function requestService(params: Parameters<typeof callService>[0]): Promise<EventBody> {
   const { pools, spec, attemptId, call, timeoutMs, signal, onAnswer } = params;
   try {
     const response = await pools.poolOf(spec).request({
@@ -79,7 +79,7 @@
     onAnswer({ status: response.statusCode, headers, body });
     return { type: 'serviceAnswered', attemptId, status: response.statusCode };
   } catch (error) {
-    if (neverConnected(error)) {
+    if (failedToConnect(error)) {
       return { type: 'attemptRefused', attemptId, reason: RefusalReason.notConnected };
     }
     return { type: 'attemptLost', attemptId, reached: true };
@@ -92,24 +92,24 @@
   spec: ServerSpec,
   emit: Emit,
 ): Promise<void> {
-  const PROBE_MS = 1000;
+  const PROBE_TIMEOUT_MS = 1000;
   const serverId = spec.id;
   try {
     const response = await pools.poolOf(spec).request({
       method: 'GET',
       path: '/healthz',
-      headersTimeout: PROBE_MS,
-      bodyTimeout: PROBE_MS,
+      headersTimeout: PROBE_TIMEOUT_MS,
+      bodyTimeout: PROBE_TIMEOUT_MS,
     });
     await response.body.dump();
-    emit({ type: 'serverReported', serverId, report: serviceReport(response.headers) });
+    emit({ type: 'serverReported', serverId, report: reportFromHeaders(response.headers) });
   } catch {
     emit({ type: 'serverReported', serverId, report: undefined });
   }
 }
 
 /** A plain service reports little: its start number and whether it leaves, in two headers. */
-function serviceReport(headers: Record<string, string | string[] | undefined>) {
+function reportFromHeaders(headers: Record<string, string | string[] | undefined>) {
   const incarnation = Number(headers['x-incarnation'] ?? 0);
   return {
     incarnation: Number.isFinite(incarnation) ? incarnation : 0,
--- a/packages/reedlug/src/backends/sseParser.ts
+++ b/packages/reedlug/src/backends/sseParser.ts
@@ -5,17 +5,17 @@
 }
 
 /** Longest line kept while its end is awaited, in characters. */
-const MAX_LINE = 1_048_576;
+const MAX_LINE_LENGTH = 1_048_576;
 const DATA_PREFIX = 'data:';
 
 /** Returns a parser that keeps the rest of a line from chunk to chunk. */
 export function createSseParser(): SseParser {
-  let rest = '';
+  let partialLine = '';
   return {
     push(chunk, onData) {
-      const lines = (rest + chunk).split('\n');
-      rest = lines.pop() ?? '';
-      if (rest.length > MAX_LINE) rest = '';
+      const lines = (partialLine + chunk).split('\n');
+      partialLine = lines.pop() ?? '';
+      if (partialLine.length > MAX_LINE_LENGTH) partialLine = '';
       for (const line of lines) {
         if (line.startsWith(DATA_PREFIX)) onData(line.slice(DATA_PREFIX.length).trim());
       }
--- a/packages/reedlug/src/platform/platformCall.ts
+++ b/packages/reedlug/src/platform/platformCall.ts
@@ -10,7 +10,7 @@
   createTokenBucket,
   takeTokens,
 } from 'reedlug-coordination';
-import { neverConnected } from '../backends/httpErrors.js';
+import { failedToConnect } from '../backends/httpErrors.js';
 
 /** The three-way answer. `refused` means that the platform did not carry it out. */
 export type PlatformAnswer<T> =
@@ -99,7 +99,7 @@
     if (statusCode >= STATUS_REFUSED_FROM) return { kind: 'refused', status: statusCode, body };
     return { kind: 'done', body };
   } catch (error) {
-    if (neverConnected(error)) return { kind: 'refused', status: 0, body: undefined };
+    if (failedToConnect(error)) return { kind: 'refused', status: 0, body: undefined };
     return { kind: 'unknown' };
   }
 }
