--- a/packages/reedlug/src/platform/platformCall.ts
+++ b/packages/reedlug/src/platform/platformCall.ts
@@ -24,7 +24,7 @@
   timeoutMs: number;
   requestsPerSecond: number;
   /** For tests of cuts: true while nothing reaches the platform. */
-  isCut: () => boolean;
+  isPartitioned: () => boolean;
 }
 
 /** One call. */
@@ -40,28 +40,28 @@
   close: () => Promise<void>;
 }
 
-const FAILURES_TO_OPEN = 5;
-const OPEN_FOR_MS = 1000;
-const STATUS_REFUSED_FROM = 400;
-const STATUS_FAILED_FROM = 500;
+const FAILURES_TO_OPEN_BREAKER = 5;
+const BREAKER_OPEN_MS = 1000;
+const MIN_REFUSED_STATUS = 400;
+const MIN_FAILED_STATUS = 500;
 /** Status told when the rate limit or the breaker kept the call back: nothing was sent. */
-const STATUS_KEPT_BACK = 429;
+const STATUS_NOT_SENT = 429;
 const JSON_HEADERS = { 'content-type': 'application/json' };
 
 /** Returns a client. */
 export function createPlatformCaller(options: PlatformCallerOptions): PlatformCaller {
   const { timeoutMs, requestsPerSecond } = options;
   const pool = new Pool(options.url, { connections: 8, connect: { timeout: timeoutMs } });
-  const breaker = createBreaker(FAILURES_TO_OPEN, OPEN_FOR_MS);
+  const breaker = createBreaker(FAILURES_TO_OPEN_BREAKER, BREAKER_OPEN_MS);
   const bucket = createTokenBucket(requestsPerSecond, requestsPerSecond, performance.now());
-  const keptBack = { kind: 'refused', status: STATUS_KEPT_BACK, body: undefined } as const;
+  const notSent = { kind: 'refused', status: STATUS_NOT_SENT, body: undefined } as const;
   return {
     async call<T>(request: PlatformRequest): Promise<PlatformAnswer<T>> {
-      if (takeTokens(bucket, 1, performance.now()) > 0) return keptBack;
-      if (!breakerAllows(breaker, performance.now())) return keptBack;
-      const answer = options.isCut()
-        ? await afterTimeout(timeoutMs)
-        : await send<T>(pool, request, timeoutMs);
+      if (takeTokens(bucket, 1, performance.now()) > 0) return notSent;
+      if (!breakerAllows(breaker, performance.now())) return notSent;
+      const answer = options.isPartitioned()
+        ? await unknownAfterTimeout(timeoutMs)
+        : await sendRequest<T>(pool, request, timeoutMs);
       recordBreakerResult(breaker, answer.kind !== 'unknown', performance.now());
       return answer;
     },
@@ -69,14 +69,14 @@
   };
 }
 
-async function afterTimeout(timeoutMs: number): Promise<{ kind: 'unknown' }> {
+async function unknownAfterTimeout(timeoutMs: number): Promise<{ kind: 'unknown' }> {
   await new Promise((resolve) => {
     setTimeout(resolve, timeoutMs).unref();
   });
   return { kind: 'unknown' };
 }
 
-async function send<T>(
+async function sendRequest<T>(
   pool: Pool,
   request: PlatformRequest,
   timeoutMs: number,
@@ -91,12 +91,12 @@
       bodyTimeout: timeoutMs,
     });
     const { statusCode } = response;
-    if (statusCode >= STATUS_FAILED_FROM) {
+    if (statusCode >= MIN_FAILED_STATUS) {
       await response.body.dump();
       return { kind: 'unknown' };
     }
     const body = (await response.body.json()) as T;
-    if (statusCode >= STATUS_REFUSED_FROM) return { kind: 'refused', status: statusCode, body };
+    if (statusCode >= MIN_REFUSED_STATUS) return { kind: 'refused', status: statusCode, body };
     return { kind: 'done', body };
   } catch (error) {
     if (failedToConnect(error)) return { kind: 'refused', status: 0, body: undefined };
--- a/packages/reedlug/src/platform/platformClients.ts
+++ b/packages/reedlug/src/platform/platformClients.ts
@@ -17,7 +17,7 @@
 /** What the entry daemon asks of the platform. */
 export interface PlatformClients {
   table: (op: TableOp) => Promise<TableAnswer>;
-  cloud: (ask: CloudRequest) => Promise<CommandResult>;
+  cloud: (request: CloudRequest) => Promise<CommandResult>;
   boxList: () => Promise<readonly BoxListEntry[] | undefined>;
   notices: (afterSequence: number) => Promise<readonly ReclaimNotice[]>;
   writeSnapshot: (snapshot: ConfigSnapshot) => Promise<void>;
@@ -31,24 +31,24 @@
 /** Returns clients for the addresses of the settings. */
 export function createPlatformClients(
   platform: Settings['platform'],
-  isCut: () => boolean,
+  isPartitioned: () => boolean,
 ): PlatformClients {
   const { timeoutMs, requestsPerSecond } = platform;
-  const caller = (url: string): PlatformCaller =>
-    createPlatformCaller({ url, timeoutMs, requestsPerSecond, isCut });
-  const table = caller(platform.tableUrl);
-  const objects = caller(platform.objectStoreUrl);
-  const cloud = caller(platform.cloudUrl);
-  const boxes = caller(platform.boxListUrl);
-  const all = [table, objects, cloud, boxes];
+  const createCaller = (url: string): PlatformCaller =>
+    createPlatformCaller({ url, timeoutMs, requestsPerSecond, isPartitioned });
+  const table = createCaller(platform.tableUrl);
+  const objects = createCaller(platform.objectStoreUrl);
+  const cloud = createCaller(platform.cloudUrl);
+  const boxes = createCaller(platform.boxListUrl);
+  const callers = [table, objects, cloud, boxes];
   return {
     table: async (op) =>
-      tableAnswer(
+      toTableAnswer(
         await table.call<{ rows: TableRow[] }>({ method: 'POST', path: '/v1/table', body: op }),
       ),
-    cloud: async (ask) =>
-      askAnswer(
-        await cloud.call<{ error?: string }>({ method: 'POST', path: '/v1/boxes', body: ask }),
+    cloud: async (request) =>
+      toCommandResult(
+        await cloud.call<{ error?: string }>({ method: 'POST', path: '/v1/boxes', body: request }),
       ),
     boxList: async () => {
       const answer = await boxes.call<BoxListEntry[]>({ method: 'GET', path: '/v1/boxes' });
@@ -67,12 +67,12 @@
       return answer.kind === 'done' ? answer.body : undefined;
     },
     close: async () => {
-      await Promise.all(all.map((client) => client.close()));
+      await Promise.all(callers.map((client) => client.close()));
     },
   };
 }
 
-function tableAnswer(answer: PlatformAnswer<{ rows: TableRow[] }>): TableAnswer {
+function toTableAnswer(answer: PlatformAnswer<{ rows: TableRow[] }>): TableAnswer {
   switch (answer.kind) {
     case 'done':
       return { kind: 'done', rows: answer.body.rows };
@@ -86,7 +86,7 @@
   }
 }
 
-function askAnswer(answer: PlatformAnswer<{ error?: string }>): CommandResult {
+function toCommandResult(answer: PlatformAnswer<{ error?: string }>): CommandResult {
   switch (answer.kind) {
     case 'done':
       return { kind: 'done' };
