--- a/packages/reedlug/src/plans/intentValidation.ts
+++ b/packages/reedlug/src/plans/intentValidation.ts
@@ -16,7 +16,7 @@
   )
   .transform((text) => Date.parse(text));
 
-const limits = {
+const limitFields = {
   requestsPerSecond: z.number(),
   burst: z.number(),
   maxQueued: z.number().default(500),
@@ -28,9 +28,9 @@
     kind: z.literal('createWorkspace'),
     workspaceId: z.string(),
     keySha256: z.string(),
-    ...limits,
+    ...limitFields,
   }),
-  z.strictObject({ kind: z.literal('setLimits'), workspaceId: z.string(), ...limits }),
+  z.strictObject({ kind: z.literal('setLimits'), workspaceId: z.string(), ...limitFields }),
   z.strictObject({
     kind: z.literal('createService'),
     service: z.string(),
--- a/packages/reedlug/src/plans/planShape.ts
+++ b/packages/reedlug/src/plans/planShape.ts
@@ -1,7 +1,7 @@
 /** Shape of a plan as it comes back for confirmation; its digest guards its content. */
 import type { Plan } from 'reedlug-decisions';
 
-const FIELDS: readonly (keyof Plan)[] = [
+const REQUIRED_FIELDS: readonly (keyof Plan)[] = [
   'planId',
   'operatorId',
   'intent',
@@ -16,6 +16,8 @@
 export function isPlan(value: unknown): value is Plan {
   if (typeof value !== 'object' || value === null) return false;
   const plan = value as Record<string, unknown>;
-  const lists = ['steps', 'changes', 'undo', 'basis'].every((field) => Array.isArray(plan[field]));
-  return lists && FIELDS.every((field) => plan[field] !== undefined);
+  const hasArrays = ['steps', 'changes', 'undo', 'basis'].every((field) =>
+    Array.isArray(plan[field]),
+  );
+  return hasArrays && REQUIRED_FIELDS.every((field) => plan[field] !== undefined);
 }
