--- a/packages/reedlug/src/settings/crossFaults.ts
+++ b/packages/reedlug/src/settings/consistencyFaults.ts
@@ -2,57 +2,62 @@
 import type { Settings } from './settingsTypes.js';
 
 /** A fault between entries of the settings file. */
-export interface CrossFault {
+export interface ConsistencyFault {
   path: PropertyKey[];
   message: string;
 }
 
 /** Faults that lie between entries: names that do not exist, names used twice. */
-export function crossFaults(settings: Settings): CrossFault[] {
+export function findConsistencyFaults(settings: Settings): ConsistencyFault[] {
   const zones = new Set(settings.zones.map((zone) => zone.name));
-  const placed = (['boxes', 'engines', 'services', 'offers'] as const).flatMap((section) =>
-    settings[section].flatMap((entry, index) => zoneFault(zones, section, index, entry.zone)),
+  const unknownZones = (['boxes', 'engines', 'services', 'offers'] as const).flatMap((section) =>
+    settings[section].flatMap((entry, index) =>
+      unknownZoneFaults(zones, section, index, entry.zone),
+    ),
   );
-  const doubled = [
-    ...doubledFaults(
+  const duplicates = [
+    ...duplicateIdFaults(
       'boxes',
       settings.boxes.map((box) => box.id),
     ),
-    ...doubledFaults('servers', [
+    ...duplicateIdFaults('servers', [
       ...settings.engines.map((engine) => engine.id),
       ...settings.services.map((service) => service.id),
     ]),
-    ...doubledFaults(
+    ...duplicateIdFaults(
       'workspaces',
       settings.workspaces.map((workspace) => workspace.id),
     ),
-    ...doubledFaults(
+    ...duplicateIdFaults(
       'zones',
       settings.zones.map((zone) => zone.name),
     ),
   ];
-  return [...placed, ...doubled, ...boxFaults(settings), ...routeFaults(settings)];
+  return [...unknownZones, ...duplicates, ...boxFaults(settings), ...routeFaults(settings)];
 }
 
-function zoneFault(
+function unknownZoneFaults(
   zones: ReadonlySet<string>,
   section: string,
   index: number,
   zone: string,
-): CrossFault[] {
+): ConsistencyFault[] {
   if (zones.has(zone)) return [];
   const known = [...zones].join(', ');
   return [{ path: [section, index, 'zone'], message: `zone ${zone} is not among zones: ${known}` }];
 }
 
-function doubledFaults(section: string, ids: readonly string[]): CrossFault[] {
-  const doubled = ids.filter((id, index) => ids.indexOf(id) !== index);
-  return doubled.map((id) => ({ path: [section], message: `${id} stands twice; ids must differ` }));
+function duplicateIdFaults(section: string, ids: readonly string[]): ConsistencyFault[] {
+  const duplicates = ids.filter((id, index) => ids.indexOf(id) !== index);
+  return duplicates.map((id) => ({
+    path: [section],
+    message: `${id} stands twice; ids must differ`,
+  }));
 }
 
-function boxFaults(settings: Settings): CrossFault[] {
+function boxFaults(settings: Settings): ConsistencyFault[] {
   const ids = settings.boxes.map((box) => box.id);
-  const faults: CrossFault[] = [];
+  const faults: ConsistencyFault[] = [];
   if (settings.box !== undefined && !ids.includes(settings.box)) {
     faults.push({
       path: ['box'],
@@ -76,7 +81,7 @@
   return faults;
 }
 
-function routeFaults(settings: Settings): CrossFault[] {
+function routeFaults(settings: Settings): ConsistencyFault[] {
   const services = new Set(settings.services.map((service) => service.service));
   const known = [...services].join(', ');
   return settings.routes.flatMap((route, index) => {
--- a/packages/reedlug/src/settings/settingsFile.ts
+++ b/packages/reedlug/src/settings/settingsFile.ts
@@ -23,7 +23,7 @@
 /** One line for each fault: file, line, path, what would be right. */
 export function faultLines(path: string, faults: readonly SettingsFault[]): string[] {
   return faults.map((fault) => {
-    const at = fault.path === '' ? '' : ` ${fault.path}:`;
-    return `${path}:${fault.line}:${at} ${fault.message}`;
+    const location = fault.path === '' ? '' : ` ${fault.path}:`;
+    return `${path}:${fault.line}:${location} ${fault.message}`;
   });
 }
--- a/packages/reedlug/src/settings/settingsSchema.ts
+++ b/packages/reedlug/src/settings/settingsSchema.ts
@@ -13,8 +13,8 @@
   .string()
   .regex(/^[0-9a-f]{64}$/, 'must be the SHA-256 of the key in hex; see reedlug settings hash-key');
 const positive = z.number().positive();
-const ms = z.number().nonnegative();
-const count = z.number().int().positive();
+const nonNegative = z.number().nonnegative();
+const positiveInteger = z.number().int().positive();
 const requestClass = z.enum([RequestClass.urgent, RequestClass.patient]);
 
 /** An optional section whose keys default one by one. */
@@ -22,18 +22,20 @@
   defaults: T,
   shape: { [K in keyof T]: z.ZodType<T[K]> },
 ): z.ZodType<T> {
-  const withEach = Object.fromEntries(
+  const shapeWithDefaults = Object.fromEntries(
     Object.entries(shape).map(([key, type]) => [
       key,
       (type as z.ZodType).default(defaults[key as keyof T] as never),
     ]),
   );
-  return z.strictObject(withEach).default(defaults as never) as unknown as z.ZodType<T>;
+  return z.strictObject(shapeWithDefaults).default(defaults as never) as unknown as z.ZodType<T>;
 }
 
 const weights = z.strictObject({
-  recomputePerThousandTokens: ms.default(DEFAULT_POLICY.weights.recomputePerThousandTokens),
-  waitPerSecond: ms.default(DEFAULT_POLICY.weights.waitPerSecond),
+  recomputePerThousandTokens: nonNegative.default(
+    DEFAULT_POLICY.weights.recomputePerThousandTokens,
+  ),
+  waitPerSecond: nonNegative.default(DEFAULT_POLICY.weights.waitPerSecond),
 });
 
 const policy = withDefaults(DEFAULT_POLICY, {
@@ -46,11 +48,11 @@
   routeOverSite: z.boolean(),
   weights,
   urgentReservedSlots: z.number().int().nonnegative(),
-  patientFloorEvery: count,
-  longestHoldMs: ms,
+  patientFloorEvery: positiveInteger,
+  longestHoldMs: nonNegative,
   engineQueueAllowance: z.number().int().nonnegative(),
-  retryShare: ms,
-  retryCapacity: count,
+  retryShare: nonNegative,
+  retryCapacity: positiveInteger,
   retryBaseMs: positive,
   retryCapMs: positive,
   secondTryAfterMs: positive,
@@ -60,7 +62,7 @@
   prefillTokensPerMs: positive,
   interTokenMs: positive,
   kvTokensPerMs: positive,
-  crossZoneMs: ms,
+  crossZoneMs: nonNegative,
 });
 
 const control = withDefaults(
@@ -71,12 +73,12 @@
 );
 
 const callerLimits = z.strictObject({
-  maxBodyBytes: count.default(1_048_576),
-  maxHeaderBytes: count.default(16_384),
+  maxBodyBytes: positiveInteger.default(1_048_576),
+  maxHeaderBytes: positiveInteger.default(16_384),
   headersTimeoutMs: positive.default(5000),
   requestTimeoutMs: positive.default(30_000),
-  maxTokensDefault: count.default(256),
-  maxTokensLimit: count.default(16_384),
+  maxTokensDefault: positiveInteger.default(256),
+  maxTokensLimit: positiveInteger.default(16_384),
   deadlineDefaultMs: positive.default(120_000),
   urgentDeadlineDefaultMs: positive.default(5000),
   deadlineLimitMs: positive.default(3_600_000),
@@ -96,12 +98,12 @@
 
 const standins = z.strictObject({
   /** Time that one way between zones takes. */
-  zoneLatencyMs: ms.default(1.5),
-  kvCapacityTokens: count.default(120_000),
+  zoneLatencyMs: nonNegative.default(1.5),
+  kvCapacityTokens: positiveInteger.default(120_000),
   prefillTokensPerMs: positive.default(8),
   interTokenMs: positive.default(25),
-  crowding: ms.default(0.5),
-  serviceAnswerMs: ms.default(5),
+  crowding: nonNegative.default(0.5),
+  serviceAnswerMs: nonNegative.default(5),
 });
 
 /** The whole file. */
@@ -122,7 +124,7 @@
       zone: name,
       model: name,
       version: z.string().default(''),
-      slots: count,
+      slots: positiveInteger,
       address: url,
       machineClass: name.default('standard'),
       reclaimable: z.boolean(),
@@ -135,7 +137,7 @@
         id: name,
         zone: name,
         service: name,
-        slots: count.default(64),
+        slots: positiveInteger.default(64),
         address: url,
       }),
     )
@@ -159,7 +161,7 @@
         keySha256: sha256,
         requestsPerSecond: positive,
         burst: positive,
-        maxQueued: count.default(500),
+        maxQueued: positiveInteger.default(500),
         requestClass: requestClass.optional(),
       }),
     )
@@ -172,7 +174,7 @@
         zone: name,
         reclaimable: z.boolean(),
         pricePerHour: positive,
-        reclaimsPerHour: ms,
+        reclaimsPerHour: nonNegative,
       }),
     )
     .default([]),
@@ -181,9 +183,9 @@
       z.strictObject({
         model: name,
         version: z.string().default(''),
-        slotsPerEngine: count,
-        minEngines: count,
-        maxEngines: count,
+        slotsPerEngine: positiveInteger,
+        minEngines: positiveInteger,
+        maxEngines: positiveInteger,
         onDemandFloor: z.number().int().nonnegative(),
         checksFence: z.boolean().default(true),
       }),
@@ -193,7 +195,11 @@
   control,
   callers: callerLimits.prefault({}),
   metrics: z
-    .strictObject({ host: z.string(), port: count, prefix: z.string().default('reedlug.') })
+    .strictObject({
+      host: z.string(),
+      port: positiveInteger,
+      prefix: z.string().default('reedlug.'),
+    })
     .optional(),
   standins: standins.prefault({}),
 });
--- a/packages/reedlug/src/settings/settingsValidation.ts
+++ b/packages/reedlug/src/settings/settingsValidation.ts
@@ -6,7 +6,7 @@
  */
 import type { z } from 'zod';
 import { parseLocatedYaml } from 'reedlug-gateway';
-import { crossFaults } from './crossFaults.js';
+import { findConsistencyFaults } from './consistencyFaults.js';
 import { settingsSchema } from './settingsSchema.js';
 import type { Settings } from './settingsTypes.js';
 
@@ -36,7 +36,7 @@
       faults: parsed.error.issues.flatMap((issue) => faultsOf(issue, locate)),
     };
   }
-  const faults = crossFaults(parsed.data).map(({ path, message }) => ({
+  const faults = findConsistencyFaults(parsed.data).map(({ path, message }) => ({
     line: locate(path),
     path: path.join('.'),
     message,
