--- a/packages/reedlug/src/observe/histograms.ts
+++ b/packages/reedlug/src/observe/histograms.ts
@@ -33,7 +33,7 @@
 
 /** Values are kept in hundredths of a ms, so that short times keep their digits. */
 const UNITS_PER_MS = 100;
-const HIGHEST_MS = 3_600_000;
+const MAX_VALUE_MS = 3_600_000;
 
 interface Entry {
   workspaceId: string;
@@ -50,17 +50,17 @@
       const name = `${key.workspaceId} ${key.requestClass} ${key.measure}`;
       let entry = entries.get(name);
       if (entry === undefined) {
-        entry = { ...key, histogram: newHistogram() };
+        entry = { ...key, histogram: createHistogram() };
         entries.set(name, entry);
       }
-      const value = Math.min(HIGHEST_MS, Math.max(0, valueMs)) * UNITS_PER_MS;
+      const value = Math.min(MAX_VALUE_MS, Math.max(0, valueMs)) * UNITS_PER_MS;
       entry.histogram.recordValue(Math.round(value));
     },
-    rows: () => [...entries.values()].map(rowOf),
+    rows: () => [...entries.values()].map(toRow),
   };
 }
 
-function newHistogram(): Histogram {
+function createHistogram(): Histogram {
   return build({
     bitBucketSize: 32,
     autoResize: true,
@@ -70,7 +70,7 @@
   });
 }
 
-function rowOf({ histogram, ...key }: Entry): HistogramRow {
+function toRow({ histogram, ...key }: Entry): HistogramRow {
   const at = (percentile: number): number =>
     histogram.getValueAtPercentile(percentile) / UNITS_PER_MS;
   return {
