--- a/packages/reedlug/src/commands/check.ts
+++ b/packages/reedlug/src/commands/check.ts
@@ -34,9 +34,11 @@
     const minEvents = Number(this.events);
     if (!Number.isInteger(minEvents) || minEvents < 1) faults.push('--events must be 1 or more');
     const kinds = this.faults === undefined ? ALL_FAULTS : this.faults.split(',');
-    const unknown = kinds.filter((kind) => !ALL_FAULTS.includes(kind as FaultKind));
-    if (unknown.length > 0) {
-      faults.push(`--faults does not know ${unknown.join(', ')}; known: ${ALL_FAULTS.join(', ')}`);
+    const unknownKinds = kinds.filter((kind) => !ALL_FAULTS.includes(kind as FaultKind));
+    if (unknownKinds.length > 0) {
+      faults.push(
+        `--faults does not know ${unknownKinds.join(', ')}; known: ${ALL_FAULTS.join(', ')}`,
+      );
     }
     if (seeds === undefined || faults.length > 0) {
       this.context.stderr.write(`${faults.join('\n')}\n`);
--- a/packages/reedlug/src/commands/entry.ts
+++ b/packages/reedlug/src/commands/entry.ts
@@ -36,7 +36,7 @@
     const trace = this.tracePath === undefined ? undefined : createWriteStream(this.tracePath);
     const onEvent = (event: BoxEvent): void => void trace?.write(`${JSON.stringify(event)}\n`);
     const incarnation = Date.now();
-    const stopped = withResolver<Error | undefined>();
+    const stopped = createResolvable<Error | undefined>();
     const daemon = await startEntryDaemon({
       settings,
       box,
@@ -68,8 +68,8 @@
   }
 
   private findBox(settings: Settings): BoxSettings | undefined {
-    const wanted = this.boxId ?? settings.box;
-    const box = settings.boxes.find(({ id }) => id === wanted);
+    const wantedId = this.boxId ?? settings.box;
+    const box = settings.boxes.find(({ id }) => id === wantedId);
     if (box !== undefined) return box;
     const known = settings.boxes.map(({ id }) => id).join(', ');
     this.context.stderr.write(`name the box by --box or the key box; boxes: ${known}\n`);
@@ -77,10 +77,10 @@
   }
 }
 
-function withResolver<T>(): { promise: Promise<T>; resolve: (value: T) => void } {
+function createResolvable<T>(): { promise: Promise<T>; resolve: (value: T) => void } {
   let resolve: (value: T) => void = () => undefined;
-  const promise = new Promise<T>((take) => {
-    resolve = take;
+  const promise = new Promise<T>((resolvePromise) => {
+    resolve = resolvePromise;
   });
   return { promise, resolve };
 }
--- a/packages/reedlug/src/commands/explainLimits.ts
+++ b/packages/reedlug/src/commands/explainLimits.ts
@@ -2,7 +2,7 @@
 import { readFile } from 'node:fs/promises';
 import { Command, Option } from 'clipanion';
 import { limitAccount, limitRefusals } from 'reedlug-gateway';
-import { table } from './textTable.js';
+import { formatTable } from './textTable.js';
 
 const MS_PER_SECOND = 1000;
 
@@ -28,7 +28,7 @@
     const cells = rows.map(({ workspace, refusals, within, withinAfterStart, medianUsedShare }) => {
       return [workspace, refusals, within, withinAfterStart, medianUsedShare.toFixed(2)];
     });
-    this.context.stdout.write(`${table(header, cells).join('\n')}\n`);
+    this.context.stdout.write(`${formatTable(header, cells).join('\n')}\n`);
     return 0;
   }
 }
--- a/packages/reedlug/src/commands/measure.ts
+++ b/packages/reedlug/src/commands/measure.ts
@@ -12,7 +12,7 @@
 import type { Settings } from '../settings/settingsTypes.js';
 import { parseSeedRange } from './seedRange.js';
 import { SettingsCommand } from './settingsCommand.js';
-import { table } from './textTable.js';
+import { formatTable } from './textTable.js';
 
 /** Prints the same figures for a seed on every machine. */
 export class MeasureCommand extends SettingsCommand {
@@ -42,8 +42,8 @@
   override async execute(): Promise<number> {
     const settings = await this.loadSettings();
     if (settings === undefined) return 1;
-    const scenarios = namesOf(this.scenario, Object.values(ScenarioName));
-    const policies = namesOf(this.policy, Object.values(PolicyVariant));
+    const scenarios = parseNames(this.scenario, Object.values(ScenarioName));
+    const policies = parseNames(this.policy, Object.values(PolicyVariant));
     const seeds = parseSeedRange(this.seed);
     if (scenarios === undefined || policies === undefined || seeds === undefined) {
       this.context.stderr.write('see reedlug measure --help for scenarios, policies and seeds\n');
@@ -73,7 +73,10 @@
   }
 }
 
-function namesOf<T extends string>(wanted: string, known: readonly T[]): readonly T[] | undefined {
+function parseNames<T extends string>(
+  wanted: string,
+  known: readonly T[],
+): readonly T[] | undefined {
   if (wanted === 'all') return known;
   const names = wanted.split(',');
   return names.every((name) => known.includes(name as T)) ? (names as T[]) : undefined;
@@ -116,7 +119,7 @@
     row.lost,
     row.busiestOverLeast,
   ]);
-  return table(header, rows);
+  return formatTable(header, rows);
 }
 
 function resultLines(results: readonly Measurement[]): string[] {
@@ -135,10 +138,10 @@
     'LOST U/P',
     'BUSIEST/LEAST',
   ];
-  return table(header, results.map(rowOf));
+  return formatTable(header, results.map(resultRow));
 }
 
-function rowOf(result: Measurement): (string | number)[] {
+function resultRow(result: Measurement): (string | number)[] {
   const { urgent, patient } = result.firstToken;
   return [
     result.scenario,
--- a/packages/reedlug/src/commands/plan.ts
+++ b/packages/reedlug/src/commands/plan.ts
@@ -5,13 +5,13 @@
 import type { ConfirmedPlan, OperatorAnswer, Plan } from 'reedlug-decisions';
 import { parseIntent } from '../plans/intentValidation.js';
 import { AdminCommand } from './adminClient.js';
-import { table } from './textTable.js';
+import { formatTable } from './textTable.js';
 
 /** A command that drafts a plan and writes it to a file. */
 abstract class DraftCommand extends AdminCommand {
   abstract out: string;
 
-  protected async show(answer: OperatorAnswer): Promise<number> {
+  protected async writePlan(answer: OperatorAnswer): Promise<number> {
     if (answer.kind !== 'planned') {
       this.printLines(answerLines(answer));
       return 1;
@@ -42,7 +42,7 @@
     if (parsed.kind === 'invalid') return this.fail(parsed.faults);
     const answer = await this.ask<OperatorAnswer>('POST', '/admin/plans', document.value);
     if (answer === undefined) return 1;
-    return this.show(answer.value);
+    return this.writePlan(answer.value);
   }
 
   private fail(faults: readonly string[]): number {
@@ -115,7 +115,7 @@
     const path = `/admin/plans/${encodeURIComponent(this.planId)}/undo`;
     const answer = await this.ask<OperatorAnswer>('POST', path, {});
     if (answer === undefined) return 1;
-    return this.show(answer.value);
+    return this.writePlan(answer.value);
   }
 }
 
@@ -136,8 +136,8 @@
     `rests on: ${basis.join(', ')}`,
     `digest: ${plan.digest}`,
     '',
-    ...table(['TIME', 'STEP'], steps),
-    ...(boxes.length > 0 ? ['', ...table(['BOXES', 'ZONE', 'CLASS', 'KIND'], boxes)] : []),
+    ...formatTable(['TIME', 'STEP'], steps),
+    ...(boxes.length > 0 ? ['', ...formatTable(['BOXES', 'ZONE', 'CLASS', 'KIND'], boxes)] : []),
     ...(plan.risks.length > 0 ? ['', ...plan.risks.map((risk) => `risk: ${risk}`)] : []),
   ];
 }
@@ -175,5 +175,5 @@
     operatorId,
     intent.kind,
   ]);
-  return table(['REVISION', 'PLAN', 'OPERATOR', 'INTENT'], rows);
+  return formatTable(['REVISION', 'PLAN', 'OPERATOR', 'INTENT'], rows);
 }
--- a/packages/reedlug/src/commands/simulate.ts
+++ b/packages/reedlug/src/commands/simulate.ts
@@ -64,13 +64,15 @@
     if (scene === undefined) return 1;
     const reports: SceneReport[] = [];
     for (let seed = seeds.first; seed <= seeds.last; seed += 1) {
-      reports.push(await runScene(this.drawn(scene, seed), seed, (line) => this.printLog(line)));
+      reports.push(
+        await runScene(this.withGeneratedFaults(scene, seed), seed, (line) => this.printLog(line)),
+      );
     }
     this.context.stdout.write(`${this.linesOf(reports).join('\n')}\n`);
     return reports.every(({ broken }) => broken.length === 0) ? 0 : 1;
   }
 
-  private drawn(scene: Scene, seed: number): Scene {
+  private withGeneratedFaults(scene: Scene, seed: number): Scene {
     if (this.draw) return drawLimitTroubles(scene, seed);
     if (this.drawCopies) return drawCopies(scene, seed);
     if (this.drawStatements) return drawStatements(scene, seed);
--- a/packages/reedlug/src/commands/simulateReport.ts
+++ b/packages/reedlug/src/commands/simulateReport.ts
@@ -1,7 +1,7 @@
 /** Text of the reports of a simulation. */
 import { median } from 'reedlug-check';
 import type { OutcomeRow, SceneReport } from 'reedlug-simulator';
-import { table } from './textTable.js';
+import { formatTable } from './textTable.js';
 
 /** A figure of a report, by which runs are compared. */
 interface Figure {
@@ -58,7 +58,7 @@
     return [name, text(median(values)), ...ends];
   });
   const ends = several ? ['LEAST', 'MOST'] : [];
-  return table(['FIGURE', several ? 'MEDIAN' : 'VALUE', ...ends], rows);
+  return formatTable(['FIGURE', several ? 'MEDIAN' : 'VALUE', ...ends], rows);
 }
 
 function brokenLines(reports: readonly SceneReport[]): string[] {
@@ -95,7 +95,7 @@
 
 function outcomeLines(label: string, rows: readonly OutcomeRow[]): string[] {
   const header = [label, 'ASKED', 'IN TIME', 'LATE', 'REFUSED', 'FAILED', 'LEFT', 'EARNED'];
-  return table(
+  return formatTable(
     header,
     rows.map((row) => [
       row.name,
@@ -115,10 +115,10 @@
   before: readonly SceneReport[],
   after: readonly SceneReport[],
 ): string[] {
-  const earlier = new Map(before.map((report) => [report.seed, report]));
+  const beforeBySeed = new Map(before.map((report) => [report.seed, report]));
   const pairs = after.flatMap((report) => {
-    const known = earlier.get(report.seed);
-    return known === undefined ? [] : [{ before: known, after: report }];
+    const earlier = beforeBySeed.get(report.seed);
+    return earlier === undefined ? [] : [{ before: earlier, after: report }];
   });
   if (pairs.length === 0) return ['the two sets of runs have no seed in common'];
   const rows = FIGURES.map(({ name, of, digits }) => {
@@ -131,5 +131,5 @@
       differences.map(text).join(' '),
     ];
   });
-  return table(['FIGURE', 'BEFORE', 'AFTER', 'DIFFERENCE BY SEED'], rows);
+  return formatTable(['FIGURE', 'BEFORE', 'AFTER', 'DIFFERENCE BY SEED'], rows);
 }
--- a/packages/reedlug/src/commands/simulateRollouts.ts
+++ b/packages/reedlug/src/commands/simulateRollouts.ts
@@ -38,19 +38,19 @@
       }
       return 1;
     }
-    const sound = createTally();
+    const good = createTally();
     const bad = createTally();
     for (let seed = seeds.first; seed <= seeds.last; seed += 1) {
-      const drawn = drawRollout(read.scene, seed, this.trouble);
-      const report = await runScene(drawn.scene, seed);
-      this.count(drawn.isBad ? bad : sound, report, drawn.label);
+      const generated = drawRollout(read.scene, seed, this.trouble);
+      const report = await runScene(generated.scene, seed);
+      this.addToTally(generated.isBad ? bad : good, report, generated.label);
     }
-    this.printTally('sound', sound);
+    this.printTally('sound', good);
     this.printTally('bad', bad);
-    return sound.broken + bad.broken === 0 ? 0 : 1;
+    return good.broken + bad.broken === 0 ? 0 : 1;
   }
 
-  private count(tally: Tally, report: SceneReport, label: string): void {
+  private addToTally(tally: Tally, report: SceneReport, label: string): void {
     const [rollout] = report.rollouts;
     if (rollout === undefined) return;
     const { end, tookMs, durationMs, arrivals, trialArrivals, badAnswers } = rollout;
--- a/packages/reedlug/src/commands/status.ts
+++ b/packages/reedlug/src/commands/status.ts
@@ -3,7 +3,7 @@
 import type { BoxStatus } from '../http/boxStatus.js';
 import type { HistogramRow } from '../observe/histograms.js';
 import { AdminCommand } from './adminClient.js';
-import { table } from './textTable.js';
+import { formatTable } from './textTable.js';
 
 /** Boxes, servers, zones, revisions and queues as one box sees them. */
 export class StatusCommand extends AdminCommand {
@@ -28,17 +28,17 @@
     `box ${box} in ${zone}: ${ready ? 'ready' : 'not ready'}, revision ${revision}, ` +
       `${unsettledRequests} requests in progress, lease ${leaseFence ?? 'not held'}`,
     '',
-    ...table(
+    ...formatTable(
       ['BOX', 'ZONE', 'STATE', 'REVISION'],
       status.boxes.map((item) => [item.id, item.zone, item.state, item.revision]),
     ),
     '',
-    ...table(
+    ...formatTable(
       ['ZONE', 'SITE', 'BOXES', 'ENGINES'],
       status.zones.map((item) => [item.name, item.site, item.liveBoxes, item.liveEngines]),
     ),
     '',
-    ...table(
+    ...formatTable(
       ['SERVER', 'KIND', 'ZONE', 'POOL', 'STATE', 'OPEN HERE', 'RUNNING'],
       status.servers.map((item) => [
         item.id,
@@ -51,7 +51,7 @@
       ]),
     ),
     '',
-    ...table(
+    ...formatTable(
       ['POOL', 'URGENT WAITING', 'PATIENT WAITING'],
       status.queues.map((item) => [item.pool, item.urgent, item.patient]),
     ),
@@ -83,7 +83,7 @@
       row.p95Ms,
       row.p99Ms,
     ]);
-    this.printLines(table(header, rows));
+    this.printLines(formatTable(header, rows));
     return 0;
   }
 }
--- a/packages/reedlug/src/commands/textTable.ts
+++ b/packages/reedlug/src/commands/textTable.ts
@@ -1,7 +1,7 @@
 /** Text tables for the terminal. */
 
 /** Lines of a table with aligned columns. */
-export function table(
+export function formatTable(
   header: readonly string[],
   rows: readonly (readonly (string | number)[])[],
 ): string[] {
