--- a/packages/reedlug/src/demo.ts
+++ b/packages/reedlug/src/demo.ts
@@ -12,14 +12,14 @@
 import { readSettingsFile } from './settings/settingsFile.js';
 
 const MAX_TOKENS = 160;
-const RECLAIM_AT_TOKENS = 40;
+const TOKENS_BEFORE_RECLAIM = 40;
 const NOTICE_MS = 1500;
 const PROMPT = 'Draft the conformance report of meter batch 7.';
 
 /** What came of the demo. */
 interface DemoResult {
-  draftIsWhole: boolean;
-  lookUpIsWhole: boolean;
+  isDraftComplete: boolean;
+  isLookUpComplete: boolean;
 }
 
 /** Runs the demo over a settings file; resolves with the exit code. */
@@ -38,8 +38,8 @@
   const cluster = await startDevCluster(read.settings, logger);
   try {
     const result = await runCalls(cluster, print);
-    print(`draft whole: ${result.draftIsWhole}; look-up whole: ${result.lookUpIsWhole}`);
-    return result.draftIsWhole && result.lookUpIsWhole ? 0 : 1;
+    print(`draft whole: ${result.isDraftComplete}; look-up whole: ${result.isLookUpComplete}`);
+    return result.isDraftComplete && result.isLookUpComplete ? 0 : 1;
   } finally {
     await cluster.close();
   }
@@ -47,7 +47,7 @@
 
 async function runCalls(cluster: DevCluster, print: (line: string) => void): Promise<DemoResult> {
   const [box] = cluster.boxes;
-  if (box === undefined) return { draftIsWhole: false, lookUpIsWhole: false };
+  if (box === undefined) return { isDraftComplete: false, isLookUpComplete: false };
   const draft = await streamDraft(cluster, box, async () => {
     const zone = runningZone(cluster, box);
     print(`reclaiming ${zone} with ${NOTICE_MS} ms notice, in mid-stream`);
@@ -58,8 +58,8 @@
   print(`look-up: ${lookUp}`);
   const expected = answerText(String(hashString(`user: ${PROMPT}\n`)), MAX_TOKENS);
   return {
-    draftIsWhole: draft.done && draft.text === expected,
-    lookUpIsWhole: lookUp.includes('"registered"'),
+    isDraftComplete: draft.done && draft.text === expected,
+    isLookUpComplete: lookUp.includes('"registered"'),
   };
 }
 
@@ -80,7 +80,7 @@
 async function streamDraft(
   cluster: DevCluster,
   box: DevBox,
-  onMiddle: () => Promise<void>,
+  onReclaimPoint: () => Promise<void>,
 ): Promise<Draft> {
   const response = await request(`${box.address}/v1/chat/completions`, {
     method: 'POST',
@@ -96,15 +96,15 @@
   const parser = createSseParser();
   let reclaimed = false;
   for await (const chunk of response.body) {
-    parser.push(String(chunk), (data) => takeEvent(draft, data));
-    if (reclaimed || draft.tokens < RECLAIM_AT_TOKENS) continue;
+    parser.push(String(chunk), (data) => applyEvent(draft, data));
+    if (reclaimed || draft.tokens < TOKENS_BEFORE_RECLAIM) continue;
     reclaimed = true;
-    await onMiddle();
+    await onReclaimPoint();
   }
   return draft;
 }
 
-function takeEvent(draft: Draft, data: string): void {
+function applyEvent(draft: Draft, data: string): void {
   if (data === '[DONE]') {
     draft.done = true;
     return;
