--- a/packages/reedlug/src/__tests__/api.test.ts
+++ b/packages/reedlug/src/__tests__/api.test.ts
@@ -103,7 +103,7 @@
   });
 
   test('a lost answer of the table does not double a notice', async () => {
-    await cluster.throwFault({ kind: 'loseAnswers', count: 1 });
+    await cluster.injectFault({ kind: 'loseAnswers', count: 1 });
     const headers = { 'idempotency-key': 'lost-answer' };
     const { status } = await call(cluster, `${RECORDS}/notices`, {
       body: refOf('lost-answer'),
@@ -114,14 +114,14 @@
   });
 
   test('without the table a keyed notice is not run and the rest goes on', async () => {
-    await cluster.throwFault({ kind: 'tableDown', on: true });
+    await cluster.injectFault({ kind: 'tableDown', on: true });
     const headers = { 'idempotency-key': 'table-away' };
     const refused = await call(cluster, `${RECORDS}/notices`, {
       body: refOf('table-away'),
       headers,
     });
     const served = await call(cluster, '/v1/chat/completions', { body: draft(3, 'goes on') });
-    await cluster.throwFault({ kind: 'tableDown', on: false });
+    await cluster.injectFault({ kind: 'tableDown', on: false });
     expect(refused.status).equal(503);
     expect(refused.json.error).include({ type: 'unavailable', outcome: 'notRun' });
     expect(served.status).equal(200);
@@ -317,7 +317,7 @@
       headers: { authorization: `Bearer ${cluster.key}` },
       body: JSON.stringify({ ...draft(80, 'drain'), stream: true }),
     });
-    await cluster.throwFault({ kind: 'stopBox', box: box.id });
+    await cluster.injectFault({ kind: 'stopBox', box: box.id });
     expect((await call(cluster, '/readyz', { box: 6 })).status).equal(503);
     const text = await response.body.text();
     expect(text.match(/^id: /gm)).length(80);
@@ -332,7 +332,7 @@
       body: JSON.stringify({ ...draft(400, 'hand over'), stream: true }),
     });
     const id = String(response.headers['x-request-id']);
-    await cluster.throwFault({ kind: 'reclaimBox', box: box.id, noticeMs: 2500 });
+    await cluster.injectFault({ kind: 'reclaimBox', box: box.id, noticeMs: 2500 });
     const text = await response.body.text();
     expect(text).match(/event: reconnect/);
     const last = [...text.matchAll(/^id: (\d+)$/gm)].at(-1)?.[1] ?? '0';
@@ -351,8 +351,8 @@
       body: JSON.stringify(draft(200, 'reclaimed')),
     });
     await pause(100);
-    await cluster.throwFault({ kind: 'reclaimZone', zone: 'hall-b', noticeMs: 400 });
-    await cluster.throwFault({ kind: 'reclaimZone', zone: 'hall-a', noticeMs: 600 });
+    await cluster.injectFault({ kind: 'reclaimZone', zone: 'hall-b', noticeMs: 400 });
+    await cluster.injectFault({ kind: 'reclaimZone', zone: 'hall-a', noticeMs: 600 });
     const { body } = await response;
     expect(contentOf((await body.json()) as Record<string, unknown>)).equal(
       expectedText('reclaimed', 200),
--- a/packages/reedlug/src/demo.ts
+++ b/packages/reedlug/src/demo.ts
@@ -51,7 +51,7 @@
   const draft = await streamDraft(cluster, box, async () => {
     const zone = runningZone(cluster, box);
     print(`reclaiming ${zone} with ${NOTICE_MS} ms notice, in mid-stream`);
-    await cluster.throwFault({ kind: 'reclaimZone', zone, noticeMs: NOTICE_MS });
+    await cluster.injectFault({ kind: 'reclaimZone', zone, noticeMs: NOTICE_MS });
   });
   const lookUp = await lookUpSample(cluster, box);
   print(`draft: ${draft.text.slice(0, 60)}… (${draft.tokens} tokens, done: ${draft.done})`);
--- a/packages/reedlug/src/dev/devCluster.ts
+++ b/packages/reedlug/src/dev/devCluster.ts
@@ -15,11 +15,11 @@
   boxListOf,
   startDevEngine,
   startDevService,
-  startedSpec,
+  startedEngineSpec,
   type DevServer,
 } from './devServers.js';
-import { startFaultServer, throwFault } from './faultSwitches.js';
-import { onLoopback } from './loopbackSettings.js';
+import { startFaultServer, injectFault } from './faultServer.js';
+import { toLoopbackSettings } from './loopbackSettings.js';
 
 /** A running cluster. */
 export interface DevCluster {
@@ -32,7 +32,7 @@
   settings: Settings;
   servers: Map<string, DevServer>;
   platform: PlatformServer;
-  throwFault: (fault: DevFault) => Promise<void>;
+  injectFault: (fault: DevFault) => Promise<void>;
   close: () => Promise<void>;
 }
 
@@ -43,7 +43,10 @@
   onEvent?: (boxId: string) => ((event: import('reedlug-decisions').BoxEvent) => void) | undefined,
 ): Promise<DevCluster> {
   const platform = await startPlatformServer(0, 1000);
-  const { settings, workspaceKeys, operatorKey } = await onLoopback(given, platform.server.address);
+  const { settings, workspaceKeys, operatorKey } = await toLoopbackSettings(
+    given,
+    platform.server.address,
+  );
   const cluster: Cluster = {
     settings,
     logger,
@@ -51,16 +54,16 @@
     platform,
     boxes: [],
     httpServers: new Map(),
-    cutFromPlatform: new Set(),
+    zonesWithoutPlatform: new Set(),
     cutZones: new Set(),
     timers: new Set(),
-    incarnations: Date.now(),
+    lastIncarnation: Date.now(),
   };
   await startServers(cluster);
-  wirePlatform(cluster);
+  connectPlatform(cluster);
   for (const box of settings.boxes) await startBox(cluster, box, onEvent?.(box.id));
   const faults = await startFaultServer(cluster);
-  await allReady(cluster);
+  await waitUntilReady(cluster);
   const [firstKey] = workspaceKeys.values();
   return {
     boxes: cluster.boxes,
@@ -71,7 +74,7 @@
     settings,
     servers: cluster.servers,
     platform,
-    throwFault: (fault) => throwFault(cluster, fault),
+    injectFault: (fault) => injectFault(cluster, fault),
     close: () => closeAll(cluster, faults),
   };
 }
@@ -97,11 +100,11 @@
   }));
 }
 
-function wirePlatform(cluster: Cluster): void {
+function connectPlatform(cluster: Cluster): void {
   const { platform, settings } = cluster;
   platform.setBoxes(boxListOf(cluster.servers.values()));
   platform.onStart(async (ask) => {
-    const spec = startedSpec(settings, ask);
+    const spec = startedEngineSpec(settings, ask);
     const server = await startDevEngine(settings, spec, nextIncarnation(cluster));
     cluster.servers.set(spec.id, server);
     platform.setBoxes(boxListOf(cluster.servers.values()));
@@ -131,7 +134,7 @@
     peerTls: undefined,
     logger: boxLogger,
     partitions: {
-      platform: () => cluster.cutFromPlatform.has(box.zone),
+      platform: () => cluster.zonesWithoutPlatform.has(box.zone),
       zone: (zone) => cluster.cutZones.has(`${box.zone}|${zone}`),
     },
     onEvent,
@@ -148,17 +151,18 @@
   cluster.httpServers.set(box.id, server);
 }
 
-async function allReady(cluster: Cluster): Promise<void> {
-  const LOOK_EVERY_MS = 25;
-  const GIVE_UP_MS = 10_000;
+async function waitUntilReady(cluster: Cluster): Promise<void> {
+  const POLL_INTERVAL_MS = 25;
+  const READY_TIMEOUT_MS = 10_000;
   const sinceMs = performance.now();
-  while (!cluster.boxes.every((box) => box.daemon.ready() && seesServers(cluster, box))) {
-    if (performance.now() - sinceMs > GIVE_UP_MS) throw new Error('the boxes did not get ready');
-    await new Promise((resolve) => setTimeout(resolve, LOOK_EVERY_MS));
+  while (!cluster.boxes.every((box) => box.daemon.ready() && seesAllServersLive(cluster, box))) {
+    if (performance.now() - sinceMs > READY_TIMEOUT_MS)
+      throw new Error('the boxes did not get ready');
+    await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 }
 
-function seesServers(cluster: Cluster, box: DevBox): boolean {
+function seesAllServersLive(cluster: Cluster, box: DevBox): boolean {
   const { members } = box.daemon.state.serverMembers;
   return [...cluster.servers.keys()].every((id) => members.get(id)?.state === 'live');
 }
--- a/packages/reedlug/src/dev/devFaults.ts
+++ b/packages/reedlug/src/dev/devFaults.ts
@@ -2,23 +2,23 @@
 import { z } from 'zod';
 
 const on = z.boolean().default(true);
-const noticeMs = z.number().nonnegative();
+const durationMs = z.number().nonnegative();
 
 /** The faults that can be thrown. */
 export const faultSchema = z.discriminatedUnion('kind', [
-  z.strictObject({ kind: z.literal('reclaimZone'), zone: z.string(), noticeMs }),
-  z.strictObject({ kind: z.literal('reclaimServer'), server: z.string(), noticeMs }),
+  z.strictObject({ kind: z.literal('reclaimZone'), zone: z.string(), noticeMs: durationMs }),
+  z.strictObject({ kind: z.literal('reclaimServer'), server: z.string(), noticeMs: durationMs }),
   z.strictObject({ kind: z.literal('killServer'), server: z.string() }),
-  z.strictObject({ kind: z.literal('stallServer'), server: z.string(), forMs: noticeMs }),
+  z.strictObject({ kind: z.literal('stallServer'), server: z.string(), forMs: durationMs }),
   z.strictObject({ kind: z.literal('refuseStarts'), on }),
   z.strictObject({ kind: z.literal('tableDown'), on }),
-  z.strictObject({ kind: z.literal('tableSlow'), byMs: noticeMs }),
+  z.strictObject({ kind: z.literal('tableSlow'), byMs: durationMs }),
   z.strictObject({ kind: z.literal('loseAnswers'), count: z.number().int().nonnegative() }),
   z.strictObject({ kind: z.literal('cutPlatform'), zone: z.string(), on }),
   z.strictObject({ kind: z.literal('cutZones'), zones: z.tuple([z.string(), z.string()]), on }),
   z.strictObject({ kind: z.literal('stopBox'), box: z.string() }),
   z.strictObject({ kind: z.literal('killBox'), box: z.string() }),
-  z.strictObject({ kind: z.literal('reclaimBox'), box: z.string(), noticeMs }),
+  z.strictObject({ kind: z.literal('reclaimBox'), box: z.string(), noticeMs: durationMs }),
 ]);
 
 /** One fault. */
--- a/packages/reedlug/src/dev/devMembers.ts
+++ b/packages/reedlug/src/dev/devMembers.ts
@@ -23,21 +23,21 @@
   platform: PlatformServer;
   boxes: DevBox[];
   httpServers: Map<string, Server>;
-  cutFromPlatform: Set<string>;
+  zonesWithoutPlatform: Set<string>;
   /** Pairs of zones, as `a|b` in both orders. */
   cutZones: Set<string>;
   timers: Set<NodeJS.Timeout>;
-  incarnations: number;
+  lastIncarnation: number;
 }
 
 /** The number of the next process that starts. */
 export function nextIncarnation(cluster: Cluster): number {
-  cluster.incarnations += 1;
-  return cluster.incarnations;
+  cluster.lastIncarnation += 1;
+  return cluster.lastIncarnation;
 }
 
 /** A box that has not ended. */
-export function boxOf(cluster: Cluster, id: string): DevBox | undefined {
+export function findRunningBox(cluster: Cluster, id: string): DevBox | undefined {
   return cluster.boxes.find((box) => box.id === id && !box.stopped);
 }
 
@@ -53,7 +53,7 @@
 
 /** Ends a box's process; nothing where it has ended. */
 export async function killBox(cluster: Cluster, boxId: string): Promise<void> {
-  const box = boxOf(cluster, boxId);
+  const box = findRunningBox(cluster, boxId);
   if (box === undefined) return;
   box.stopped = true;
   const server = cluster.httpServers.get(boxId);
--- a/packages/reedlug/src/dev/devServers.ts
+++ b/packages/reedlug/src/dev/devServers.ts
@@ -58,20 +58,20 @@
 }
 
 /** The description of an engine that the cloud is asked to start. */
-export function startedSpec(
+export function startedEngineSpec(
   settings: Settings,
-  ask: Extract<CloudRequest, { kind: 'start' }>,
+  request: Extract<CloudRequest, { kind: 'start' }>,
 ): Omit<ServerSpec, 'address'> {
-  const pool = settings.pools.find(({ model }) => model === ask.pool);
+  const pool = settings.pools.find(({ model }) => model === request.pool);
   return {
-    id: ask.startToken,
+    id: request.startToken,
     kind: ServerKind.engine,
-    zone: ask.zone,
-    pool: ask.pool,
+    zone: request.zone,
+    pool: request.pool,
     version: pool?.version ?? '',
     slots: pool?.slotsPerEngine ?? 8,
-    machineClass: ask.machineClass,
-    reclaimable: ask.reclaimable,
+    machineClass: request.machineClass,
+    reclaimable: request.reclaimable,
     checksFence: pool?.checksFence ?? true,
   };
 }
--- a/packages/reedlug/src/dev/faultSwitches.ts
+++ b/packages/reedlug/src/dev/faultServer.ts
@@ -1,29 +1,29 @@
 /** The cluster's fault switches and the address that serves them. */
 import { startJsonServer, type RunningServer } from 'reedlug-standins';
 import { parseFault, type DevFault } from './devFaults.js';
-import { boxOf, killBox, removeServer, type Cluster } from './devMembers.js';
+import { findRunningBox, killBox, removeServer, type Cluster } from './devMembers.js';
 
 /** Serves the fault switches, and the runs of the plain services. */
 export function startFaultServer(cluster: Cluster): Promise<RunningServer> {
-  const throwOne = async (body: unknown): Promise<{ status: number; value: unknown }> => {
+  const injectChecked = async (body: unknown): Promise<{ status: number; value: unknown }> => {
     const parsed = parseFault(body);
     if ('faults' in parsed) return { status: 400, value: parsed };
-    await throwFault(cluster, parsed.fault);
+    await injectFault(cluster, parsed.fault);
     return { status: 200, value: { thrown: parsed.fault } };
   };
-  const handle = ({ body }: { body: unknown }) => throwOne(body);
+  const handle = ({ body }: { body: unknown }) => injectChecked(body);
   return startJsonServer(
     [
       { method: 'POST', path: '/', handle },
       { method: 'POST', path: '/faults', handle },
-      { method: 'GET', path: '/runs', handle: () => ({ status: 200, value: runsOf(cluster) }) },
+      { method: 'GET', path: '/runs', handle: () => ({ status: 200, value: countRuns(cluster) }) },
     ],
     0,
   );
 }
 
 /** How often each non-repeatable request was run at the plain services. */
-function runsOf(cluster: Cluster): Record<string, number> {
+function countRuns(cluster: Cluster): Record<string, number> {
   const runs: Record<string, number> = {};
   for (const server of cluster.servers.values()) {
     if (server.kind !== 'service') continue;
@@ -33,7 +33,7 @@
 }
 
 /** Throws a fault. */
-export async function throwFault(cluster: Cluster, fault: DevFault): Promise<void> {
+export async function injectFault(cluster: Cluster, fault: DevFault): Promise<void> {
   cluster.logger('faultThrown', { kind: fault.kind });
   const { faults } = cluster.platform;
   switch (fault.kind) {
@@ -63,13 +63,13 @@
       faults.answersToLose = fault.count;
       return;
     case 'cutPlatform':
-      if (fault.on) cluster.cutFromPlatform.add(fault.zone);
-      else cluster.cutFromPlatform.delete(fault.zone);
+      if (fault.on) cluster.zonesWithoutPlatform.add(fault.zone);
+      else cluster.zonesWithoutPlatform.delete(fault.zone);
       return;
     case 'cutZones':
       return cutZones(cluster, fault.zones, fault.on);
     case 'stopBox':
-      boxOf(cluster, fault.box)?.daemon.emit({ type: 'stopAsked' });
+      findRunningBox(cluster, fault.box)?.daemon.emit({ type: 'stopAsked' });
       return;
     case 'killBox':
       return killBox(cluster, fault.box);
@@ -78,7 +78,7 @@
   }
 }
 
-function later(cluster: Cluster, delayMs: number, run: () => void): void {
+function schedule(cluster: Cluster, delayMs: number, run: () => void): void {
   const timer = setTimeout(() => {
     cluster.timers.delete(timer);
     run();
@@ -92,14 +92,14 @@
   server.leaving = true;
   server.running.leave();
   cluster.platform.notice(serverId, server.incarnation, noticeMs);
-  later(cluster, noticeMs, () => void removeServer(cluster, serverId));
+  schedule(cluster, noticeMs, () => void removeServer(cluster, serverId));
 }
 
 function reclaimBox(cluster: Cluster, boxId: string, noticeMs: number): void {
-  const box = boxOf(cluster, boxId);
+  const box = findRunningBox(cluster, boxId);
   if (box === undefined) return;
   cluster.platform.notice(boxId, box.daemon.state.settings.incarnation, noticeMs);
-  later(cluster, noticeMs, () => void killBox(cluster, boxId));
+  schedule(cluster, noticeMs, () => void killBox(cluster, boxId));
 }
 
 function cutZones(cluster: Cluster, zones: readonly [string, string], on: boolean): void {
--- a/packages/reedlug/src/dev/loopbackSettings.ts
+++ b/packages/reedlug/src/dev/loopbackSettings.ts
@@ -7,16 +7,16 @@
 const KEY_BYTES = 12;
 
 /** Settings with loopback addresses, fresh keys and a fresh peer secret. */
-export async function onLoopback(
+export async function toLoopbackSettings(
   given: Settings,
   platformUrl: string,
 ): Promise<{ settings: Settings; workspaceKeys: Map<string, string>; operatorKey: string }> {
   const ports = await findFreePorts(given.boxes.length * 2);
-  const workspaceKeys = new Map(given.workspaces.map(({ id }) => [id, freshKey()]));
-  const operatorKey = freshKey();
+  const workspaceKeys = new Map(given.workspaces.map(({ id }) => [id, generateKey()]));
+  const operatorKey = generateKey();
   const settings: Settings = {
     ...given,
-    peerSecret: freshKey() + freshKey(),
+    peerSecret: generateKey() + generateKey(),
     peerSecretFile: undefined,
     platform: {
       ...given.platform,
@@ -40,6 +40,6 @@
   return { settings, workspaceKeys, operatorKey };
 }
 
-function freshKey(): string {
+function generateKey(): string {
   return randomBytes(KEY_BYTES).toString('hex');
 }
