--- a/packages/reedlug/src/bench/latency.ts
+++ b/packages/reedlug/src/bench/latency.ts
@@ -4,7 +4,7 @@
 const UNITS_PER_MS = 1000;
 
 /** Returns an empty recorder. */
-export function createHistogramOf(): {
+export function createLatencyRecorder(): {
   record: (valueMs: number) => void;
   count: () => number;
   summary: () => { p50Ms: number; p99Ms: number };
--- a/packages/reedlug/src/bench/load.ts
+++ b/packages/reedlug/src/bench/load.ts
@@ -5,15 +5,18 @@
 import { Worker } from 'node:worker_threads';
 import { Pool } from 'undici';
 import { findFreePorts } from 'reedlug-standins';
-import { createHistogramOf } from './latency.js';
+import { createLatencyRecorder } from './latency.js';
 import { BENCH_KEY, BENCH_MODEL, BENCH_SERVICE } from './benchSettings.js';
 import type { BenchReady, BenchRole } from './benchWorker.js';
 
 const CONNECTIONS = 64;
-const SECONDS = 4;
+const MEASURED_SECONDS = 4;
 const STREAMS = 1000;
 const PAUSE_MS = 500;
-const AUTHORIZED = { authorization: `Bearer ${BENCH_KEY}`, 'content-type': 'application/json' };
+const REQUEST_HEADERS = {
+  authorization: `Bearer ${BENCH_KEY}`,
+  'content-type': 'application/json',
+};
 
 interface Target {
   name: string;
@@ -43,8 +46,8 @@
 /** Keeps every connection busy for the given seconds. */
 async function closedLoop(target: Target, connections: number): Promise<LoadResult> {
   const pool = new Pool(target.origin, { connections, pipelining: 1 });
-  const latency = createHistogramOf();
-  const untilMs = performance.now() + SECONDS * 1000;
+  const latency = createLatencyRecorder();
+  const untilMs = performance.now() + MEASURED_SECONDS * 1000;
   let failed = 0;
   const worker = async (): Promise<void> => {
     while (performance.now() < untilMs) {
@@ -53,14 +56,14 @@
   };
   await Promise.all(Array.from({ length: connections }, worker));
   await pool.destroy();
-  return { ...latency.summary(), perSecond: latency.count() / SECONDS, failed };
+  return { ...latency.summary(), perSecond: latency.count() / MEASURED_SECONDS, failed };
 }
 
 /** Sends at a fixed rate, whatever the answers do. */
 async function openLoop(target: Target, perSecond: number): Promise<LoadResult> {
   const pool = new Pool(target.origin, { connections: CONNECTIONS * 2, pipelining: 1 });
-  const latency = createHistogramOf();
-  const total = Math.round(perSecond * SECONDS);
+  const latency = createLatencyRecorder();
+  const total = Math.round(perSecond * MEASURED_SECONDS);
   const startedMs = performance.now();
   let failed = 0;
   const calls: Promise<void>[] = [];
@@ -90,7 +93,7 @@
   const response = await pool.request({
     method,
     path,
-    headers: AUTHORIZED,
+    headers: REQUEST_HEADERS,
     body: body?.() ?? null,
   });
   await response.body.dump();
@@ -126,7 +129,7 @@
   });
 }
 
-function line(name: string, result: LoadResult): string {
+function resultLine(name: string, result: LoadResult): string {
   const { perSecond, p50Ms, p99Ms, failed } = result;
   return `${name}: ${Math.round(perSecond)} a second, p50 ${p50Ms} ms, p99 ${p99Ms} ms, failed ${failed}`;
 }
@@ -135,21 +138,21 @@
   process.stdout.write(`${text}\n`);
 }
 
-async function compare(direct: Target, through: Target): Promise<void> {
+async function compareWithDirect(direct: Target, through: Target): Promise<void> {
   await openLoop(through, 200);
-  const most = await closedLoop(through, CONNECTIONS);
-  print(line(`${through.name}, as fast as it goes`, most));
-  const half = most.perSecond / 2;
-  const alone = await openLoop(direct, half);
-  const added = await openLoop(through, half);
-  print(line(`${direct.name}, at half of that`, alone));
-  print(line(`${through.name}, at half of that`, added));
-  const p50 = (added.p50Ms - alone.p50Ms).toFixed(2);
-  const p99 = (added.p99Ms - alone.p99Ms).toFixed(2);
+  const maximum = await closedLoop(through, CONNECTIONS);
+  print(resultLine(`${through.name}, as fast as it goes`, maximum));
+  const halfRate = maximum.perSecond / 2;
+  const directResult = await openLoop(direct, halfRate);
+  const throughResult = await openLoop(through, halfRate);
+  print(resultLine(`${direct.name}, at half of that`, directResult));
+  print(resultLine(`${through.name}, at half of that`, throughResult));
+  const p50 = (throughResult.p50Ms - directResult.p50Ms).toFixed(2);
+  const p99 = (throughResult.p99Ms - directResult.p99Ms).toFixed(2);
   print(`added by the entry box: p50 ${p50} ms, p99 ${p99} ms`);
 }
 
-function askHeap(worker: Worker): Promise<number> {
+function requestHeapBytes(worker: Worker): Promise<number> {
   return new Promise((resolve) => {
     worker.once('message', (message: { heapBytes: number }) => resolve(message.heapBytes));
     worker.postMessage({ kind: 'heap' });
@@ -157,25 +160,25 @@
 }
 
 /** Opens many streams at once and looks at the entry box's heap while they run. */
-async function manyStreams(origin: string, entry: Worker): Promise<void> {
+async function measureStreamMemory(origin: string, entry: Worker): Promise<void> {
   const pool = new Pool(origin, { connections: STREAMS, pipelining: 1 });
-  const before = await askHeap(entry);
+  const before = await requestHeapBytes(entry);
   let open = 0;
   let done = 0;
   const streams = Array.from({ length: STREAMS }, async () => {
     const response = await pool.request({
       method: 'POST',
       path: '/v1/completions',
-      headers: AUTHORIZED,
+      headers: REQUEST_HEADERS,
       body: completionBody(40, true),
     });
     open += 1;
     const text = await response.body.text();
     if (text.endsWith('data: [DONE]\n\n')) done += 1;
   });
-  const LOOK_MS = 50;
-  while (open < STREAMS) await new Promise((resolve) => setTimeout(resolve, LOOK_MS));
-  const during = await askHeap(entry);
+  const POLL_INTERVAL_MS = 50;
+  while (open < STREAMS) await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
+  const during = await requestHeapBytes(entry);
   await Promise.all(streams);
   await pool.destroy();
   const perStream = Math.round((during - before) / STREAMS / 102.4) / 10;
@@ -183,9 +186,9 @@
 }
 
 const standins = await startWorker({ role: 'standins', interTokenMs: 0.05 });
-const slow = await startWorker({ role: 'standins', interTokenMs: 300 });
+const slowStandins = await startWorker({ role: 'standins', interTokenMs: 300 });
 const [callersPort = 0, peersPort = 0, slowCallers = 0, slowPeers = 0] = await findFreePorts(4);
-if (standins.ready.role !== 'standins' || slow.ready.role !== 'standins')
+if (standins.ready.role !== 'standins' || slowStandins.ready.role !== 'standins')
   throw new Error('no stand-ins');
 const { platform, engine, service } = standins.ready;
 const entry = await startWorker({
@@ -195,17 +198,17 @@
 const slowEntry = await startWorker({
   role: 'entry',
   addresses: {
-    platform: slow.ready.platform,
-    engines: [slow.ready.engine],
-    services: [slow.ready.service],
+    platform: slowStandins.ready.platform,
+    engines: [slowStandins.ready.engine],
+    services: [slowStandins.ready.service],
     callersPort: slowCallers,
     peersPort: slowPeers,
   },
 });
-const SETTLE_MS = 1500;
-await new Promise((resolve) => setTimeout(resolve, SETTLE_MS));
+const STARTUP_WAIT_MS = 1500;
+await new Promise((resolve) => setTimeout(resolve, STARTUP_WAIT_MS));
 const origin = `http://127.0.0.1:${callersPort}`;
-await compare(
+await compareWithDirect(
   { name: 'look-up, direct', origin: service, path: '/samples/7', method: 'GET', body: undefined },
   {
     name: 'look-up, through reedlug',
@@ -216,7 +219,7 @@
   },
 );
 await new Promise((resolve) => setTimeout(resolve, PAUSE_MS));
-await compare(
+await compareWithDirect(
   {
     name: 'one-token answer, direct',
     origin: engine,
@@ -232,5 +235,7 @@
     body: () => completionBody(1, false),
   },
 );
-await manyStreams(`http://127.0.0.1:${slowCallers}`, slowEntry.worker);
-await Promise.all([standins, slow, entry, slowEntry].map(({ worker }) => worker.terminate()));
+await measureStreamMemory(`http://127.0.0.1:${slowCallers}`, slowEntry.worker);
+await Promise.all(
+  [standins, slowStandins, entry, slowEntry].map(({ worker }) => worker.terminate()),
+);
--- a/packages/reedlug/src/bench/slopes.ts
+++ b/packages/reedlug/src/bench/slopes.ts
@@ -29,17 +29,17 @@
   sites: number;
 }
 
-const TODAY = { heartbeatMs: 1000, demandsEveryHeartbeats: 5 } as const;
+const DEFAULT_HEARTBEATS = { heartbeatMs: 1000, demandsEveryHeartbeats: 5 } as const;
 /** Slower heartbeats, as docs/CAPACITY.md sets them at the letter's size. */
-const LARGE = { heartbeatMs: 2000, demandsEveryHeartbeats: 10 } as const;
+const SLOW_HEARTBEATS = { heartbeatMs: 2000, demandsEveryHeartbeats: 10 } as const;
 
 const SIZES: readonly FleetSize[] = [
-  { ...TODAY, boxes: 6, engines: 9, zones: 3, sites: 1 },
-  { ...TODAY, boxes: 24, engines: 860, zones: 3, sites: 1 },
-  { ...TODAY, boxes: 55, engines: 2000, zones: 3, sites: 1 },
-  { ...TODAY, boxes: 165, engines: 6000, zones: 7, sites: 3 },
-  { ...TODAY, boxes: 330, engines: 12_000, zones: 14, sites: 6 },
-  { ...LARGE, boxes: 330, engines: 12_000, zones: 14, sites: 6 },
+  { ...DEFAULT_HEARTBEATS, boxes: 6, engines: 9, zones: 3, sites: 1 },
+  { ...DEFAULT_HEARTBEATS, boxes: 24, engines: 860, zones: 3, sites: 1 },
+  { ...DEFAULT_HEARTBEATS, boxes: 55, engines: 2000, zones: 3, sites: 1 },
+  { ...DEFAULT_HEARTBEATS, boxes: 165, engines: 6000, zones: 7, sites: 3 },
+  { ...DEFAULT_HEARTBEATS, boxes: 330, engines: 12_000, zones: 14, sites: 6 },
+  { ...SLOW_HEARTBEATS, boxes: 330, engines: 12_000, zones: 14, sites: 6 },
 ];
 const VIRTUAL_SECONDS = 20;
 const TICKS_PER_SECOND = 50;
@@ -128,7 +128,7 @@
   };
 }
 
-function report(): EventBody & { type: 'serverReported' } {
+function loadReport(): EventBody & { type: 'serverReported' } {
   return {
     type: 'serverReported',
     serverId: '',
@@ -147,7 +147,7 @@
 }
 
 /** Peers that send heartbeats to the box: those of its site, and some of others. */
-function sendersTo(settings: DecisionSettings): { id: string; zone: string }[] {
+function heartbeatSenders(settings: DecisionSettings): { id: string; zone: string }[] {
   const siteOf = new Map(settings.zones.map(({ name, site }) => [name, site]));
   const ownSite = siteOf.get(settings.zone);
   const own = settings.boxes.filter(
@@ -166,7 +166,7 @@
 
 /** Lets the box live for some virtual seconds without requests. */
 function controlCost(box: Box, settings: DecisionSettings, fromSecond: number): ControlCost {
-  const senders = sendersTo(settings);
+  const senders = heartbeatSenders(settings);
   for (const { id } of settings.workspaces) {
     const view = workspaceView(box.state, id);
     if (view !== undefined) view.demandPerSecond = 1e6;
@@ -174,11 +174,11 @@
   let bytes = 0;
   let messages = 0;
   let probes = 0;
-  const heard = { ...report() };
+  const serverReport = { ...loadReport() };
   const startedMs = performance.now();
   for (let second = fromSecond; second < fromSecond + VIRTUAL_SECONDS; second += 1) {
-    const isTurn = (second * 1000) % settings.control.heartbeatMs === 0;
-    for (const { id, zone } of isTurn ? senders : []) {
+    const isHeartbeatDue = (second * 1000) % settings.control.heartbeatMs === 0;
+    for (const { id, zone } of isHeartbeatDue ? senders : []) {
       const message = heartbeatOf(zone, 1);
       box.send(second * 1000, { type: 'peerMessage', from: id, message });
     }
@@ -191,7 +191,7 @@
         }
         if (effect.type !== 'probeServer') continue;
         probes += 1;
-        box.send(nowMs, { ...heard, serverId: effect.serverId });
+        box.send(nowMs, { ...serverReport, serverId: effect.serverId });
       }
     }
   }
@@ -271,8 +271,8 @@
   const settings = fleetSettings(size);
   const box = createBox(settings);
   box.send(0, { type: 'tick', epochMs: 0 });
-  const heard = report();
-  for (const { id } of settings.servers) box.send(1, { ...heard, serverId: id });
+  const serverReport = loadReport();
+  for (const { id } of settings.servers) box.send(1, { ...serverReport, serverId: id });
   // The first life of the box, in which it meets its peers, is not counted.
   controlCost(box, settings, 1);
   const control = controlCost(box, settings, VIRTUAL_SECONDS + 1);
