--- a/packages/reedlug/src/__tests__/__fixtures__/testCluster.ts
+++ b/packages/reedlug/src/__tests__/__fixtures__/testCluster.ts
@@ -39,7 +39,7 @@
 }
 
 /** An answer with its parsed body. */
-export interface Called {
+export interface CallResult {
   status: number;
   headers: Record<string, string | string[] | undefined>;
   text: string;
@@ -58,7 +58,7 @@
     raw?: string;
     headers?: Record<string, string>;
   } = {},
-): Promise<Called> {
+): Promise<CallResult> {
   const body = options.raw ?? (options.body === undefined ? null : JSON.stringify(options.body));
   const response = await request(`${boxAt(cluster, options.box ?? 0).address}${path}`, {
     method: options.method ?? (body === null ? 'GET' : 'POST'),
@@ -70,12 +70,12 @@
     body,
   });
   const text = await response.body.text();
-  return { status: response.statusCode, headers: response.headers, text, json: parsed(text) };
+  return { status: response.statusCode, headers: response.headers, text, json: parseObject(text) };
 }
 
-function parsed(text: string): Called['json'] {
+function parseObject(text: string): CallResult['json'] {
   try {
-    return JSON.parse(text) as Called['json'];
+    return JSON.parse(text) as CallResult['json'];
   } catch {
     return {};
   }
