--- a/packages/reedlug/src/bench/slopes.ts
+++ b/packages/reedlug/src/bench/slopes.ts
@@ -267,7 +267,7 @@
 }
 
 function measureSize(size: FleetSize): string {
-  const before = heapMiB();
+  const heapBeforeMiB = heapMiB();
   const settings = fleetSettings(size);
   const box = createBox(settings);
   box.send(0, { type: 'tick', epochMs: 0 });
@@ -276,7 +276,7 @@
   // The first life of the box, in which it meets its peers, is not counted.
   controlCost(box, settings, 1);
   const control = controlCost(box, settings, VIRTUAL_SECONDS + 1);
-  const memory = heapMiB() - before;
+  const memory = heapMiB() - heapBeforeMiB;
   const requestMicros = requestCost(box);
   const delta = deltaCost(box);
   const heartbeat = encodeFrame(heartbeatOf('zone-0', 1)).length;
--- a/packages/reedlug/src/commands/simulateRollouts.ts
+++ b/packages/reedlug/src/commands/simulateRollouts.ts
@@ -43,14 +43,14 @@
     for (let seed = seeds.first; seed <= seeds.last; seed += 1) {
       const generated = drawRollout(read.scene, seed, this.trouble);
       const report = await runScene(generated.scene, seed);
-      this.addToTally(generated.isBad ? bad : good, report, generated.label);
+      this.count(generated.isBad ? bad : good, report, generated.label);
     }
     this.printTally('sound', good);
     this.printTally('bad', bad);
     return good.broken + bad.broken === 0 ? 0 : 1;
   }
 
-  private addToTally(tally: Tally, report: SceneReport, label: string): void {
+  private count(tally: Tally, report: SceneReport, label: string): void {
     const [rollout] = report.rollouts;
     if (rollout === undefined) return;
     const { end, tookMs, durationMs, arrivals, trialArrivals, badAnswers } = rollout;
--- a/packages/reedlug/src/daemon/answerStore.ts
+++ b/packages/reedlug/src/daemon/answerStore.ts
@@ -20,7 +20,7 @@
   const byAttempt = new Map<string, ServiceAnswer>();
   const byRequest = new Map<string, ServiceAnswer>();
   let storedBytes = 0;
-  const forget = (requestId: string): void => {
+  const removeRequestAnswer = (requestId: string): void => {
     storedBytes -= byRequest.get(requestId)?.body.length ?? 0;
     byRequest.delete(requestId);
   };
@@ -36,11 +36,11 @@
       storedBytes += answer.body.length;
       for (const oldest of byRequest.keys()) {
         if (storedBytes <= MAX_STORED_BYTES) break;
-        forget(oldest);
+        removeRequestAnswer(oldest);
       }
     },
     getRequestAnswer: (requestId) => byRequest.get(requestId),
-    removeRequestAnswer: forget,
+    removeRequestAnswer,
   };
 }
 
--- a/packages/reedlug/src/daemon/entryDaemon.ts
+++ b/packages/reedlug/src/daemon/entryDaemon.ts
@@ -30,7 +30,7 @@
 import { decodePayload, type Exchange, type Payload } from './exchange.js';
 import type { EntryDaemonOptions, Runtime } from './runtime.js';
 
-export type { PartitionSwitches as CutSwitches, EntryDaemonOptions } from './runtime.js';
+export type { PartitionSwitches, EntryDaemonOptions } from './runtime.js';
 
 /** Time between two ticks, in ms. */
 const TICK_MS = 20;
@@ -153,7 +153,7 @@
 }
 
 function openPeerLink(runtime: Runtime, onRejected: (reason: string) => void): Promise<PeerLink> {
-  const { settings, box, peerSecret, peerTls, partitions: cuts } = runtime.options;
+  const { settings, box, peerSecret, peerTls, partitions } = runtime.options;
   const zoneByBoxId = new Map(settings.boxes.map(({ id, zone }) => [id, zone]));
   return startPeerLink({
     boxId: box.id,
@@ -165,7 +165,7 @@
     tls: peerTls,
     onMessage: (from, message) => receivePeerMessage(runtime, from, message),
     onRejected,
-    isPartitioned: (boxId) => cuts.zone(zoneByBoxId.get(boxId) ?? ''),
+    isPartitioned: (boxId) => partitions.zone(zoneByBoxId.get(boxId) ?? ''),
   });
 }
 
--- a/packages/reedlug/src/http/adminRoutes.ts
+++ b/packages/reedlug/src/http/adminRoutes.ts
@@ -15,9 +15,12 @@
   body: unknown;
 }
 
-type OperatorHandler = (request: AuthenticatedRequest, params: { id: string }) => Promise<Answer>;
+type OperatorHandler = (
+  request: AuthenticatedRequest,
+  params: { id: string },
+) => Promise<HttpAnswer>;
 
-interface Answer {
+interface HttpAnswer {
   status: number;
   value: unknown;
 }
@@ -34,20 +37,22 @@
     );
   route('GET', '/admin/status', async () => ({ status: 200, value: boxStatus(daemon) }));
   route('GET', '/admin/histograms', async () => ({ status: 200, value: daemon.histograms.rows() }));
-  route('GET', '/admin/plans', async () => answerOf(await daemon.ask({ kind: 'listPlans' })));
+  route('GET', '/admin/plans', async () => toHttpAnswer(await daemon.ask({ kind: 'listPlans' })));
   route('POST', '/admin/plans', async ({ operatorId, body }) => {
     const parsed = parseIntent(body);
-    if (parsed.kind === 'invalid') return answerOf({ kind: 'invalid', faults: parsed.faults });
+    if (parsed.kind === 'invalid') return toHttpAnswer({ kind: 'invalid', faults: parsed.faults });
     const planId = randomUUID();
-    return answerOf(await daemon.ask({ kind: 'plan', operatorId, intent: parsed.intent, planId }));
+    return toHttpAnswer(
+      await daemon.ask({ kind: 'plan', operatorId, intent: parsed.intent, planId }),
+    );
   });
   route('POST', '/admin/plans/confirm', async ({ body }) => {
-    if (!isPlan(body)) return answerOf({ kind: 'invalid', faults: ['the body is not a plan'] });
-    return answerOf(await daemon.ask({ kind: 'confirm', plan: body as Plan }));
+    if (!isPlan(body)) return toHttpAnswer({ kind: 'invalid', faults: ['the body is not a plan'] });
+    return toHttpAnswer(await daemon.ask({ kind: 'confirm', plan: body as Plan }));
   });
   route('POST', '/admin/plans/:id/undo', async ({ operatorId }, { id }) => {
     const newPlanId = randomUUID();
-    return answerOf(await daemon.ask({ kind: 'undo', operatorId, planId: id, newPlanId }));
+    return toHttpAnswer(await daemon.ask({ kind: 'undo', operatorId, planId: id, newPlanId }));
   });
 }
 
@@ -97,6 +102,6 @@
   plans: 200,
 };
 
-function answerOf(answer: OperatorAnswer): Answer {
+function toHttpAnswer(answer: OperatorAnswer): HttpAnswer {
   return { status: STATUS_BY_ANSWER_KIND[answer.kind], value: answer };
 }
--- a/packages/reedlug/src/http/callerRequest.ts
+++ b/packages/reedlug/src/http/callerRequest.ts
@@ -12,7 +12,7 @@
 }
 
 /** The workspace of a request's key; undefined after the request was refused. */
-export function workspaceOf(
+export function authenticateWorkspace(
   context: RouteContext,
   request: IncomingMessage,
   response: ServerResponse,
@@ -30,7 +30,7 @@
   request: IncomingMessage,
   response: ServerResponse,
 ): Promise<CallerRequest | undefined> {
-  const workspaceId = workspaceOf(context, request, response);
+  const workspaceId = authenticateWorkspace(context, request, response);
   if (workspaceId === undefined) return undefined;
   const { maxBodyBytes, deadlineLimitMs } = context.settings.callers;
   const read = await readBody(request, maxBodyBytes);
--- a/packages/reedlug/src/http/exchanges.ts
+++ b/packages/reedlug/src/http/exchanges.ts
@@ -60,7 +60,7 @@
 }
 
 /** An answer in one piece. */
-export function createPlainExchange(params: ModelExchangeParams): Exchange {
+export function createJsonExchange(params: ModelExchangeParams): Exchange {
   const { response, requestId, model, form, createdAtSeconds } = params;
   const parts: string[] = [];
   return {
--- a/packages/reedlug/src/http/modelRequest.ts
+++ b/packages/reedlug/src/http/modelRequest.ts
@@ -26,17 +26,17 @@
   content: z.union([z.string(), z.array(contentPart), z.null()]).optional(),
 });
 const maxTokens = z.number().int().positive().optional();
-const common = {
+const commonFields = {
   model: z.string().min(1),
   stream: z.boolean().optional(),
   max_tokens: maxTokens,
 };
 const chatSchema = z.looseObject({
-  ...common,
+  ...commonFields,
   messages: z.array(message).min(1),
   max_completion_tokens: maxTokens,
 });
-const completionSchema = z.looseObject({ ...common, prompt: z.string().min(1) });
+const completionSchema = z.looseObject({ ...commonFields, prompt: z.string().min(1) });
 
 /** Messages that make a conversation's opening. */
 const OPENING_MESSAGES = 2;
--- a/packages/reedlug/src/http/modelRoutes.ts
+++ b/packages/reedlug/src/http/modelRoutes.ts
@@ -3,9 +3,9 @@
 import { hashString } from 'reedlug-coordination';
 import { RequestClass, ServerKind, type RequestSpec } from 'reedlug-decisions';
 import { hashKey } from './keys.js';
-import { readCallerRequest, workspaceOf } from './callerRequest.js';
+import { readCallerRequest, authenticateWorkspace } from './callerRequest.js';
 import { refuseRequest, type RouteContext, type Router } from './callerServer.js';
-import { createPlainExchange, createStreamExchange, sendJson } from './exchanges.js';
+import { createJsonExchange, createStreamExchange, sendJson } from './exchanges.js';
 import { ModelForm, parseModelRequest, type ModelRequest } from './modelRequest.js';
 import type { RequestHeaders } from './requestHeaders.js';
 
@@ -26,7 +26,7 @@
   request: IncomingMessage,
   response: ServerResponse,
 ): void {
-  if (workspaceOf(context, request, response) === undefined) return;
+  if (authenticateWorkspace(context, request, response) === undefined) return;
   const data = servedModels(context).map((id) => ({ id, object: 'model', owned_by: 'reedlug' }));
   sendJson(response, 200, { object: 'list', data });
 }
@@ -127,7 +127,7 @@
     form: request.form,
     createdAtSeconds: Math.floor(Date.now() / 1000),
   };
-  const exchange = request.stream ? createStreamExchange(params) : createPlainExchange(params);
+  const exchange = request.stream ? createStreamExchange(params) : createJsonExchange(params);
   response.on('close', () => {
     if (!response.writableEnded) context.daemon.callerGone(requestId);
   });
--- a/packages/reedlug/src/http/requestRoutes.ts
+++ b/packages/reedlug/src/http/requestRoutes.ts
@@ -2,9 +2,9 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { RequestRecord } from 'reedlug-decisions';
 import type { Exchange } from '../daemon/exchange.js';
-import { workspaceOf } from './callerRequest.js';
+import { authenticateWorkspace } from './callerRequest.js';
 import { refuseRequest, type RouteContext, type Router } from './callerServer.js';
-import { createPlainExchange, createStreamExchange, sendJson } from './exchanges.js';
+import { createJsonExchange, createStreamExchange, sendJson } from './exchanges.js';
 import { ModelForm } from './modelRequest.js';
 import { HeaderName } from './requestHeaders.js';
 
@@ -27,7 +27,7 @@
   response: ServerResponse,
   requestId: string,
 ): void {
-  const workspaceId = workspaceOf(context, request, response);
+  const workspaceId = authenticateWorkspace(context, request, response);
   if (workspaceId === undefined) return;
   const record = context.daemon.state.requests.get(requestId);
   const isOwnRequest = record?.spec.workspaceId === workspaceId;
@@ -105,7 +105,7 @@
   response: ServerResponse,
   requestId: string,
 ): void {
-  const workspaceId = workspaceOf(context, request, response);
+  const workspaceId = authenticateWorkspace(context, request, response);
   if (workspaceId === undefined) return;
   const lastEventId = request.headers[HeaderName.lastEventId] ?? '0';
   if (typeof lastEventId !== 'string' || !/^\d{1,9}$/.test(lastEventId)) {
@@ -121,7 +121,7 @@
     createdAtSeconds: Math.floor(Date.now() / 1000),
   };
   const wantsStream = request.headers.accept !== 'application/json';
-  const exchange = wantsStream ? createStreamExchange(params) : createPlainExchange(params);
+  const exchange = wantsStream ? createStreamExchange(params) : createJsonExchange(params);
   response.on('close', () => {
     if (!response.writableEnded) context.daemon.callerGone(followId);
   });
--- a/packages/reedlug/src/peers/frames.ts
+++ b/packages/reedlug/src/peers/frames.ts
@@ -21,8 +21,8 @@
 
 /** The frame of a message that goes to several peers; encoded once. */
 export function encodeFrameCached(message: object): Buffer {
-  const known = frameByMessage.get(message);
-  if (known !== undefined) return known;
+  const cachedFrame = frameByMessage.get(message);
+  if (cachedFrame !== undefined) return cachedFrame;
   const frame = encodeFrame(message);
   frameByMessage.set(message, frame);
   return frame;
