--- a/packages/reedlug/src/daemon/answerStore.ts
+++ b/packages/reedlug/src/daemon/answerStore.ts
@@ -1,18 +1,23 @@
-/** Answers of plain services: until their request ends, and then for later questions. */
+/** Answers of plain services: by attempt while a request runs, by request for later lookups. */
 import type { RelayedAnswer } from 'reedlug-decisions';
 import type { ServiceAnswer } from '../backends/serviceClient.js';
 
-/** Answers by attempt and by request. */
+/** Answers of plain services, by attempt and by request. */
 export interface AnswerStore {
-  /** Keeps the answer of an attempt until its request ends. */
+  /** Stores the answer of an attempt until its request finishes. */
   setAttemptAnswer: (attemptId: string, answer: ServiceAnswer) => void;
+  /** Removes and returns the answer of an attempt. */
   takeAttemptAnswer: (attemptId: string) => ServiceAnswer | undefined;
-  /** Keeps the answer of a request for followers; the oldest goes when there are too many. */
+  /**
+   * Stores the answer of a request for callers that follow it. Drops the oldest answers
+   * when the stored bodies exceed `MAX_STORED_BYTES`.
+   */
   setRequestAnswer: (requestId: string, answer: ServiceAnswer) => void;
   getRequestAnswer: (requestId: string) => ServiceAnswer | undefined;
   removeRequestAnswer: (requestId: string) => void;
 }
 
+/** Maximum total size of the answer bodies that are stored by request. */
 const MAX_STORED_BYTES = 16 * 1024 * 1024;
 
 /** Returns an empty store. */
@@ -44,13 +49,13 @@
   };
 }
 
-/** An answer in the form of the peer link. */
+/** Encodes an answer for a message of the peer link. */
 export function encodeAnswer(answer: ServiceAnswer): RelayedAnswer {
   const contentType = answer.headers['content-type'] ?? 'application/octet-stream';
   return { contentType, latin1: answer.body.toString('latin1') };
 }
 
-/** An answer that came over the peer link. */
+/** Decodes an answer that was received over the peer link. */
 export function decodeAnswer(answer: RelayedAnswer, status: number): ServiceAnswer {
   const headers = { 'content-type': answer.contentType };
   return { status, headers, body: Buffer.from(answer.latin1, 'latin1') };
--- a/packages/reedlug/src/daemon/callerEffects.ts
+++ b/packages/reedlug/src/daemon/callerEffects.ts
@@ -1,4 +1,4 @@
-/** Effects towards callers: tokens, outcomes, and their times in the histograms. */
+/** Runs the effects that reach callers (tokens and outcomes) and records their times. */
 import type { Effect } from 'reedlug-decisions';
 import type { ServiceAnswer } from '../backends/serviceClient.js';
 import { Measure } from '../observe/histograms.js';
@@ -6,7 +6,7 @@
 import type { FinishEffect } from './exchange.js';
 import type { Runtime } from './runtime.js';
 
-/** Hands tokens to the caller's connection, if it is here. */
+/** Passes tokens to the caller's connection, if this box holds it. */
 export function deliverTokens(
   runtime: Runtime,
   effect: Extract<Effect, { type: 'deliverTokens' }>,
@@ -27,7 +27,7 @@
   runtime.histograms.record(key, (nowMs - lastMs) / count);
 }
 
-/** Ends a request towards its caller. */
+/** Finishes a request: records its times, keeps its answer and answers its caller. */
 export function finishRequest(runtime: Runtime, effect: FinishEffect): void {
   const { requestId } = effect;
   const answer = serviceAnswerFor(runtime, effect);
@@ -42,7 +42,7 @@
   exchange?.onFinish(effect, answer);
 }
 
-/** The answer of a plain service: of the winning attempt, relayed by a peer, or kept here. */
+/** Returns the answer of a plain service: from the winning attempt, a peer, or the store. */
 function serviceAnswerFor(runtime: Runtime, effect: FinishEffect): ServiceAnswer | undefined {
   if (effect.attemptId !== undefined) return runtime.answers.takeAttemptAnswer(effect.attemptId);
   if (effect.answer !== undefined) return decodeAnswer(effect.answer, effect.status ?? 200);
--- a/packages/reedlug/src/daemon/effects.ts
+++ b/packages/reedlug/src/daemon/effects.ts
@@ -1,4 +1,4 @@
-/** Carries out the effects of the reducer: the one place where decisions become I/O. */
+/** Runs the effects of the reducer. All I/O that follows from a decision starts here. */
 import {
   ServerKind,
   type BoxState,
@@ -19,7 +19,7 @@
 import { encodePayload, type Payload } from './exchange.js';
 import type { Runtime } from './runtime.js';
 
-/** Carries out one effect. */
+/** Runs one effect. */
 export function runEffect(runtime: Runtime, effect: Effect): void {
   switch (effect.type) {
     case 'sendAttempt':
@@ -184,7 +184,7 @@
   void moveCache(runtime.pools, { source, target, affinityHash, tokens }, runtime.emit);
 }
 
-/** Puts in what only the daemon holds: payloads of handed requests, answers of services. */
+/** Adds data that only the daemon holds: payloads of handed-over requests, service answers. */
 function attachDaemonData(runtime: Runtime, message: PeerMessage): PeerMessage {
   if (message.kind === 'handover') {
     const payload = runtime.payloads.get(message.spec.requestId);
--- a/packages/reedlug/src/daemon/entryDaemon.ts
+++ b/packages/reedlug/src/daemon/entryDaemon.ts
@@ -1,8 +1,8 @@
 /**
- * The entry daemon: sockets and timers become events, effects become I/O.
+ * The entry daemon turns input from sockets and timers into events, and effects into I/O.
  *
- * It decides nothing. One loop on one thread: events that come while effects
- * are being carried out wait in a queue.
+ * All decisions are made by the reducer. A single loop on one thread dispatches events;
+ * events that arrive while effects are running are queued.
  */
 import {
   BrokenInvariantError,
@@ -40,9 +40,9 @@
   state: BoxState;
   histograms: Histograms;
   settings: Settings;
-  /** Gives a caller's request to the decisions. */
+  /** Passes a caller's request to the reducer. */
   submitRequest: (spec: RequestSpec, payload: Payload, exchange: Exchange) => void;
-  /** Follows a request from an offset. */
+  /** Sends the answer of an earlier request to `exchange`, starting at a token offset. */
   followRequest: (
     params: { followId: string; requestId: string; workspaceId: string; fromOffset: number },
     exchange: Exchange,
@@ -52,11 +52,11 @@
   emit: (event: EventBody) => void;
   ready: () => boolean;
   rejectedPeers: () => number;
-  /** Ends at once, as when the box dies. */
+  /** Stops immediately without draining, as if the box had crashed. */
   kill: () => Promise<void>;
 }
 
-/** Starts a daemon; resolves once the peer link listens. */
+/** Starts a daemon. Resolves once the peer link is listening. */
 export async function startEntryDaemon(options: EntryDaemonOptions): Promise<EntryDaemon> {
   const { settings, box, logger } = options;
   const decisionSettings = toDecisionSettings(settings, box, options.incarnation);
@@ -169,7 +169,7 @@
   });
 }
 
-/** Takes out what belongs to the daemon before the decisions see a message. */
+/** Passes a peer's message to the reducer; the payload of a handed-over request stays here. */
 function receivePeerMessage(runtime: Runtime, from: string, message: PeerMessage): void {
   if (message.kind === 'handover' && message.payload !== undefined) {
     const payload = decodePayload(message.payload);
--- a/packages/reedlug/src/daemon/exchange.ts
+++ b/packages/reedlug/src/daemon/exchange.ts
@@ -1,18 +1,18 @@
-/** A caller's open connection, as the daemon answers it. */
+/** The open connection of a caller, and the payload that is sent for its request. */
 import type { Effect } from 'reedlug-decisions';
 import type { ServiceAnswer } from '../backends/serviceClient.js';
 
 /** The effect that ends a request. */
 export type FinishEffect = Extract<Effect, { type: 'finishRequest' }>;
 
-/** What a caller's connection does with an answer. */
+/** Receives the answer to a request and writes it to the caller's connection. */
 export interface Exchange {
   onTokens: (offset: number, tokens: readonly string[]) => void;
-  /** `answer` is the answer of a plain service, where there is one. */
+  /** `answer` is set only for requests to plain services. */
   onFinish: (finish: FinishEffect, answer: ServiceAnswer | undefined) => void;
 }
 
-/** What is sent to backend servers for a request. */
+/** The content of a request that is sent to backend servers. */
 export type Payload =
   | { kind: 'prompt'; prompt: string }
   | {
@@ -23,13 +23,13 @@
       body: Buffer | undefined;
     };
 
-/** A payload as text, for the peer link. */
+/** Encodes a payload as text for the peer link. */
 export function encodePayload(payload: Payload): string {
   if (payload.kind === 'prompt') return JSON.stringify(payload);
   return JSON.stringify({ ...payload, body: payload.body?.toString('latin1') });
 }
 
-/** A payload from the peer link; undefined when the text is none. */
+/** Decodes a payload from the peer link. Returns undefined if the text is not valid JSON. */
 export function decodePayload(text: string): Payload | undefined {
   try {
     const value = JSON.parse(text) as Payload & { body?: string };
--- a/packages/reedlug/src/daemon/runtime.ts
+++ b/packages/reedlug/src/daemon/runtime.ts
@@ -1,4 +1,4 @@
-/** What a running entry daemon is made of. */
+/** Options and runtime state of an entry daemon. */
 import type {
   BoxEvent,
   BoxState,
@@ -17,15 +17,15 @@
 import type { AnswerStore } from './answerStore.js';
 import type { Exchange, Payload } from './exchange.js';
 
-/** Switches for tests of cuts; all closed in production. */
+/** Simulated network partitions for tests; every function returns false in production. */
 export interface PartitionSwitches {
-  /** Nothing passes between this box and the platform. */
+  /** Returns true while this box cannot reach the platform. */
   platform: () => boolean;
-  /** Nothing passes between this box and a zone. */
+  /** Returns true while this box cannot reach a zone. */
   zone: (zone: string) => boolean;
 }
 
-/** What a daemon needs. */
+/** Options of a daemon. */
 export interface EntryDaemonOptions {
   settings: Settings;
   box: BoxSettings;
@@ -34,20 +34,20 @@
   peerTls: PeerTls | undefined;
   logger: Logger;
   partitions: PartitionSwitches;
-  /** Takes each event, for a trace. */
+  /** Receives each event, to record a trace. */
   onEvent: ((event: BoxEvent) => void) | undefined;
-  /** Takes what the state was made from, for the head of a trace. */
+  /** Receives the seed, start time and settings of the initial state, for the head of a trace. */
   onStarted?: (head: {
     kind: 'head';
     seed: number;
     startedAtMs: number;
     settings: DecisionSettings;
   }) => void;
-  /** A planned stop has ended, or an invariant is broken. */
+  /** Called without an error after a planned stop, or with the error of a broken invariant. */
   onStopped: (error: Error | undefined) => void;
 }
 
-/** Everything that the effects work on. */
+/** State that is shared by the effects of one daemon. */
 export interface Runtime {
   options: EntryDaemonOptions;
   state: BoxState;
