--- a/packages/reedlug/src/http/adminRoutes.ts
+++ b/packages/reedlug/src/http/adminRoutes.ts
@@ -9,7 +9,7 @@
 import { sendJson } from './exchanges.js';
 import { boxStatus } from './boxStatus.js';
 
-/** An operator's request with its JSON body. */
+/** A request of an authenticated operator with its parsed JSON body. */
 interface AuthenticatedRequest {
   operatorId: string;
   body: unknown;
@@ -25,7 +25,7 @@
   value: unknown;
 }
 
-/** Adds the routes. */
+/** Adds the routes of the admin API. */
 export function addAdminRoutes(router: Router, context: RouteContext): void {
   const { daemon } = context;
   const route = (method: 'GET' | 'POST', path: string, handler: OperatorHandler): void =>
--- a/packages/reedlug/src/http/apiError.ts
+++ b/packages/reedlug/src/http/apiError.ts
@@ -1,8 +1,8 @@
-/** The one JSON form of errors, with its HTTP status. */
+/** Errors of the HTTP API: their JSON body and HTTP status. */
 import { Outcome } from 'reedlug-coordination';
 import { Reason } from 'reedlug-decisions';
 
-/** Types of errors that the API tells. */
+/** Error types in answers of the API. */
 export const ApiErrorType = {
   badRequest: 'badRequest',
   unauthorized: 'unauthorized',
@@ -47,7 +47,7 @@
   unknownOutcome: 502,
 };
 
-/** An error about a request that was never accepted. */
+/** Returns the error for a request that was not accepted, so that nothing was run. */
 export function refusedError(type: ApiErrorType, message: string, retryAfterMs?: number): ApiError {
   return {
     status: STATUS_BY_ERROR_TYPE[type],
@@ -58,7 +58,7 @@
   };
 }
 
-/** The error for a request that did not complete. */
+/** Returns the error for an accepted request that did not complete. */
 export function errorFromFinish(finish: {
   outcome: Outcome;
   reason: Reason;
@@ -77,29 +77,30 @@
         message: 'the workspace is over its limit; retry after the given time',
       };
     case Reason.overloaded:
-      return { type: 'overloaded', message: 'too many requests of the workspace are waiting' };
+      return { type: 'overloaded', message: 'the workspace has too many queued requests' };
     case Reason.draining:
-      return { type: 'unavailable', message: 'this entry box is stopping; connect again' };
+      return { type: 'unavailable', message: 'this entry box is shutting down; reconnect' };
     case Reason.notReady:
-      return { type: 'unavailable', message: 'this entry box is starting; connect again' };
+      return { type: 'unavailable', message: 'this entry box is still starting; reconnect' };
     case Reason.claimUnavailable:
       return {
         type: 'unavailable',
-        message: 'the table did not answer, so the key could not be claimed; nothing was run',
+        message:
+          'the table did not answer, so the Idempotency-Key could not be claimed; nothing was run',
       };
     case Reason.deadline:
       return { type: 'deadline', message: 'the deadline cannot be met' };
     case Reason.keyReused:
       return {
         type: 'keyReused',
-        message: 'the Idempotency-Key was used for another request; take a new key',
+        message: 'the Idempotency-Key was used for another request; use a new key',
       };
     case Reason.notFound:
       return { type: 'notFound', message: 'not found' };
     case Reason.handedOver:
       return {
         type: 'handedOver',
-        message: 'another entry box has the request; connect again with its id',
+        message: 'another entry box took over the request; reconnect with its id',
       };
     case Reason.holderGone:
     case Reason.callerGone:
@@ -113,13 +114,17 @@
   if (outcome === Outcome.unknown) {
     return {
       type: 'unknownOutcome',
-      message: 'the request may have run and will not be sent again; check before repeating it',
+      message:
+        'the request may have run and will not be sent again; check its effect before repeating it',
     };
   }
-  return { type: 'connectionLost', message: 'the server was lost before the answer was whole' };
+  return {
+    type: 'connectionLost',
+    message: 'the server was lost before the answer was complete',
+  };
 }
 
-/** The body of an error. */
+/** Returns the JSON body of an error. */
 export function errorBody(error: ApiError, requestId: string | undefined): string {
   const { type, message, outcome, retryAfterMs } = error;
   return JSON.stringify({ error: { type, message, outcome, retryAfterMs, requestId } });
--- a/packages/reedlug/src/http/body.ts
+++ b/packages/reedlug/src/http/body.ts
@@ -1,11 +1,11 @@
 /** Reads a request's body up to a limit. */
 import type { IncomingMessage } from 'node:http';
 
-/** The body, or why there is none. */
+/** The body of a request, or the reason why it could not be read. */
 export type BodyResult =
   { kind: 'body'; body: Buffer } | { kind: 'tooLarge' } | { kind: 'aborted' };
 
-/** Reads a body; stops at the first byte over the limit. */
+/** Reads a body. Stops when more than `maxBytes` are declared or received. */
 export function readBody(request: IncomingMessage, maxBytes: number): Promise<BodyResult> {
   const declared = Number(request.headers['content-length'] ?? 0);
   if (declared > maxBytes) return Promise.resolve({ kind: 'tooLarge' });
--- a/packages/reedlug/src/http/boxStatus.ts
+++ b/packages/reedlug/src/http/boxStatus.ts
@@ -1,8 +1,8 @@
-/** What a box tells of itself and of what it knows. */
+/** The status that a box reports to operators: its own state and its view of the fleet. */
 import { ServerKind } from 'reedlug-decisions';
 import type { EntryDaemon } from '../daemon/entryDaemon.js';
 
-/** The status of a box. */
+/** Body of `GET /admin/status`. */
 export interface BoxStatus {
   box: string;
   zone: string;
--- a/packages/reedlug/src/http/callerRequest.ts
+++ b/packages/reedlug/src/http/callerRequest.ts
@@ -1,17 +1,17 @@
-/** What every caller's route begins with: key, body and headers, or a refusal. */
+/** Common first steps of the caller routes: authenticate, read the body, parse the headers. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { readBody } from './body.js';
 import { refuseRequest, type RouteContext } from './callerServer.js';
 import { parseRequestHeaders, type RequestHeadersResult } from './requestHeaders.js';
 
-/** A caller's request with a right key and a whole body. */
+/** An authenticated request with its complete body. */
 export interface CallerRequest {
   workspaceId: string;
   body: Buffer;
   headers: RequestHeadersResult;
 }
 
-/** The workspace of a request's key; undefined after the request was refused. */
+/** Returns the workspace of the request's key, or refuses the request and returns undefined. */
 export function authenticateWorkspace(
   context: RouteContext,
   request: IncomingMessage,
@@ -24,7 +24,7 @@
   return undefined;
 }
 
-/** Reads a request; undefined after it was refused or its caller went away. */
+/** Reads a request. Returns undefined if it was refused or the caller closed the connection. */
 export async function readCallerRequest(
   context: RouteContext,
   request: IncomingMessage,
@@ -36,7 +36,7 @@
   const read = await readBody(request, maxBodyBytes);
   switch (read.kind) {
     case 'tooLarge': {
-      const message = `the body may have ${maxBodyBytes} bytes at most`;
+      const message = `the body must not exceed ${maxBodyBytes} bytes`;
       refuseRequest(request, response, 'bodyTooLarge', message);
       return undefined;
     }
--- a/packages/reedlug/src/http/callerServer.ts
+++ b/packages/reedlug/src/http/callerServer.ts
@@ -1,4 +1,4 @@
-/** HTTP towards callers and operators. */
+/** The HTTP server of an entry box, for callers and operators. */
 import { randomUUID } from 'node:crypto';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
@@ -14,20 +14,20 @@
 import { addRequestRoutes } from './requestRoutes.js';
 import { addServiceRoutes } from './serviceRoutes.js';
 
-/** The router's type. */
+/** Router of the HTTP server. */
 export type Router = ReturnType<typeof createRouter>;
 
-/** What the routes share. */
+/** Dependencies that the routes share. */
 export interface RouteContext {
   daemon: EntryDaemon;
   settings: Settings;
   workspaceKeys: KeyRing;
   operatorKeys: KeyRing;
-  /** A fresh request id. */
+  /** Returns a new unique id for a request. */
   newId: () => string;
 }
 
-/** How often connections are checked for their time-outs, in ms. */
+/** Time between two checks of the connections for time-outs, in ms. */
 const CONNECTION_CHECK_INTERVAL_MS = 500;
 const CLOSING_JSON_HEADERS = 'connection: close\r\ncontent-type: application/json\r\n';
 
@@ -35,7 +35,7 @@
   return findMyWay({ ignoreTrailingSlash: true, defaultRoute: onMissing, maxParamLength: 500 });
 }
 
-/** Makes the server of an entry box; the caller lets it listen. */
+/** Creates the HTTP server of an entry box, without starting to listen. */
 export function createCallerServer(daemon: EntryDaemon): Server {
   const { settings } = daemon;
   const router = createRouter((_request, response) => {
@@ -76,7 +76,7 @@
   });
 }
 
-/** Answers what the HTTP parser refused, then closes the connection. */
+/** Answers a request that the HTTP parser rejected, then closes the connection. */
 function answerClientError(
   error: NodeJS.ErrnoException,
   socket: Socket | import('node:stream').Duplex,
@@ -96,9 +96,12 @@
     case 'HPE_HEADER_OVERFLOW':
       return refusedError('headersTooLarge', 'the headers are too large; send fewer');
     case 'ERR_HTTP_REQUEST_TIMEOUT':
-      return refusedError('requestTimeout', 'the request was sent too slowly; send it at once');
+      return refusedError(
+        'requestTimeout',
+        'the request was not received in time; send it without pauses',
+      );
     default:
-      return refusedError('badRequest', 'this is not HTTP/1.1 as RFC 9112 has it');
+      return refusedError('badRequest', 'this is not a valid HTTP/1.1 request (RFC 9112)');
   }
 }
 
--- a/packages/reedlug/src/http/exchanges.ts
+++ b/packages/reedlug/src/http/exchanges.ts
@@ -1,4 +1,4 @@
-/** The three ways to answer a caller: a plain answer, a token stream, a service's answer. */
+/** The three ways to answer a caller: one JSON body, an event stream, a service's answer. */
 import type { ServerResponse } from 'node:http';
 import { Outcome } from 'reedlug-coordination';
 import { Reason } from 'reedlug-decisions';
@@ -8,7 +8,7 @@
 import { ModelForm } from './modelRequest.js';
 import { HeaderName } from './requestHeaders.js';
 
-/** What an exchange needs of its request. */
+/** Parameters of an exchange that answers a model request. */
 export interface ModelExchangeParams {
   response: ServerResponse;
   requestId: string;
@@ -17,7 +17,7 @@
   createdAtSeconds: number;
 }
 
-/** Sends an error in the one JSON form. */
+/** Sends an error as JSON. If the headers were already sent, only ends the response. */
 export function sendError(
   response: ServerResponse,
   error: ApiError,
@@ -39,7 +39,7 @@
   response.end(errorBody(error, requestId));
 }
 
-/** Sends a JSON value. */
+/** Sends a value as JSON. */
 export function sendJson(
   response: ServerResponse,
   status: number,
@@ -59,7 +59,7 @@
   };
 }
 
-/** An answer in one piece. */
+/** Returns an exchange that collects the tokens and sends them in one JSON body. */
 export function createJsonExchange(params: ModelExchangeParams): Exchange {
   const { response, requestId, model, form, createdAtSeconds } = params;
   const parts: string[] = [];
@@ -91,7 +91,10 @@
   };
 }
 
-/** An answer as server-sent events; each event's id is the offset after its tokens. */
+/**
+ * Returns an exchange that sends the answer as server-sent events. The id of each event is the
+ * token offset after it, which a caller sends as `Last-Event-ID` to resume the stream.
+ */
 export function createStreamExchange(params: ModelExchangeParams): Exchange {
   const { response, requestId, model, form, createdAtSeconds } = params;
   const object = form === ModelForm.chat ? 'chat.completion.chunk' : 'text_completion';
@@ -126,7 +129,7 @@
         sendError(response, errorFromFinish(finish), requestId);
         return;
       }
-      // Without `[DONE]` the caller knows that the answer is not whole.
+      // `[DONE]` is not sent, so that the caller can tell that the answer is incomplete.
       const event = finish.reason === Reason.handedOver ? 'reconnect' : 'error';
       response.end(`event: ${event}\ndata: ${errorBody(errorFromFinish(finish), requestId)}\n\n`);
     },
@@ -141,7 +144,7 @@
   return `data: ${lastChunk}\n\ndata: [DONE]\n\n`;
 }
 
-/** The answer of a plain service, carried through. */
+/** Returns an exchange that forwards the answer of a plain service. */
 export function createServiceExchange(response: ServerResponse, requestId: string): Exchange {
   return {
     onTokens: () => undefined,
@@ -163,7 +166,7 @@
 ): void {
   const ownHeaders = { [HeaderName.requestId]: requestId, [HeaderName.outcome]: finish.outcome };
   if (answer === undefined) {
-    // The request ran and its answer is no longer held by any box.
+    // The request ran, but no box stores its answer any more.
     sendJson(
       response,
       200,
--- a/packages/reedlug/src/http/keys.ts
+++ b/packages/reedlug/src/http/keys.ts
@@ -1,21 +1,22 @@
-/** Keys of workspaces and operators, known to the settings by their SHA-256 only. */
+/** Keys of workspaces and operators. The settings hold only their SHA-256 hashes. */
 import { createHash } from 'node:crypto';
 
-/** SHA-256 of a key in hex. */
+/** Returns the SHA-256 of a key in hex. */
 export function hashKey(key: string): string {
   return createHash('sha256').update(key).digest('hex');
 }
 
 /** Finds the owner of a bearer key. */
 export interface KeyRing {
+  /** Returns the owner of the key in an `Authorization` header; undefined if the key is unknown. */
   ownerOf: (authorization: string | undefined) => string | undefined;
 }
 
 const BEARER = 'Bearer ';
-/** Keys whose hash is remembered, so that each request does not hash again. */
+/** Maximum number of keys whose owner is cached, so that a request need not hash its key. */
 const MAX_CACHED_KEYS = 1000;
 
-/** Returns a key ring over hashed keys; `laterOwner` finds those that a plan has added since. */
+/** Returns a key ring over hashed keys. `findAddedOwner` looks up keys that a plan added later. */
 export function createKeyRing(
   owners: readonly { id: string; keySha256: string }[],
   findAddedOwner: (keySha256: string) => string | undefined = () => undefined,
--- a/packages/reedlug/src/http/modelRequest.ts
+++ b/packages/reedlug/src/http/modelRequest.ts
@@ -1,22 +1,22 @@
-/** Checks of model requests: chat and plain completions in OpenAI's form. */
+/** Validation of model requests: chat and text completions in the format of OpenAI's API. */
 import { z } from 'zod';
 
-/** The two forms of model requests. */
+/** The two kinds of model requests. */
 export const ModelForm = { chat: 'chat', completion: 'completion' } as const;
 export type ModelForm = (typeof ModelForm)[keyof typeof ModelForm];
 
-/** A checked model request. */
+/** A validated model request. */
 export interface ModelRequest {
   form: ModelForm;
   model: string;
   prompt: string;
-  /** The start of the prompt by which conversations are told apart when they have no id. */
+  /** Start of the prompt, which identifies a conversation that has no id. */
   opening: string;
   stream: boolean;
   maxTokens: number | undefined;
 }
 
-/** A checked request, or every fault. */
+/** A validated request, or all faults of the body. */
 export type ModelRequestResult =
   { kind: 'valid'; request: ModelRequest } | { kind: 'invalid'; faults: string[] };
 
@@ -38,11 +38,12 @@
 });
 const completionSchema = z.looseObject({ ...commonFields, prompt: z.string().min(1) });
 
-/** Messages that make a conversation's opening. */
+/** Number of messages that make up the opening of a chat. */
 const OPENING_MESSAGES = 2;
+/** Number of characters that make up the opening of a text prompt. */
 const OPENING_CHARACTERS = 2048;
 
-/** Checks a body. */
+/** Validates a body. */
 export function parseModelRequest(form: ModelForm, body: Buffer): ModelRequestResult {
   const json = parseJson(body);
   if (json === undefined) {
--- a/packages/reedlug/src/http/modelRoutes.ts
+++ b/packages/reedlug/src/http/modelRoutes.ts
@@ -1,4 +1,4 @@
-/** Routes of model requests: chat, completions and the list of models. */
+/** Routes for models: chat completions, text completions and the list of models. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { hashString } from 'reedlug-coordination';
 import { RequestClass, ServerKind, type RequestSpec } from 'reedlug-decisions';
@@ -9,10 +9,10 @@
 import { ModelForm, parseModelRequest, type ModelRequest } from './modelRequest.js';
 import type { RequestHeaders } from './requestHeaders.js';
 
-/** Characters of a prompt that make about one token. */
+/** Average number of characters in a token, to estimate the length of a prompt. */
 const CHARACTERS_PER_TOKEN = 4;
 
-/** Adds the routes. */
+/** Adds the routes for models. */
 export function addModelRoutes(router: Router, context: RouteContext): void {
   const handle = (form: ModelForm) => (request: IncomingMessage, response: ServerResponse) =>
     void serveModelRequest(context, form, request, response);
@@ -77,7 +77,7 @@
   }
   const { maxTokensLimit } = context.settings.callers;
   if ((request.maxTokens ?? 0) <= maxTokensLimit) return undefined;
-  return { type: 'badRequest', message: `max_tokens may be ${maxTokensLimit} at most` };
+  return { type: 'badRequest', message: `max_tokens must not exceed ${maxTokensLimit}` };
 }
 
 function createRequestSpec(
--- a/packages/reedlug/src/http/requestHeaders.ts
+++ b/packages/reedlug/src/http/requestHeaders.ts
@@ -1,8 +1,8 @@
-/** The documented request headers: deadline, class, repeatability, key, conversation. */
+/** The documented headers of requests: deadline, class, repeatability, key, conversation. */
 import type { IncomingHttpHeaders } from 'node:http';
 import { RequestClass } from 'reedlug-decisions';
 
-/** What the headers say; undefined where one is absent. */
+/** Values of the request headers; undefined for an absent header. */
 export interface RequestHeaders {
   deadlineMs: number | undefined;
   requestClass: RequestClass | undefined;
@@ -12,11 +12,11 @@
   modelVersion: string | undefined;
 }
 
-/** Checked headers, or every fault. */
+/** Validated headers, or all faults. */
 export type RequestHeadersResult =
   { kind: 'valid'; headers: RequestHeaders } | { kind: 'invalid'; faults: string[] };
 
-/** Names of the headers. */
+/** Names of request and response headers. */
 export const HeaderName = {
   deadline: 'x-deadline-ms',
   requestClass: 'x-request-class',
@@ -31,7 +31,7 @@
 
 const MAX_KEY_LENGTH = 255;
 
-/** Checks the headers. */
+/** Validates the headers of a request. */
 export function parseRequestHeaders(
   headers: IncomingHttpHeaders,
   deadlineLimitMs: number,
--- a/packages/reedlug/src/http/requestRoutes.ts
+++ b/packages/reedlug/src/http/requestRoutes.ts
@@ -1,4 +1,4 @@
-/** Routes about earlier requests: their outcome, and picking a stream up again. */
+/** Routes for earlier requests: to get their outcome and to resume their answer. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { RequestRecord } from 'reedlug-decisions';
 import type { Exchange } from '../daemon/exchange.js';
@@ -8,10 +8,10 @@
 import { ModelForm } from './modelRequest.js';
 import { HeaderName } from './requestHeaders.js';
 
-/** How long the peers are asked for the outcome of a request, in ms. */
+/** Time that peers have to answer a lookup of a request, in ms. */
 const PEER_LOOKUP_TIMEOUT_MS = 500;
 
-/** Adds the routes. */
+/** Adds the routes for earlier requests. */
 export function addRequestRoutes(router: Router, context: RouteContext): void {
   router.on('GET', '/v1/requests/:id', (request, response, params) =>
     sendOutcome(context, request, response, params['id'] ?? ''),
@@ -51,7 +51,10 @@
   return { requestId, requestClass, state: phase.kind, outcome, reason, status, tokens };
 }
 
-/** Follows the request for a moment; a peer that has it answers at once. */
+/**
+ * Answers with the outcome that a peer reports. Follows the request for `PEER_LOOKUP_TIMEOUT_MS`;
+ * a peer that holds it answers immediately.
+ */
 function lookUpAtPeers(
   context: RouteContext,
   response: ServerResponse,
@@ -98,7 +101,7 @@
   return { error: { type: 'notFound', message, outcome: 'unknown', requestId } };
 }
 
-/** Goes on with an answer after the offset in `Last-Event-ID`, at any entry box. */
+/** Resumes an answer after the offset in `Last-Event-ID`. Works at any entry box. */
 function resumeAnswer(
   context: RouteContext,
   request: IncomingMessage,
--- a/packages/reedlug/src/http/serviceRoutes.ts
+++ b/packages/reedlug/src/http/serviceRoutes.ts
@@ -1,4 +1,4 @@
-/** Routes to plain services: method, query, body and status are carried through. */
+/** Routes to plain services. Method, query, body and status are forwarded unchanged. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { hashString } from 'reedlug-coordination';
 import { RequestClass, ServerKind, type RequestSpec } from 'reedlug-decisions';
@@ -10,11 +10,11 @@
 import { hashKey } from './keys.js';
 import type { RequestHeaders } from './requestHeaders.js';
 
-/** Methods that repeat without harm where no route says otherwise. */
+/** Methods that are safe to repeat unless a route in the settings says otherwise. */
 const REPEATABLE_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD']);
 const SERVICES_PREFIX = '/v1/services/';
 
-/** Adds the routes. */
+/** Adds the routes to plain services. */
 export function addServiceRoutes(router: Router, context: RouteContext): void {
   const handler = (request: IncomingMessage, response: ServerResponse): void =>
     void serveServiceRequest(context, request, response);
@@ -72,7 +72,7 @@
   body: Buffer;
 }
 
-/** The service's name and the path and query at it. */
+/** Splits a request target into the service's name and the path and query for the service. */
 function splitTarget(url: string): { service: string; path: string } {
   const target = url.slice(SERVICES_PREFIX.length);
   const end = target.search(/[/?]/);
@@ -125,8 +125,9 @@
 }
 
 /**
- * A caller may call a repeatable route not repeatable. The other way round
- * only the settings decide, so that a wrong header cannot double a notice.
+ * Returns true if the request may be sent more than once. A header can declare a request to a
+ * repeatable route not repeatable. Only the settings can declare a route repeatable, so that a
+ * wrong header cannot cause a notice to be sent twice.
  */
 function isRepeatable(
   call: ServiceRequest,
