--- a/packages/reedlug/src/peers/frames.ts
+++ b/packages/reedlug/src/peers/frames.ts
@@ -1,14 +1,14 @@
-/** Length-framed cbor-x: four bytes of length, then one value. */
+/** Frames of the peer link: four bytes of length, followed by one value encoded with cbor-x. */
 import { Decoder, Encoder } from 'cbor-x';
 
-/** Largest frame taken, in bytes. */
+/** Maximum size of a received frame, in bytes. */
 export const MAX_FRAME_BYTES = 4 * 1024 * 1024;
 const LENGTH_BYTES = 4;
 
 const encoder = new Encoder({ useRecords: true, mapsAsObjects: true });
 const decoder = new Decoder({ useRecords: true, mapsAsObjects: true });
 
-/** One value as a frame. */
+/** Encodes a value as a frame. */
 export function encodeFrame(value: unknown): Buffer {
   const body = encoder.encode(value);
   const frame = Buffer.allocUnsafe(LENGTH_BYTES + body.length);
@@ -19,7 +19,7 @@
 
 const frameByMessage = new WeakMap<object, Buffer>();
 
-/** The frame of a message that goes to several peers; encoded once. */
+/** Encodes a message that is sent to several peers. Encodes each message object only once. */
 export function encodeFrameCached(message: object): Buffer {
   const cachedFrame = frameByMessage.get(message);
   if (cachedFrame !== undefined) return cachedFrame;
@@ -28,13 +28,13 @@
   return frame;
 }
 
-/** Collects bytes and gives out whole values. */
+/** Collects received bytes and decodes complete frames. */
 export interface FrameReader {
-  /** Returns the values that are complete, or `undefined` when the bytes are no frames. */
+  /** Returns the values of complete frames, or `undefined` if a frame is too long or invalid. */
   push: (chunk: Buffer, maxBytes?: number) => unknown[] | undefined;
 }
 
-/** Returns a reader that keeps an unfinished frame from chunk to chunk. */
+/** Returns a reader that buffers an incomplete frame until its remaining bytes arrive. */
 export function createFrameReader(): FrameReader {
   let buffered: Buffer = Buffer.alloc(0);
   return {
--- a/packages/reedlug/src/peers/handshake.ts
+++ b/packages/reedlug/src/peers/handshake.ts
@@ -1,10 +1,10 @@
 /**
- * Handshake of the peer link: both sides prove that they hold the shared
- * secret, over nonces of both, before any message is taken.
+ * Handshake of the peer link. Before any message is accepted, each side proves with an HMAC over
+ * the nonces of both sides that it holds the shared secret.
  */
 import { createHmac, randomBytes, timingSafeEqual } from 'node:crypto';
 
-/** Version of the peer link's messages; boxes of another version are refused. */
+/** Version of the messages of the peer link. Connections from another version are refused. */
 export const PEER_LINK_VERSION = 1;
 
 /** First frame of each side. */
@@ -21,18 +21,21 @@
   mac: string;
 }
 
-/** Which side opened the connection; part of the proof, so that one cannot be sent back. */
+/**
+ * Side of a connection. The proof covers it, so that a box cannot pass the handshake by sending
+ * back the proof that it received.
+ */
 export type Side = 'opener' | 'listener';
 
 const NONCE_BYTES = 16;
 
-/** Returns a hello with a fresh nonce. */
+/** Returns a hello with a new random nonce. */
 export function createHello(boxId: string): Hello {
   const nonce = randomBytes(NONCE_BYTES).toString('hex');
   return { kind: 'hello', version: PEER_LINK_VERSION, boxId, nonce };
 }
 
-/** The proof of one side over both hellos. */
+/** Returns the proof of one side over both hellos. */
 export function createProof(params: {
   secret: string;
   side: Side;
@@ -44,7 +47,7 @@
   return { kind: 'proof', mac: createHmac('sha256', secret).update(text).digest('hex') };
 }
 
-/** True when the other side's proof is right. */
+/** Returns true if the proof of the other side is valid. */
 export function isProofValid(params: {
   secret: string;
   side: Side;
@@ -60,7 +63,7 @@
   return receivedMac.length === expectedMac.length && timingSafeEqual(receivedMac, expectedMac);
 }
 
-/** True for a value that is a hello of this version. */
+/** Returns true if a value is a hello of this version. */
 export function isHello(value: unknown): value is Hello {
   const hello = value as Partial<Hello> | null;
   if (typeof hello !== 'object' || hello === null || hello.kind !== 'hello') return false;
@@ -68,7 +71,7 @@
   return hasTextFields && hello.version === PEER_LINK_VERSION;
 }
 
-/** True for a value that is a proof. */
+/** Returns true if a value is a proof. */
 export function isProof(value: unknown): value is Proof {
   const proof = value as Partial<Proof> | null;
   if (typeof proof !== 'object' || proof === null) return false;
--- a/packages/reedlug/src/peers/peerLink.ts
+++ b/packages/reedlug/src/peers/peerLink.ts
@@ -1,7 +1,8 @@
 /**
- * Peer link: one outgoing TCP connection to each peer for what this box says,
- * and incoming ones for what it hears. A stranger or garbage is closed and
- * counted; the process goes on.
+ * Peer link between boxes. Each box opens one TCP connection to each peer to send its messages
+ * and receives messages over the connections that the peers open. A connection that fails the
+ * handshake or sends invalid frames is closed and reported to `onRejected`; the process keeps
+ * running.
  */
 import { createServer, connect, type Server, type Socket } from 'node:net';
 import * as tls from 'node:tls';
@@ -25,7 +26,7 @@
   ca: string;
 }
 
-/** What a peer link needs. */
+/** Options of a peer link. */
 export interface PeerLinkOptions {
   boxId: string;
   /** Address to listen on, `ip:port`. */
@@ -34,9 +35,9 @@
   secret: string;
   tls: PeerTls | undefined;
   onMessage: (from: string, message: PeerMessage) => void;
-  /** Told of each connection that was refused, with the reason. */
+  /** Called with the reason for each connection that was refused. */
   onRejected: (reason: string) => void;
-  /** For tests of cuts: true while nothing passes between this box and a peer. */
+  /** Simulates a network partition: returns true while messages to and from a peer are dropped. */
   isPartitioned: (boxId: string) => boolean;
 }
 
@@ -48,11 +49,12 @@
 }
 
 const HANDSHAKE_TIMEOUT_MS = 2000;
+/** Limits the memory that a connection can use before the other side has sent its hello. */
 const MAX_HELLO_BYTES = 1024;
 const RECONNECT_DELAY_MS = 300;
-/** Messages kept for a peer whose connection is being made. */
+/** Maximum number of messages that are queued while the connection to a peer is being opened. */
 const MAX_PENDING_MESSAGES = 256;
-/** A peer that takes nothing is dropped at this many bytes waiting. */
+/** The connection to a peer that stops reading is closed at this number of unsent bytes. */
 const MAX_BACKLOG_BYTES = 8 * 1024 * 1024;
 
 interface Outgoing {
@@ -63,7 +65,7 @@
   retryAtMs: number;
 }
 
-/** Starts a peer link; resolves once it listens. */
+/** Starts a peer link. Resolves once it is listening. */
 export async function startPeerLink(options: PeerLinkOptions): Promise<PeerLink> {
   const incoming = new Set<Socket>();
   const outgoing = new Map<string, Outgoing>();
@@ -149,7 +151,10 @@
 
 type Reader = ReturnType<typeof createFrameReader>;
 
-/** Runs the handshake; `onDone` gets the other side, the reader, and values that came early. */
+/**
+ * Runs the handshake. `onDone` gets the hello of the other side, the frame reader, and the values
+ * that arrived in the same chunk as the proof.
+ */
 function runHandshake(
   options: PeerLinkOptions,
   socket: Socket,
@@ -171,7 +176,7 @@
   socket.on('close', () => clearTimeout(timer));
   socket.write(encodeFrame(own));
   const onData = (chunk: Buffer): void => {
-    // Messages may follow the proof at once, so only the hello is held to the small size.
+    // Messages can follow the proof in the same chunk, so only the hello has the small limit.
     const values = reader.push(chunk, other === undefined ? MAX_HELLO_BYTES : undefined);
     if (values === undefined) return reject('garbage');
     while (values.length > 0) {
@@ -208,7 +213,7 @@
     else socket.write(encodeFrameCached(message));
     return;
   }
-  // A heartbeat says how things are now; an old one is worth nothing.
+  // A heartbeat describes the current state, so a queued one would be outdated when it is sent.
   if (message.kind !== 'heartbeat' && peer.pending.length < MAX_PENDING_MESSAGES) {
     peer.pending.push(message);
   }
--- a/packages/reedlug/src/peers/peerMessages.ts
+++ b/packages/reedlug/src/peers/peerMessages.ts
@@ -1,7 +1,7 @@
-/** Shape check of what arrives over the peer link. */
+/** Validation of the messages that are received over the peer link. */
 import type { PeerMessage } from 'reedlug-decisions';
 
-/** The fields that each kind of message must have, by type. */
+/** Required fields and their types for each kind of message. */
 const FIELD_TYPES: { [K in PeerMessage['kind']]: Readonly<Record<string, string>> } = {
   heartbeat: {
     incarnation: 'number',
@@ -21,7 +21,7 @@
   handoverTaken: { requestId: 'string' },
 };
 
-/** True for a value with the fields of its kind of message. */
+/** Returns true if a value has the required fields of its kind of message. */
 export function isPeerMessage(value: unknown): value is PeerMessage {
   if (typeof value !== 'object' || value === null) return false;
   const message = value as Record<string, unknown>;
