--- a/packages/reedlug/src/backends/engineClient.ts
+++ b/packages/reedlug/src/backends/engineClient.ts
@@ -18,22 +18,22 @@
 import type { ServerPools } from './serverPools.js';
 import { createSseParser } from './sseParser.js';
 
-/** How long the short calls to an engine may take, in ms. */
+/** Time-out of calls to an engine other than streams, in ms. */
 const CALL_TIMEOUT_MS = 2000;
 const STATUS_OK = 200;
 const STATUS_REFUSED = 409;
 
 const JSON_HEADERS = { 'content-type': 'application/json' };
 
-/** Gives an event to the reducer. */
+/** Passes an event to the reducer. */
 export type Emit = (event: EventBody) => void;
 
-/** A running stream, to be cancelled. */
+/** An open stream that can be cancelled. */
 export interface EngineStream {
   abort: () => void;
 }
 
-/** Opens a stream at an engine; what it says comes back as events. */
+/** Opens a stream at an engine and emits an event for each chunk and for the end of the stream. */
 export function openEngineStream(params: {
   pools: ServerPools;
   spec: ServerSpec;
@@ -59,7 +59,7 @@
   abort: () => void;
 }
 
-/** Turns one response into events; exactly one closing event unless it was aborted. */
+/** Turns one response into events. Emits exactly one closing event unless the stream is aborted. */
 function createStreamHandler(attemptId: string, emit: Emit, onClosed: () => void): StreamHandler {
   const parser = createSseParser();
   const decoder = new TextDecoder();
@@ -128,7 +128,10 @@
   }
 }
 
-/** The end of a response without an end marker is a loss; a 409 is a refusal before running. */
+/**
+ * Returns the event for a response that ended without an end marker. Status 409 means that the
+ * engine refused the request before running it; any other status counts as a lost attempt.
+ */
 function responseEndEvent(attemptId: string, status: number, refusal: string): EventBody {
   if (status !== STATUS_REFUSED) return { type: 'attemptLost', attemptId, reached: true };
   const reason = (parseChunk(refusal) as EngineRefusal | undefined)?.refused;
@@ -158,7 +161,7 @@
   return { status: response.statusCode, body: (await response.body.json()) as T };
 }
 
-/** Asks an engine for its load and the cache events since the last answer. */
+/** Gets from an engine its load and the cache evictions since the previous answer. */
 export async function probeEngine(pools: ServerPools, spec: ServerSpec, emit: Emit): Promise<void> {
   const serverId = spec.id;
   try {
@@ -174,7 +177,7 @@
   }
 }
 
-/** Asks an engine to stop a run and keep its KV cache under a ticket. */
+/** Tells an engine to stop a run and keep its KV cache for export under a ticket. */
 export async function exportKv(
   pools: ServerPools,
   spec: ServerSpec,
@@ -198,7 +201,7 @@
   }
 }
 
-/** Has an engine send an idle prefix to another engine. */
+/** Tells an engine to send the KV cache of an idle prefix to another engine. */
 export async function moveCache(
   pools: ServerPools,
   params: { source: ServerSpec; target: ServerSpec; affinityHash: number; tokens: number },
@@ -214,7 +217,7 @@
     if (status === STATUS_OK)
       emit({ type: 'cacheMoved', affinityHash, serverId: target.id, tokens });
   } catch {
-    // The prefix is recomputed where its next request lands; nothing depends on the move.
+    // The move is an optimisation: without it, the next request recomputes the prefix.
   }
 }
 
--- a/packages/reedlug/src/backends/engineProtocol.ts
+++ b/packages/reedlug/src/backends/engineProtocol.ts
@@ -1,6 +1,6 @@
 /**
- * The engines' HTTP protocol: OpenAI-style completions with extension fields
- * for offsets, resume, priority, KV cache and load.
+ * HTTP protocol of the engines: completions in the format of OpenAI's API, with additional fields
+ * for offsets, resuming, priority, KV cache and load.
  */
 import type { EngineReport, RefusalReason } from 'reedlug-decisions';
 
@@ -12,18 +12,18 @@
   prompt: string;
   stream: true;
   max_tokens: number;
-  /** 0 goes before 1. */
+  /** Requests with priority 0 run before those with priority 1. */
   priority: 0 | 1;
-  /** Tokens of the answer that the caller has already; the engine goes on after them. */
+  /** Tokens of the answer that were already received; the engine continues after them. */
   resume_tokens: readonly string[];
-  /** Key under which the engine keeps the prefix cache of the conversation. */
+  /** Key under which the engine stores the prefix cache of the conversation. */
   cache_key: number;
   prompt_tokens: number;
-  /** Exported KV cache to take in first. */
+  /** Exported KV cache that the engine imports before it runs the request. */
   kv_ticket: { ticket_id: string; source: string } | undefined;
 }
 
-/** A data line of the answer. */
+/** Payload of a `data:` line of the answer. */
 export interface EngineChunk {
   offset?: number;
   tokens?: string[];
@@ -49,7 +49,7 @@
   offset: number;
 }
 
-/** Body of `POST /v1/kv/move`: an idle prefix goes to another engine. */
+/** Body of `POST /v1/kv/move`, which moves an idle prefix to another engine. */
 export interface KvMoveRequest {
   cache_key: number;
   target: string;
--- a/packages/reedlug/src/backends/httpErrors.ts
+++ b/packages/reedlug/src/backends/httpErrors.ts
@@ -1,6 +1,6 @@
-/** What an HTTP client's error says about whether the request was sent. */
+/** Classifies errors of the HTTP client by whether the request can have been sent. */
 
-/** Codes of errors before any byte of a request was written. */
+/** Codes of errors that occur before any byte of a request is written. */
 const NOT_CONNECTED_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -9,7 +9,7 @@
   'ENOTFOUND',
 ]);
 
-/** True when the connection was never made, so that no byte can have left. */
+/** Returns true if no connection was established, so that no byte was sent. */
 export function failedToConnect(error: unknown): boolean {
   const code = (error as { code?: unknown }).code;
   return typeof code === 'string' && NOT_CONNECTED_CODES.has(code);
--- a/packages/reedlug/src/backends/serverPools.ts
+++ b/packages/reedlug/src/backends/serverPools.ts
@@ -1,4 +1,4 @@
-/** One undici pool for each backend server. */
+/** HTTP connection pools (undici), one for each backend server. */
 import { Pool } from 'undici';
 import type { ServerSpec } from 'reedlug-decisions';
 
@@ -11,7 +11,7 @@
 const CONNECT_TIMEOUT_MS = 1000;
 const KEEP_ALIVE_TIMEOUT_MS = 4000;
 
-/** Returns pools that are made on first use. */
+/** Returns an empty set of pools. The pool of a server is created on first use. */
 export function createServerPools(): ServerPools {
   const pools = new Map<string, Pool>();
   return {
@@ -19,7 +19,7 @@
       let pool = pools.get(spec.address);
       if (pool === undefined) {
         pool = new Pool(spec.address, {
-          // Streams are long and many; slots are bounded by the decisions, not here.
+          // Unlimited: the reducer already limits the requests to a server by its slots.
           connections: null,
           pipelining: 1,
           connect: { timeout: CONNECT_TIMEOUT_MS },
--- a/packages/reedlug/src/backends/serviceClient.ts
+++ b/packages/reedlug/src/backends/serviceClient.ts
@@ -1,13 +1,13 @@
-/** Calls to plain services: method, query, body and status are carried through. */
+/** Calls to plain services. Method, query, body and status are forwarded unchanged. */
 import { RefusalReason, type EventBody, type ServerSpec } from 'reedlug-decisions';
 import type { Emit } from './engineClient.js';
 import { failedToConnect } from './httpErrors.js';
 import type { ServerPools } from './serverPools.js';
 
-/** A call as the caller made it, without the headers that belong to one connection. */
+/** A caller's request to a service, without its hop-by-hop headers. */
 export interface ServiceCall {
   method: string;
-  /** Path and query at the service. */
+  /** Path and query for the service. */
   path: string;
   headers: Record<string, string>;
   body: Buffer | undefined;
@@ -20,7 +20,7 @@
   body: Buffer;
 }
 
-/** Headers that belong to one connection and are not carried through. */
+/** Headers that apply to a single connection or to this box and are not forwarded. */
 const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
@@ -36,7 +36,7 @@
   'authorization',
 ]);
 
-/** Copies the headers that may pass. */
+/** Returns a copy of the headers without those that are not forwarded. */
 export function endToEndHeaders(
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): Record<string, string> {
@@ -48,7 +48,7 @@
   return forwarded;
 }
 
-/** Calls a service; the answer goes to `onAnswer`, what follows from it to `emit`. */
+/** Calls a service. Passes the answer to `onAnswer` and the resulting event to `emit`. */
 export function callService(params: {
   pools: ServerPools;
   spec: ServerSpec;
@@ -86,7 +86,7 @@
   }
 }
 
-/** Asks a plain service whether it is up; any answer will do. */
+/** Probes a plain service. Any answer, whatever its status, means that the service is up. */
 export async function probeService(
   pools: ServerPools,
   spec: ServerSpec,
@@ -108,7 +108,7 @@
   }
 }
 
-/** A plain service reports little: its start number and whether it leaves, in two headers. */
+/** Returns a report from the two headers in which a service states its incarnation and leaving. */
 function reportFromHeaders(headers: Record<string, string | string[] | undefined>) {
   const incarnation = Number(headers['x-incarnation'] ?? 0);
   return {
--- a/packages/reedlug/src/backends/sseParser.ts
+++ b/packages/reedlug/src/backends/sseParser.ts
@@ -1,14 +1,14 @@
-/** Splits a server-sent event stream into the payloads of its `data:` lines. */
+/** Splits a stream of server-sent events into the payloads of its `data:` lines. */
 export interface SseParser {
-  /** Takes a chunk and gives each whole `data:` payload to `onData`. */
+  /** Parses a chunk and passes each complete `data:` payload to `onData`. */
   push: (chunk: string, onData: (data: string) => void) => void;
 }
 
-/** Longest line kept while its end is awaited, in characters. */
+/** Maximum length of an incomplete line, in characters. A longer one is discarded. */
 const MAX_LINE_LENGTH = 1_048_576;
 const DATA_PREFIX = 'data:';
 
-/** Returns a parser that keeps the rest of a line from chunk to chunk. */
+/** Returns a parser that buffers an incomplete line until its end arrives. */
 export function createSseParser(): SseParser {
   let partialLine = '';
   return {
