--- a/packages/reedlug/src/platform/platformCall.ts
+++ b/packages/reedlug/src/platform/platformCall.ts
@@ -1,6 +1,6 @@
 /**
- * Calls to the platform: each with a time-out, a rate limit and a breaker, and
- * a three-way answer. An answer that does not come is `unknown`, never a failure.
+ * Calls to the platform, with a time-out, a rate limit and a circuit breaker. A call without an
+ * answer gives `unknown`, not a failure, because the platform may have carried it out.
  */
 import { Pool } from 'undici';
 import {
@@ -12,7 +12,7 @@
 } from 'reedlug-coordination';
 import { failedToConnect } from '../backends/httpErrors.js';
 
-/** The three-way answer. `refused` means that the platform did not carry it out. */
+/** Result of a call. `refused` means that the platform did not carry the call out. */
 export type PlatformAnswer<T> =
   | { kind: 'done'; body: T }
   | { kind: 'refused'; status: number; body: T | undefined }
@@ -23,11 +23,11 @@
   url: string;
   timeoutMs: number;
   requestsPerSecond: number;
-  /** For tests of cuts: true while nothing reaches the platform. */
+  /** Simulates a network partition: returns true while no call reaches the platform. */
   isPartitioned: () => boolean;
 }
 
-/** One call. */
+/** A request to the platform. */
 export interface PlatformRequest {
   method: 'GET' | 'POST' | 'PUT';
   path: string;
@@ -44,11 +44,11 @@
 const BREAKER_OPEN_MS = 1000;
 const MIN_REFUSED_STATUS = 400;
 const MIN_FAILED_STATUS = 500;
-/** Status told when the rate limit or the breaker kept the call back: nothing was sent. */
+/** Status of a call that the rate limit or the circuit breaker rejected before it was sent. */
 const STATUS_NOT_SENT = 429;
 const JSON_HEADERS = { 'content-type': 'application/json' };
 
-/** Returns a client. */
+/** Returns a client of one platform service. */
 export function createPlatformCaller(options: PlatformCallerOptions): PlatformCaller {
   const { timeoutMs, requestsPerSecond } = options;
   const pool = new Pool(options.url, { connections: 8, connect: { timeout: timeoutMs } });
--- a/packages/reedlug/src/platform/platformClients.ts
+++ b/packages/reedlug/src/platform/platformClients.ts
@@ -1,20 +1,20 @@
-/** Clients of the platform: table, object store, cloud, box list and notices, weight store. */
+/** Clients of the platform's services: table, object store, cloud and box list. */
 import type { ConfigSnapshot, TableAnswer, TableOp, TableRow } from 'reedlug-coordination';
 import type { CommandResult, BoxListEntry, CloudRequest } from 'reedlug-decisions';
 import type { Settings } from '../settings/settingsTypes.js';
 import { createPlatformCaller, type PlatformAnswer, type PlatformCaller } from './platformCall.js';
 
-/** A reclaim notice of the cloud. */
+/** Notice of the cloud that it will reclaim a box. */
 export interface ReclaimNotice {
-  /** Grows with each notice. */
+  /** Increases with each notice. */
   sequence: number;
   boxId: string;
   incarnation: number;
-  /** Ms from now until the box goes. */
+  /** Time until the box is reclaimed, in ms. */
   leavesInMs: number;
 }
 
-/** What the entry daemon asks of the platform. */
+/** Operations of the platform that the entry daemon uses. */
 export interface PlatformClients {
   table: (op: TableOp) => Promise<TableAnswer>;
   cloud: (request: CloudRequest) => Promise<CommandResult>;
@@ -28,7 +28,7 @@
 const SNAPSHOT_PATH = '/v1/objects/config-snapshot';
 const STATUS_CONFLICT = 409;
 
-/** Returns clients for the addresses of the settings. */
+/** Returns clients for the addresses in the settings. */
 export function createPlatformClients(
   platform: Settings['platform'],
   isPartitioned: () => boolean,
