--- a/packages/reedlug/src/plans/intentValidation.ts
+++ b/packages/reedlug/src/plans/intentValidation.ts
@@ -1,12 +1,12 @@
-/** Validation of an intent document, from YAML or JSON. Times carry their time zone. */
+/** Validation of an intent document from YAML or JSON. Times must state their time zone. */
 import { z } from 'zod';
 import type { Intent } from 'reedlug-decisions';
 
-/** A checked intent, or every fault. */
+/** A validated intent, or all faults of the document. */
 export type IntentResult =
   { kind: 'valid'; intent: Intent } | { kind: 'invalid'; faults: string[] };
 
-/** A point in time with its offset, such as 2026-12-02T20:00:00+07:00. */
+/** A point in time with its UTC offset, such as 2026-12-02T20:00:00+07:00. */
 const pointInTime = z
   .string()
   .refine((text) => /(Z|[+-]\d{2}:\d{2})$/.test(text), 'must state its time zone, such as +07:00')
@@ -64,7 +64,7 @@
   }),
 ]);
 
-/** Checks a document. */
+/** Validates an intent document. */
 export function parseIntent(document: unknown): IntentResult {
   const parsed = intentSchema.safeParse(document);
   if (!parsed.success) {
--- a/packages/reedlug/src/plans/planShape.ts
+++ b/packages/reedlug/src/plans/planShape.ts
@@ -1,4 +1,4 @@
-/** Shape of a plan as it comes back for confirmation; its digest guards its content. */
+/** Checks that a plan sent for confirmation has all fields. Its digest protects their content. */
 import type { Plan } from 'reedlug-decisions';
 
 const REQUIRED_FIELDS: readonly (keyof Plan)[] = [
@@ -12,7 +12,7 @@
   'digest',
 ];
 
-/** True for a value with the fields of a plan. */
+/** Returns true if a value has the fields of a plan. */
 export function isPlan(value: unknown): value is Plan {
   if (typeof value !== 'object' || value === null) return false;
   const plan = value as Record<string, unknown>;
