--- a/packages/reedlug/src/settings/consistencyFaults.ts
+++ b/packages/reedlug/src/settings/consistencyFaults.ts
@@ -1,13 +1,13 @@
-/** Faults of the settings file that lie between entries. */
+/** Checks of the settings file that involve more than one entry. */
 import type { Settings } from './settingsTypes.js';
 
-/** A fault between entries of the settings file. */
+/** An inconsistency between entries of the settings file. */
 export interface ConsistencyFault {
   path: PropertyKey[];
   message: string;
 }
 
-/** Faults that lie between entries: names that do not exist, names used twice. */
+/** Returns the inconsistencies between entries, such as unknown names and duplicate ids. */
 export function findConsistencyFaults(settings: Settings): ConsistencyFault[] {
   const zones = new Set(settings.zones.map((zone) => zone.name));
   const unknownZones = (['boxes', 'engines', 'services', 'offers'] as const).flatMap((section) =>
@@ -51,7 +51,7 @@
   const duplicates = ids.filter((id, index) => ids.indexOf(id) !== index);
   return duplicates.map((id) => ({
     path: [section],
-    message: `${id} stands twice; ids must differ`,
+    message: `${id} is used more than once; ids must be unique`,
   }));
 }
 
@@ -67,11 +67,14 @@
   if (settings.peerSecret !== undefined && settings.peerSecretFile !== undefined) {
     faults.push({
       path: ['peerSecretFile'],
-      message: 'give peerSecret or peerSecretFile, not both',
+      message: 'set peerSecret or peerSecretFile, not both',
     });
   }
   if (settings.boxes.length > 1 && !settings.peerSecret && !settings.peerSecretFile) {
-    faults.push({ path: ['boxes'], message: 'several boxes need peerSecret or peerSecretFile' });
+    faults.push({
+      path: ['boxes'],
+      message: 'more than one box requires peerSecret or peerSecretFile',
+    });
   }
   const { leaseMarginMs, leaseRenewMs, leaseTtlMs } = settings.control;
   if (leaseMarginMs + leaseRenewMs >= leaseTtlMs) {
--- a/packages/reedlug/src/settings/decisionSettings.ts
+++ b/packages/reedlug/src/settings/decisionSettings.ts
@@ -1,8 +1,8 @@
-/** From the settings file to the settings that the decisions rest on. */
+/** Converts the settings file to the settings of the reducer. */
 import { ServerKind, type DecisionSettings, type ServerSpec } from 'reedlug-decisions';
 import type { Settings } from './settingsTypes.js';
 
-/** The decisions' settings of one box. `incarnation` grows with each start of the box. */
+/** Returns the reducer's settings of one box. `incarnation` increases with each start of it. */
 export function toDecisionSettings(
   settings: Settings,
   box: { id: string; zone: string },
--- a/packages/reedlug/src/settings/settingsFile.ts
+++ b/packages/reedlug/src/settings/settingsFile.ts
@@ -1,15 +1,15 @@
-/** Reads a settings file and the files that it names. */
+/** Reads a settings file. */
 import { readFile } from 'node:fs/promises';
 import type { Settings } from './settingsTypes.js';
 import { validateSettings, type SettingsFault } from './settingsValidation.js';
 
-/** A read file: its settings, or why there are none. */
+/** The settings of a file, or the reason why it cannot be used. */
 export type SettingsFileResult =
   | { kind: 'valid'; settings: Settings }
   | { kind: 'invalid'; faults: readonly SettingsFault[] }
   | { kind: 'unreadable'; message: string };
 
-/** Reads and checks a settings file. */
+/** Reads and validates a settings file. */
 export async function readSettingsFile(path: string): Promise<SettingsFileResult> {
   let text: string;
   try {
@@ -20,7 +20,7 @@
   return validateSettings(text);
 }
 
-/** One line for each fault: file, line, path, what would be right. */
+/** Returns one line for each fault: file, line, path and what is expected there. */
 export function faultLines(path: string, faults: readonly SettingsFault[]): string[] {
   return faults.map((fault) => {
     const location = fault.path === '' ? '' : ` ${fault.path}:`;
--- a/packages/reedlug/src/settings/settingsSchema.ts
+++ b/packages/reedlug/src/settings/settingsSchema.ts
@@ -1,4 +1,4 @@
-/** The shape of the settings file, with the defaults beside the checks. */
+/** Schema of the settings file, with the default of each key. */
 import { z } from 'zod';
 import { DEFAULT_CONTROL, DEFAULT_POLICY, RequestClass } from 'reedlug-decisions';
 
@@ -7,7 +7,7 @@
   .regex(/^[a-z0-9][a-z0-9.-]{0,62}$/i, 'must be 1 to 63 letters, digits, dots and dashes');
 const ipPort = z
   .string()
-  .regex(/^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$/, 'must be an IP number and port such as 10.0.0.5:8080');
+  .regex(/^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$/, 'must be an IP address and port such as 10.0.0.5:8080');
 const url = z.string().regex(/^https?:\/\/[^/]+/, 'must be a URL such as http://10.0.0.7:8000');
 const sha256 = z
   .string()
@@ -17,7 +17,7 @@
 const positiveInteger = z.number().int().positive();
 const requestClass = z.enum([RequestClass.urgent, RequestClass.patient]);
 
-/** An optional section whose keys default one by one. */
+/** Returns the schema of an optional section in which each key has its own default. */
 function withDefaults<T extends object>(
   defaults: T,
   shape: { [K in keyof T]: z.ZodType<T[K]> },
@@ -97,7 +97,7 @@
 });
 
 const standins = z.strictObject({
-  /** Time that one way between zones takes. */
+  /** One-way network latency between zones. */
   zoneLatencyMs: nonNegative.default(1.5),
   kvCapacityTokens: positiveInteger.default(120_000),
   prefillTokensPerMs: positive.default(8),
@@ -106,7 +106,7 @@
   serviceAnswerMs: nonNegative.default(5),
 });
 
-/** The whole file. */
+/** Schema of the whole file. */
 export const settingsSchema = z.strictObject({
   box: name.optional(),
   deployment: name,
--- a/packages/reedlug/src/settings/settingsTypes.ts
+++ b/packages/reedlug/src/settings/settingsTypes.ts
@@ -1,8 +1,8 @@
-/** Settings of an entry box as they stand in the YAML file. */
+/** Types of the settings of an entry box, in the structure of the YAML file. */
 import type { z } from 'zod';
 import type { settingsSchema } from './settingsSchema.js';
 
-/** Checked settings, with defaults filled in. */
+/** Validated settings, with defaults filled in. */
 export type Settings = z.infer<typeof settingsSchema>;
 export type BoxSettings = Settings['boxes'][number];
 export type EngineSettings = Settings['engines'][number];
--- a/packages/reedlug/src/settings/settingsValidation.ts
+++ b/packages/reedlug/src/settings/settingsValidation.ts
@@ -1,8 +1,8 @@
 /**
  * Validation of the settings file.
  *
- * Unknown keys, wrong types and wrong units are refused; every fault is listed
- * with its line and what would be right.
+ * Rejects unknown keys, wrong types and wrong units. Lists every fault with its line and what is
+ * expected there.
  */
 import type { z } from 'zod';
 import { parseLocatedYaml } from 'reedlug-gateway';
@@ -12,17 +12,17 @@
 
 /** A fault of a settings file. */
 export interface SettingsFault {
-  /** Line in the file, from 1; 0 when it is not known. */
+  /** Line in the file, starting at 1; 0 if the line is unknown. */
   line: number;
   path: string;
   message: string;
 }
 
-/** The checked settings, or every fault. */
+/** The validated settings, or all faults. */
 export type SettingsResult =
   { kind: 'valid'; settings: Settings } | { kind: 'invalid'; faults: SettingsFault[] };
 
-/** Checks the text of a settings file. */
+/** Validates the text of a settings file. */
 export function validateSettings(text: string): SettingsResult {
   const document = parseLocatedYaml(text);
   if (document.kind === 'faulty') {
@@ -52,7 +52,7 @@
   if (issue.code === 'unrecognized_keys') {
     return issue.keys.map((key) => {
       const path = [...issue.path, key];
-      const message = 'unknown key; remove it or mend its name (see docs/settings.md)';
+      const message = 'unknown key; remove it or correct its name (see docs/settings.md)';
       return { line: locate(path), path: path.map(String).join('.'), message };
     });
   }
