--- a/packages/reedlug/src/observe/histograms.ts
+++ b/packages/reedlug/src/observe/histograms.ts
@@ -1,8 +1,8 @@
-/** Latency histograms by workspace and class. */
+/** Latency histograms by workspace and request class. */
 import { build, type Histogram } from 'hdr-histogram-js';
 import type { RequestClass } from 'reedlug-decisions';
 
-/** What is measured, in ms. */
+/** Measured times of a request. */
 export const Measure = {
   waiting: 'waiting',
   firstToken: 'firstToken',
@@ -11,7 +11,7 @@
 } as const;
 export type Measure = (typeof Measure)[keyof typeof Measure];
 
-/** One row of the report. */
+/** Summary of one histogram, as reported to operators. */
 export interface HistogramRow {
   workspaceId: string;
   requestClass: RequestClass;
@@ -22,7 +22,7 @@
   p99Ms: number;
 }
 
-/** All histograms of a box. */
+/** Histograms of a box. */
 export interface Histograms {
   record: (
     key: { workspaceId: string; requestClass: RequestClass; measure: Measure },
@@ -31,7 +31,7 @@
   rows: () => HistogramRow[];
 }
 
-/** Values are kept in hundredths of a ms, so that short times keep their digits. */
+/** Values are stored in hundredths of a ms, so that short times keep their precision. */
 const UNITS_PER_MS = 100;
 const MAX_VALUE_MS = 3_600_000;
 
@@ -42,7 +42,7 @@
   histogram: Histogram;
 }
 
-/** Returns empty histograms. */
+/** Returns an empty set of histograms. */
 export function createHistograms(): Histograms {
   const entries = new Map<string, Entry>();
   return {
--- a/packages/reedlug/src/observe/metrics.ts
+++ b/packages/reedlug/src/observe/metrics.ts
@@ -1,7 +1,7 @@
-/** Metrics over StatsD by hot-shots; nothing is sent where the settings name no host. */
+/** Metrics sent over StatsD with hot-shots. Nothing is sent if the settings name no host. */
 import { StatsD } from 'hot-shots';
 
-/** Counts and times, with tags. */
+/** Records counters and times with tags. */
 export interface Metrics {
   count: (name: string, tags: Readonly<Record<string, string>>) => void;
   time: (name: string, valueMs: number, tags: Readonly<Record<string, string>>) => void;
