--- a/packages/reedlug/src/commands/adminClient.ts
+++ b/packages/reedlug/src/commands/adminClient.ts
@@ -1,8 +1,8 @@
-/** HTTP client of the operators' commands. */
+/** HTTP client of the commands for operators. */
 import { Command, Option } from 'clipanion';
 import { request } from 'undici';
 
-/** A command that asks an entry box as an operator. */
+/** A command that calls the admin API of an entry box. */
 export abstract class AdminCommand extends Command {
   entry = Option.String('--entry', {
     required: true,
@@ -17,7 +17,7 @@
 
   json = Option.Boolean('--json', false, { description: 'Print JSON' });
 
-  /** Asks; undefined after what went wrong was printed. */
+  /** Sends a request to the entry box. Prints the error and returns undefined if it fails. */
   protected async ask<T>(
     method: 'GET' | 'POST',
     path: string,
@@ -37,7 +37,7 @@
       return { status: response.statusCode, value };
     } catch (error) {
       const { message } = error as Error;
-      this.context.stderr.write(`cannot ask ${this.entry}: ${message}; is the box up?\n`);
+      this.context.stderr.write(`cannot reach ${this.entry}: ${message}; is the box running?\n`);
       return undefined;
     }
   }
--- a/packages/reedlug/src/commands/check.ts
+++ b/packages/reedlug/src/commands/check.ts
@@ -1,4 +1,4 @@
-/** `reedlug check`: randomised runs of the real reducers with every promise asserted. */
+/** `reedlug check`: randomised runs of the real reducers that assert every guarantee. */
 import { writeFile } from 'node:fs/promises';
 import { Command, Option } from 'clipanion';
 import {
@@ -10,12 +10,13 @@
 } from 'reedlug-check';
 import { parseSeedRange } from './seedRange.js';
 
-/** Exits 0 when no promise was broken. */
+/** Exits with 0 if no guarantee was violated. */
 export class CheckCommand extends Command {
   static override paths = [['check']];
   static override usage = Command.Usage({
-    description: 'Check every promise in randomised runs with faults under virtual time',
-    details: 'On a violation the shrunk plan and the last events go to violation-SEED.json.',
+    description: 'Check every guarantee in randomised runs with faults under virtual time',
+    details:
+      'On a violation, the shrunk plan and the last events are written to violation-SEED.json.',
     examples: [
       ['The long run', 'reedlug check --seeds 1-500'],
       ['Reclaims only', 'reedlug check --seeds 1-50 --faults reclaimZone,reclaimServer'],
@@ -23,8 +24,10 @@
   });
 
   seeds = Option.String('--seeds', '1-100', { description: 'One seed, or a range such as 1-500' });
-  events = Option.String('--events', '2000', { description: 'Events a run has at the least' });
-  faults = Option.String('--faults', { description: `Of ${ALL_FAULTS.join(', ')}` });
+  events = Option.String('--events', '2000', { description: 'Minimum number of events in a run' });
+  faults = Option.String('--faults', {
+    description: `Faults to inject, comma-separated, of ${ALL_FAULTS.join(', ')}`,
+  });
   out = Option.String('--out', '.', { description: 'Folder for the traces of violations' });
 
   override async execute(): Promise<number> {
@@ -37,7 +40,7 @@
     const unknownKinds = kinds.filter((kind) => !ALL_FAULTS.includes(kind as FaultKind));
     if (unknownKinds.length > 0) {
       faults.push(
-        `--faults does not know ${unknownKinds.join(', ')}; known: ${ALL_FAULTS.join(', ')}`,
+        `--faults has unknown kinds ${unknownKinds.join(', ')}; known: ${ALL_FAULTS.join(', ')}`,
       );
     }
     if (seeds === undefined || faults.length > 0) {
--- a/packages/reedlug/src/commands/dev.ts
+++ b/packages/reedlug/src/commands/dev.ts
@@ -1,4 +1,4 @@
-/** `reedlug dev`: entry boxes and stand-ins in one process. */
+/** `reedlug dev`: entry boxes and stand-in servers in one process. */
 import { Command } from 'clipanion';
 import { startDevCluster } from '../dev/devCluster.js';
 import { createLogger } from 'reedlug-gateway';
@@ -8,7 +8,7 @@
 export class DevCommand extends SettingsCommand {
   static override paths = [['dev']];
   static override usage = Command.Usage({
-    description: 'Run the entry boxes of a settings file with stand-ins around them',
+    description: 'Run the entry boxes of a settings file with stand-ins for servers and platform',
     examples: [['Run the Bangkok example', 'reedlug dev --settings examples/bangkok.yaml']],
   });
 
--- a/packages/reedlug/src/commands/entry.ts
+++ b/packages/reedlug/src/commands/entry.ts
@@ -10,19 +10,21 @@
 import type { BoxSettings, Settings } from '../settings/settingsTypes.js';
 import { SettingsCommand } from './settingsCommand.js';
 
-/** Runs until SIGTERM has drained it; a second signal ends it at once. */
+/** Runs until SIGTERM or SIGINT, then drains. The same signal again ends the process. */
 export class EntryCommand extends SettingsCommand {
   static override paths = [['entry']];
   static override usage = Command.Usage({
     description: 'Run the daemon of one entry box',
-    details: 'SIGTERM drains: the box stops being ready, finishes what is in progress, then ends.',
+    details: 'On SIGTERM the box stops being ready, finishes the requests in progress and exits.',
     examples: [
       ['Run the box that the file names', 'reedlug entry --settings /etc/reedlug.yaml'],
       ['Run another box of the same file', 'reedlug entry --settings fleet.yaml --box hall-b-1'],
     ],
   });
 
-  boxId = Option.String('--box', { description: 'Id of the box, where the file names another' });
+  boxId = Option.String('--box', {
+    description: 'Id of the box to run instead of the one that the file names',
+  });
   tracePath = Option.String('--trace', { description: 'Record every event to this file' });
 
   override async execute(): Promise<number> {
@@ -72,7 +74,9 @@
     const box = settings.boxes.find(({ id }) => id === wantedId);
     if (box !== undefined) return box;
     const known = settings.boxes.map(({ id }) => id).join(', ');
-    this.context.stderr.write(`name the box by --box or the key box; boxes: ${known}\n`);
+    this.context.stderr.write(
+      `set the box with --box or the key "box" of the settings; known boxes: ${known}\n`,
+    );
     return undefined;
   }
 }
--- a/packages/reedlug/src/commands/explain.ts
+++ b/packages/reedlug/src/commands/explain.ts
@@ -1,9 +1,9 @@
-/** `reedlug explain`: what the logs of all boxes say of one request. */
+/** `reedlug explain`: the log lines of all boxes about one request, and its cause. */
 import { readFile } from 'node:fs/promises';
 import { Command, Option } from 'clipanion';
 import { explainRequest } from 'reedlug-gateway';
 
-/** Prints a request's lines in order and its cause. */
+/** Prints the log lines of a request in order, and the cause of its outcome. */
 export class ExplainCommand extends Command {
   static override paths = [['explain']];
   static override usage = Command.Usage({
@@ -18,7 +18,7 @@
     const explanation = explainRequest(await readFile(this.logFile, 'utf8'), this.requestId);
     if (explanation === undefined) {
       this.context.stderr.write(
-        `${this.logFile} has no line of request ${this.requestId}; add the logs of the other boxes\n`,
+        `${this.logFile} has no lines of request ${this.requestId}; add the logs of the other boxes\n`,
       );
       return 1;
     }
--- a/packages/reedlug/src/commands/explainLimits.ts
+++ b/packages/reedlug/src/commands/explainLimits.ts
@@ -1,4 +1,4 @@
-/** `reedlug explain-limits`: whether refusals by limits were within them, from the logs of all boxes. */
+/** `reedlug explain-limits`: whether limits were used up when they refused requests. */
 import { readFile } from 'node:fs/promises';
 import { Command, Option } from 'clipanion';
 import { limitAccount, limitRefusals } from 'reedlug-gateway';
@@ -6,16 +6,19 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Prints a row for each workspace that was refused. */
+/** Prints a row for each workspace that had refused requests, from the logs of all boxes. */
 export class ExplainLimitsCommand extends Command {
   static override paths = [['explain-limits']];
   static override usage = Command.Usage({
-    description: 'Add up over all boxes what limits held when they refused requests',
-    examples: [['The windows of the users', 'reedlug explain-limits boxes.log']],
+    description:
+      'Show from the logs of all boxes how much of a limit was used when it refused requests',
+    examples: [['With the default window', 'reedlug explain-limits boxes.log']],
   });
 
   logFile = Option.String();
-  windowSeconds = Option.String('--window-seconds', '8', { description: 'Length of the window' });
+  windowSeconds = Option.String('--window-seconds', '8', {
+    description: 'Length of the limit window in seconds',
+  });
 
   override async execute(): Promise<number> {
     const windowMs = Number(this.windowSeconds) * MS_PER_SECOND;
--- a/packages/reedlug/src/commands/measure.ts
+++ b/packages/reedlug/src/commands/measure.ts
@@ -1,4 +1,4 @@
-/** `reedlug measure`: a policy in a scenario, under virtual time. */
+/** `reedlug measure`: measures policies in scenarios under virtual time. */
 import { Command, Option } from 'clipanion';
 import {
   measure,
@@ -14,7 +14,7 @@
 import { SettingsCommand } from './settingsCommand.js';
 import { formatTable } from './textTable.js';
 
-/** Prints the same figures for a seed on every machine. */
+/** Prints the measurements. A seed gives the same figures on every machine. */
 export class MeasureCommand extends SettingsCommand {
   static override paths = [['measure']];
   static override usage = Command.Usage({
@@ -31,13 +31,13 @@
     description: `One of ${Object.values(ScenarioName).join(', ')}, or all`,
   });
   seed = Option.String('--seed', '1', {
-    description: 'A seed, or a range such as 101-120, whose medians are printed',
+    description: 'One seed, or a range such as 101-120 to print medians over its seeds',
   });
   policy = Option.String('--policy', PolicyVariant.reedlug, {
     description: `One of ${Object.values(PolicyVariant).join(', ')}, or all`,
   });
   withoutDrafts = Option.Boolean('--without-drafts', false, { description: 'Urgent calls only' });
-  json = Option.Boolean('--json', false, { description: 'Print one JSON line a run' });
+  json = Option.Boolean('--json', false, { description: 'Print one line of JSON for each run' });
 
   override async execute(): Promise<number> {
     const settings = await this.loadSettings();
--- a/packages/reedlug/src/commands/plan.ts
+++ b/packages/reedlug/src/commands/plan.ts
@@ -1,4 +1,4 @@
-/** `reedlug plan`, `confirm`, `plans` and `undo`: nothing changes until a plan is confirmed. */
+/** `reedlug plan`, `confirm`, `plans` and `undo`. Only confirming a plan changes anything. */
 import { readFile, writeFile } from 'node:fs/promises';
 import { Command, Option } from 'clipanion';
 import { parse } from 'yaml';
@@ -24,16 +24,16 @@
   }
 }
 
-/** Asks for a plan of an intent and writes it to a file. */
+/** Requests a plan for an intent and writes it to a file. */
 export class PlanCommand extends DraftCommand {
   static override paths = [['plan']];
   static override usage = Command.Usage({
-    description: 'Show the plan of an intent; nothing changes',
+    description: 'Show the plan for an intent without changing anything',
     examples: [['Plan a site move', 'reedlug plan -f move.yaml --out move.plan.json --entry $E']],
   });
 
   file = Option.String('-f,--file', { required: true, description: 'The intent, in YAML' });
-  out = Option.String('--out', 'plan.json', { description: 'Where the plan is written' });
+  out = Option.String('--out', 'plan.json', { description: 'File to write the plan to' });
 
   override async execute(): Promise<number> {
     const document = await readDocument(this.file);
@@ -59,11 +59,11 @@
   }
 }
 
-/** Confirms a plan, or tells the conflict. */
+/** Confirms a plan, or prints the plan that it conflicts with. */
 export class ConfirmCommand extends AdminCommand {
   static override paths = [['confirm']];
   static override usage = Command.Usage({
-    description: 'Confirm a plan; a conflict names the plan that came first',
+    description: 'Confirm a plan, or show the earlier plan that it conflicts with',
     examples: [['Confirm a plan at any box', 'reedlug confirm move.plan.json --entry $E']],
   });
 
@@ -109,7 +109,7 @@
   });
 
   planId = Option.String();
-  out = Option.String('--out', 'undo.json', { description: 'Where the plan is written' });
+  out = Option.String('--out', 'undo.json', { description: 'File to write the plan to' });
 
   override async execute(): Promise<number> {
     const path = `/admin/plans/${encodeURIComponent(this.planId)}/undo`;
@@ -119,7 +119,7 @@
   }
 }
 
-/** A plan as lines. */
+/** Formats a plan as lines of text. */
 export function planLines(plan: Plan): string[] {
   const steps = plan.steps.map(({ atEpochMs, text }) => [new Date(atEpochMs).toISOString(), text]);
   const boxes = plan.boxes.map(({ zone, machineClass, reclaimable, countDelta }) => [
@@ -142,7 +142,7 @@
   ];
 }
 
-/** An answer as lines. */
+/** Formats an answer as lines of text. */
 export function answerLines(answer: OperatorAnswer): string[] {
   switch (answer.kind) {
     case 'planned':
--- a/packages/reedlug/src/commands/replay.ts
+++ b/packages/reedlug/src/commands/replay.ts
@@ -1,26 +1,26 @@
-/** `reedlug replay`: a recorded trace again, held against stated outcomes. */
+/** `reedlug replay`: replays a recorded trace and compares it with expected outcomes. */
 import { createHash } from 'node:crypto';
 import { readFile } from 'node:fs/promises';
 import { Command, Option } from 'clipanion';
 import { differences, parseTrace, replayTrace, type Expectation } from 'reedlug-check';
 import { parse } from 'yaml';
 
-/** Exits 0 when the trace runs to the stated outcomes. */
+/** Exits with 0 if the replayed trace has the expected outcomes. */
 export class ReplayCommand extends Command {
   static override paths = [['replay']];
   static override usage = Command.Usage({
-    description: 'Run a recorded trace again and hold it against stated outcomes',
+    description: 'Replay a recorded trace and compare it with expected outcomes',
     examples: [
-      ['Run a trace', 'reedlug replay traces/zone-reclaimed.trace'],
+      ['Replay a trace', 'reedlug replay traces/zone-reclaimed.trace'],
       [
-        'Hold it against its outcomes',
+        'Compare it with its expected outcomes',
         'reedlug replay traces/zone-reclaimed.trace --expect traces/zone-reclaimed.yaml',
       ],
     ],
   });
 
   trace = Option.String();
-  expect = Option.String('--expect', { description: 'Stated outcomes, in YAML' });
+  expect = Option.String('--expect', { description: 'File with the expected outcomes, in YAML' });
   outcomes = Option.Boolean('--outcomes', false, { description: 'Print every outcome as YAML' });
 
   override async execute(): Promise<number> {
--- a/packages/reedlug/src/commands/seedRange.ts
+++ b/packages/reedlug/src/commands/seedRange.ts
@@ -6,7 +6,7 @@
   last: number;
 }
 
-/** Reads `7` or `1-500`; undefined for anything else. */
+/** Parses a seed such as `7` or a range such as `1-500`. Returns undefined for other text. */
 export function parseSeedRange(text: string): SeedRange | undefined {
   const match = /^(\d{1,9})(?:-(\d{1,9}))?$/.exec(text);
   if (match === null) return undefined;
--- a/packages/reedlug/src/commands/settingsCheck.ts
+++ b/packages/reedlug/src/commands/settingsCheck.ts
@@ -1,9 +1,9 @@
-/** `reedlug settings check`: every fault of a settings file at once. */
+/** `reedlug settings check`: lists all faults of a settings file. */
 import { Command, Option } from 'clipanion';
 import { hashKey } from '../http/keys.js';
 import { faultLines, readSettingsFile } from '../settings/settingsFile.js';
 
-/** Checks a file; exits 0 when it is right. */
+/** Checks a file. Exits with 0 if it is valid. */
 export class SettingsCheckCommand extends Command {
   static override paths = [['settings', 'check']];
   static override usage = Command.Usage({
@@ -17,7 +17,7 @@
     const result = await readSettingsFile(this.file);
     switch (result.kind) {
       case 'valid':
-        this.context.stdout.write(`${this.file} is right\n`);
+        this.context.stdout.write(`${this.file} is valid\n`);
         return 0;
       case 'unreadable':
         this.context.stderr.write(`${result.message}\n`);
--- a/packages/reedlug/src/commands/settingsCommand.ts
+++ b/packages/reedlug/src/commands/settingsCommand.ts
@@ -1,16 +1,16 @@
-/** Base of the commands that read a settings file. */
+/** Base class of the commands that read a settings file. */
 import { Command, Option } from 'clipanion';
 import type { Settings } from '../settings/settingsTypes.js';
 import { faultLines, readSettingsFile } from '../settings/settingsFile.js';
 
-/** A command with `--settings`. */
+/** A command with the option `--settings`. */
 export abstract class SettingsCommand extends Command {
   settingsPath = Option.String('--settings', {
     required: true,
     description: 'The YAML settings file',
   });
 
-  /** The checked settings; undefined after the faults were printed. */
+  /** Returns the validated settings. Prints the faults and returns undefined if there are any. */
   protected async loadSettings(): Promise<Settings | undefined> {
     const result = await readSettingsFile(this.settingsPath);
     switch (result.kind) {
--- a/packages/reedlug/src/commands/simulate.ts
+++ b/packages/reedlug/src/commands/simulate.ts
@@ -1,4 +1,4 @@
-/** `reedlug simulate`: a whole fleet in one process under virtual time. */
+/** `reedlug simulate`: simulates a whole fleet in one process under virtual time. */
 import { readFileSync } from 'node:fs';
 import { Command, Option } from 'clipanion';
 import {
@@ -15,12 +15,13 @@
 import { parseSeedRange } from './seedRange.js';
 import { comparisonLines, reportLines } from './simulateReport.js';
 
-/** Exits 0 when no promise was broken. */
+/** Exits with 0 if no guarantee was violated. */
 export class SimulateCommand extends Command {
   static override paths = [['simulate']];
   static override usage = Command.Usage({
     description: 'Run a scene: boxes, servers, store, callers and faults under virtual time',
-    details: 'The boxes run the same decisions as in service; the same seed gives the same run.',
+    details:
+      'The boxes run the same decision code as in production; a seed always gives the same run.',
     examples: [
       ['A quiet day of a large fleet', 'reedlug simulate scenes/large.yaml'],
       [
@@ -34,28 +35,29 @@
   seeds = Option.String('--seeds', '1', { description: 'One seed, or a range such as 1-8' });
   json = Option.Boolean('--json', false, { description: 'Print the reports as one JSON list' });
   compare = Option.String('--compare', {
-    description: 'A file that --json gave: prints both side by side',
+    description: 'Output file of an earlier run with --json, to print both side by side',
   });
   draw = Option.Boolean('--draw', false, {
     description:
-      'Draw the faults of each seed: a workspace over its limit, and what goes wrong beside',
+      'Generate faults from each seed: a workspace over its limit, with other faults alongside',
   });
   drawCrashes = Option.Boolean('--draw-crashes', false, {
     description:
-      'Draw the faults of each seed: requests that crash servers, popular bodies, crashes',
+      'Generate faults from each seed: requests that crash servers, repeated bodies, crashes',
   });
   drawServerLimits = Option.Boolean('--draw-server-limits', false, {
-    description: 'Draw the faults of each seed: servers that name limits, and troubles around them',
+    description:
+      'Generate faults from each seed: servers that state limits, with other faults alongside',
   });
   drawStatements = Option.Boolean('--draw-statements', false, {
     description:
-      'Draw the faults of each seed: servers that leave, rest or refuse, and troubles around them',
+      'Generate faults from each seed: servers that drain, pause or refuse, with other faults alongside',
   });
   drawCopies = Option.Boolean('--draw-copies', false, {
     description:
-      'Draw the faults of each seed: the store comes back from copies, and troubles around them',
+      'Generate faults from each seed: the store restored from backups, with other faults alongside',
   });
-  logs = Option.String('--log', { description: 'Events to print, by commas, or all' });
+  logs = Option.String('--log', { description: 'Log events to print, comma-separated, or all' });
 
   override async execute(): Promise<number> {
     const seeds = parseSeedRange(this.seeds);
--- a/packages/reedlug/src/commands/simulateReport.ts
+++ b/packages/reedlug/src/commands/simulateReport.ts
@@ -1,9 +1,9 @@
-/** Text of the reports of a simulation. */
+/** Formats the reports of simulations as text. */
 import { median } from 'reedlug-check';
 import type { OutcomeRow, SceneReport } from 'reedlug-simulator';
 import { formatTable } from './textTable.js';
 
-/** A figure of a report, by which runs are compared. */
+/** A figure of a report that is printed and compared between runs. */
 interface Figure {
   name: string;
   of: (report: SceneReport) => number;
@@ -41,7 +41,7 @@
   return Object.values(report.storeCalls).reduce((sum, calls) => sum + calls, 0);
 }
 
-/** One run in full; of several the figures' median, least and most. */
+/** Formats one run in full, or the median, minimum and maximum of the figures of several runs. */
 export function reportLines(reports: readonly SceneReport[]): string[] {
   const [only] = reports;
   if (only === undefined) return [];
@@ -110,7 +110,7 @@
   );
 }
 
-/** Two sets of runs side by side, with the difference of the seeds that both have. */
+/** Formats two sets of runs side by side, with the differences for the seeds in both sets. */
 export function comparisonLines(
   before: readonly SceneReport[],
   after: readonly SceneReport[],
--- a/packages/reedlug/src/commands/simulateRollouts.ts
+++ b/packages/reedlug/src/commands/simulateRollouts.ts
@@ -1,32 +1,34 @@
-/** `reedlug simulate-rollouts`: roll-outs drawn by seed, and what came of them. */
+/** `reedlug simulate-rollouts`: simulates roll-outs generated from seeds. */
 import { Command, Option } from 'clipanion';
 import { drawRollout, readSceneFile, runScene, type SceneReport } from 'reedlug-simulator';
 import { parseSeedRange } from './seedRange.js';
 
-/** What came of the roll-outs of one kind. */
+/** Results of the roll-outs of good or of bad versions. */
 interface Tally {
   runs: number;
   completed: number;
   rolledBack: number;
-  /** Ended after their time, or not at all. */
+  /** Roll-outs that ended after their planned duration or did not end. */
   late: number;
   broken: number;
 }
 
-/** Exits 0 when no promise was broken; wrong ends are counted and told. */
+/** Exits with 0 if no guarantee was violated. Roll-outs with a wrong end are only printed. */
 export class SimulateRolloutsCommand extends Command {
   static override paths = [['simulate-rollouts']];
   static override usage = Command.Usage({
-    description: 'Draw roll-outs of sound and bad versions by seed and simulate each',
+    description: 'Simulate roll-outs of good and bad versions, generated from seeds',
     examples: [
-      ['Without trouble', 'reedlug simulate-rollouts scenes/rollouts.yaml --seeds 1-100'],
-      ['Beside faults', 'reedlug simulate-rollouts scenes/rollouts.yaml --seeds 1-100 --trouble'],
+      ['Without faults', 'reedlug simulate-rollouts scenes/rollouts.yaml --seeds 1-100'],
+      ['With faults', 'reedlug simulate-rollouts scenes/rollouts.yaml --seeds 1-100 --trouble'],
     ],
   });
 
   file = Option.String({ name: 'scene', required: true });
   seeds = Option.String('--seeds', '1-10', { description: 'One seed, or a range such as 1-100' });
-  trouble = Option.Boolean('--trouble', false, { description: 'A drawn fault beside each' });
+  trouble = Option.Boolean('--trouble', false, {
+    description: 'Inject a fault, generated from the seed, alongside each roll-out',
+  });
 
   override async execute(): Promise<number> {
     const seeds = parseSeedRange(this.seeds);
--- a/packages/reedlug/src/commands/soak.ts
+++ b/packages/reedlug/src/commands/soak.ts
@@ -6,15 +6,15 @@
 import { parseSeedRange } from './seedRange.js';
 
 const MS_PER_SECOND = 1000;
-/** Exit code after a signal, as shells give for SIGTERM. */
+/** Exit code after a signal, as shells report it for SIGTERM. */
 const EXIT_SIGNALLED = 143;
 
-/** Exits 0 when no promise was broken. */
+/** Exits with 0 if no guarantee was violated. */
 export class SoakCommand extends Command {
   static override paths = [['soak']];
   static override usage = Command.Usage({
-    description: 'Run boxes as processes under load and faults, and check every promise',
-    details: 'Logs and settings of a run that broke a promise stay in OUT/soak-SEED.',
+    description: 'Run boxes as processes under load and faults, and check every guarantee',
+    details: 'Logs and settings of a run that violated a guarantee are kept in OUT/soak-SEED.',
     examples: [
       ['Fifty seeds', 'reedlug soak --seeds 1-50'],
       ['A larger fleet', 'reedlug soak --seeds 7 --boxes 24 --seconds 60'],
@@ -22,9 +22,11 @@
   });
 
   seeds = Option.String('--seeds', '1-5', { description: 'One seed, or a range such as 1-50' });
-  seconds = Option.String('--seconds', '20', { description: 'Length of a run' });
-  boxes = Option.String('--boxes', '4', { description: 'Boxes, a process each' });
-  rate = Option.String('--rate', '60', { description: 'Calls a second over all boxes' });
+  seconds = Option.String('--seconds', '20', { description: 'Length of a run in seconds' });
+  boxes = Option.String('--boxes', '4', {
+    description: 'Number of boxes, each in its own process',
+  });
+  rate = Option.String('--rate', '60', { description: 'Calls per second over all boxes' });
   out = Option.String('--out', join(tmpdir(), 'reedlug-soak'), {
     description: 'Folder for logs of runs that failed',
   });
@@ -38,7 +40,7 @@
       );
       return 1;
     }
-    // Without a handler the signal would end the process before it can end its boxes.
+    // Without a handler, the signal would end this process before it can stop the box processes.
     for (const name of ['SIGTERM', 'SIGINT'] as const) {
       process.once(name, () => process.exit(EXIT_SIGNALLED));
     }
--- a/packages/reedlug/src/commands/status.ts
+++ b/packages/reedlug/src/commands/status.ts
@@ -5,7 +5,7 @@
 import { AdminCommand } from './adminClient.js';
 import { formatTable } from './textTable.js';
 
-/** Boxes, servers, zones, revisions and queues as one box sees them. */
+/** Prints the boxes, servers, zones, revisions and queues as one box sees them. */
 export class StatusCommand extends AdminCommand {
   static override paths = [['status']];
   static override usage = Command.Usage({
@@ -58,7 +58,7 @@
   ];
 }
 
-/** Latency histograms of one box. */
+/** Prints the latency histograms of one box. */
 export class HistogramsCommand extends AdminCommand {
   static override paths = [['histograms']];
   static override usage = Command.Usage({
--- a/packages/reedlug/src/commands/textTable.ts
+++ b/packages/reedlug/src/commands/textTable.ts
@@ -1,6 +1,6 @@
 /** Text tables for the terminal. */
 
-/** Lines of a table with aligned columns. */
+/** Returns the lines of a table with aligned columns. */
 export function formatTable(
   header: readonly string[],
   rows: readonly (readonly (string | number)[])[],
