--- a/packages/reedlug/src/dev/devCluster.ts
+++ b/packages/reedlug/src/dev/devCluster.ts
@@ -1,6 +1,6 @@
 /**
- * `reedlug dev`: the entry boxes of a settings file with stand-ins around them,
- * in one process on loopback, with an address of fault switches.
+ * The cluster of `reedlug dev`: the entry boxes of a settings file and stand-ins for servers and
+ * platform, in one process on loopback, with an HTTP address to inject faults.
  */
 import { ServerKind } from 'reedlug-decisions';
 import { startPlatformServer, type PlatformServer, type RunningServer } from 'reedlug-standins';
@@ -24,7 +24,7 @@
 /** A running cluster. */
 export interface DevCluster {
   boxes: DevBox[];
-  /** A key of the first workspace. */
+  /** Key of the first workspace. */
   key: string;
   workspaceKeys: ReadonlyMap<string, string>;
   operatorKey: string;
@@ -36,7 +36,7 @@
   close: () => Promise<void>;
 }
 
-/** Starts a cluster; resolves once every box is ready. */
+/** Starts a cluster. Resolves once every box is ready and sees all servers as live. */
 export async function startDevCluster(
   given: Settings,
   logger: Logger,
@@ -157,7 +157,7 @@
   const sinceMs = performance.now();
   while (!cluster.boxes.every((box) => box.daemon.ready() && seesAllServersLive(cluster, box))) {
     if (performance.now() - sinceMs > READY_TIMEOUT_MS)
-      throw new Error('the boxes did not get ready');
+      throw new Error('the boxes did not become ready in time');
     await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 }
--- a/packages/reedlug/src/dev/devFaults.ts
+++ b/packages/reedlug/src/dev/devFaults.ts
@@ -1,10 +1,10 @@
-/** Fault switches of `reedlug dev`, checked before they are thrown. */
+/** Faults that `reedlug dev` can inject, and their validation. */
 import { z } from 'zod';
 
 const on = z.boolean().default(true);
 const durationMs = z.number().nonnegative();
 
-/** The faults that can be thrown. */
+/** Schema of the faults that can be injected. */
 export const faultSchema = z.discriminatedUnion('kind', [
   z.strictObject({ kind: z.literal('reclaimZone'), zone: z.string(), noticeMs: durationMs }),
   z.strictObject({ kind: z.literal('reclaimServer'), server: z.string(), noticeMs: durationMs }),
@@ -21,10 +21,10 @@
   z.strictObject({ kind: z.literal('reclaimBox'), box: z.string(), noticeMs: durationMs }),
 ]);
 
-/** One fault. */
+/** A fault to inject, or with `on: false` to end. */
 export type DevFault = z.infer<typeof faultSchema>;
 
-/** A checked fault, or what is wrong with it. */
+/** Validates a fault. Returns the fault, or the reasons why it is invalid. */
 export function parseFault(value: unknown): { fault: DevFault } | { faults: string[] } {
   const parsed = faultSchema.safeParse(value);
   if (parsed.success) return { fault: parsed.data };
--- a/packages/reedlug/src/dev/devMembers.ts
+++ b/packages/reedlug/src/dev/devMembers.ts
@@ -1,4 +1,4 @@
-/** What a cluster holds, and how its boxes and servers end. */
+/** State of a dev cluster, and how its boxes and servers are removed. */
 import type { Server } from 'node:http';
 import type { Logger } from 'reedlug-gateway';
 import type { PlatformServer } from 'reedlug-standins';
@@ -15,7 +15,7 @@
   stopped: boolean;
 }
 
-/** A cluster's members, its cuts and its timers. */
+/** The boxes and servers of a cluster, its network partitions and its timers. */
 export interface Cluster {
   settings: Settings;
   logger: Logger;
@@ -23,25 +23,26 @@
   platform: PlatformServer;
   boxes: DevBox[];
   httpServers: Map<string, Server>;
+  /** Zones whose boxes cannot reach the platform. */
   zonesWithoutPlatform: Set<string>;
-  /** Pairs of zones, as `a|b` in both orders. */
+  /** Pairs of zones with a network partition between them, as `a|b` in both orders. */
   cutZones: Set<string>;
   timers: Set<NodeJS.Timeout>;
   lastIncarnation: number;
 }
 
-/** The number of the next process that starts. */
+/** Returns the incarnation of the next process that is started. */
 export function nextIncarnation(cluster: Cluster): number {
   cluster.lastIncarnation += 1;
   return cluster.lastIncarnation;
 }
 
-/** A box that has not ended. */
+/** Returns a box by its id, unless it has stopped. */
 export function findRunningBox(cluster: Cluster, id: string): DevBox | undefined {
   return cluster.boxes.find((box) => box.id === id && !box.stopped);
 }
 
-/** Ends a server's process; nothing where it has ended. */
+/** Stops a server and removes it from the box list. Does nothing if it was removed before. */
 export async function removeServer(cluster: Cluster, serverId: string): Promise<void> {
   const server = cluster.servers.get(serverId);
   if (server === undefined) return;
@@ -51,7 +52,7 @@
   else await server.running.server.kill();
 }
 
-/** Ends a box's process; nothing where it has ended. */
+/** Stops a box without draining. Does nothing if it has already stopped. */
 export async function killBox(cluster: Cluster, boxId: string): Promise<void> {
   const box = findRunningBox(cluster, boxId);
   if (box === undefined) return;
--- a/packages/reedlug/src/dev/devServers.ts
+++ b/packages/reedlug/src/dev/devServers.ts
@@ -1,4 +1,4 @@
-/** The stand-in backend servers of `reedlug dev`, and the box list made of them. */
+/** The stand-in backend servers of `reedlug dev`, and the box list that contains them. */
 import {
   ServerKind,
   type BoxListEntry,
@@ -18,7 +18,7 @@
   { kind: 'engine'; running: EngineServer } | { kind: 'service'; running: ServiceServer }
 );
 
-/** Starts an engine under a description. */
+/** Starts a stand-in engine. */
 export async function startDevEngine(
   settings: Settings,
   spec: Omit<ServerSpec, 'address'>,
@@ -45,7 +45,7 @@
   return { kind: 'engine', spec: { ...spec, address }, incarnation, leaving: false, running };
 }
 
-/** Starts a plain service under a description. */
+/** Starts a stand-in of a plain service. */
 export async function startDevService(
   settings: Settings,
   spec: Omit<ServerSpec, 'address'>,
@@ -57,7 +57,7 @@
   return { kind: 'service', spec: { ...spec, address }, incarnation, leaving: false, running };
 }
 
-/** The description of an engine that the cloud is asked to start. */
+/** Returns the spec of an engine that the cloud is requested to start. */
 export function startedEngineSpec(
   settings: Settings,
   request: Extract<CloudRequest, { kind: 'start' }>,
@@ -76,7 +76,7 @@
   };
 }
 
-/** The box list as it is now. */
+/** Returns the current box list. */
 export function boxListOf(servers: Iterable<DevServer>): BoxListEntry[] {
   return [...servers].map(({ spec, incarnation, leaving }) => ({ spec, incarnation, leaving }));
 }
--- a/packages/reedlug/src/dev/faultServer.ts
+++ b/packages/reedlug/src/dev/faultServer.ts
@@ -1,9 +1,9 @@
-/** The cluster's fault switches and the address that serves them. */
+/** Injects faults into a dev cluster, also through an HTTP server. */
 import { startJsonServer, type RunningServer } from 'reedlug-standins';
 import { parseFault, type DevFault } from './devFaults.js';
 import { findRunningBox, killBox, removeServer, type Cluster } from './devMembers.js';
 
-/** Serves the fault switches, and the runs of the plain services. */
+/** Starts an HTTP server that injects faults and reports the runs of the plain services. */
 export function startFaultServer(cluster: Cluster): Promise<RunningServer> {
   const injectChecked = async (body: unknown): Promise<{ status: number; value: unknown }> => {
     const parsed = parseFault(body);
@@ -22,7 +22,7 @@
   );
 }
 
-/** How often each non-repeatable request was run at the plain services. */
+/** Returns how often each non-repeatable request was run by the plain services. */
 function countRuns(cluster: Cluster): Record<string, number> {
   const runs: Record<string, number> = {};
   for (const server of cluster.servers.values()) {
@@ -32,7 +32,7 @@
   return runs;
 }
 
-/** Throws a fault. */
+/** Injects a fault, or ends it if `on` is false. */
 export async function injectFault(cluster: Cluster, fault: DevFault): Promise<void> {
   cluster.logger('faultThrown', { kind: fault.kind });
   const { faults } = cluster.platform;
--- a/packages/reedlug/src/dev/loopbackSettings.ts
+++ b/packages/reedlug/src/dev/loopbackSettings.ts
@@ -1,4 +1,4 @@
-/** A settings file's settings made to run on loopback. */
+/** Adapts the settings of a settings file to run on loopback. */
 import { randomBytes } from 'node:crypto';
 import { findFreePorts } from 'reedlug-standins';
 import { hashKey } from '../http/keys.js';
@@ -6,7 +6,7 @@
 
 const KEY_BYTES = 12;
 
-/** Settings with loopback addresses, fresh keys and a fresh peer secret. */
+/** Returns the settings with loopback addresses, new keys and a new peer secret. */
 export async function toLoopbackSettings(
   given: Settings,
   platformUrl: string,
