--- a/packages/reedlug/src/bench/benchSettings.ts
+++ b/packages/reedlug/src/bench/benchSettings.ts
@@ -1,11 +1,11 @@
-/** Settings of the load measurement: one entry box, a few stand-ins, ample limits. */
+/** Settings of the load measurement: one entry box, a few stand-ins, limits far above the load. */
 import { hashKey } from '../http/keys.js';
 import type { Settings } from '../settings/settingsTypes.js';
 import { validateSettings } from '../settings/settingsValidation.js';
 
-/** Key of the load's workspace. */
+/** Key of the workspace that sends the load, and of the operator. */
 export const BENCH_KEY = 'bench-key';
-/** Model and service of the load. */
+/** Model and service that the load is sent to. */
 export const BENCH_MODEL = 'bench-model';
 export const BENCH_SERVICE = 'bench-service';
 
@@ -18,7 +18,7 @@
   peersPort: number;
 }
 
-/** Returns the settings as a file would have given them. */
+/** Returns the settings, validated like those of a settings file. */
 export function benchSettings(addresses: BenchAddresses): Settings {
   const { platform, engines, services } = addresses;
   const document = {
--- a/packages/reedlug/src/bench/benchWorker.ts
+++ b/packages/reedlug/src/bench/benchWorker.ts
@@ -1,15 +1,18 @@
-/** Threads of the load measurement: the stand-ins, and the entry box on a core of its own. */
+/**
+ * Worker thread of the load measurement: runs the stand-ins or the entry box. The entry box has a
+ * thread of its own, so that it does not share a core with the stand-ins.
+ */
 import { parentPort, workerData } from 'node:worker_threads';
 import { startEngineServer, startPlatformServer, startServiceServer } from 'reedlug-standins';
 import { startEntryDaemon } from '../daemon/entryDaemon.js';
 import { createCallerServer } from '../http/callerServer.js';
 import { BENCH_MODEL, benchSettings, type BenchAddresses } from './benchSettings.js';
 
-/** What a thread is for. */
+/** Task of a thread. */
 export type BenchRole =
   { role: 'standins'; interTokenMs: number } | { role: 'entry'; addresses: BenchAddresses };
 
-/** What a thread tells when it is up. */
+/** Message that a thread posts once it is ready. */
 export type BenchReady =
   | { role: 'standins'; platform: string; engine: string; service: string }
   | { role: 'entry'; rssBytes: number };
--- a/packages/reedlug/src/bench/latency.ts
+++ b/packages/reedlug/src/bench/latency.ts
@@ -1,9 +1,9 @@
-/** Latency of a load, in an HDR histogram. */
+/** Records the latencies of a load in an HDR histogram. */
 import { build } from 'hdr-histogram-js';
 
 const UNITS_PER_MS = 1000;
 
-/** Returns an empty recorder. */
+/** Returns an empty recorder. The summary is rounded to hundredths of a ms. */
 export function createLatencyRecorder(): {
   record: (valueMs: number) => void;
   count: () => number;
--- a/packages/reedlug/src/bench/load.ts
+++ b/packages/reedlug/src/bench/load.ts
@@ -1,6 +1,6 @@
 /**
- * Load on loopback: requests a second through one entry box, the time it adds,
- * and memory a stream. Connections and seconds are bounded.
+ * Load measurement on loopback: requests per second through one entry box, the latency that the
+ * box adds, and the memory that a stream needs. Connections and duration are fixed.
  */
 import { Worker } from 'node:worker_threads';
 import { Pool } from 'undici';
@@ -43,7 +43,7 @@
   });
 }
 
-/** Keeps every connection busy for the given seconds. */
+/** Sends on each connection one request after the other for `MEASURED_SECONDS`. */
 async function closedLoop(target: Target, connections: number): Promise<LoadResult> {
   const pool = new Pool(target.origin, { connections, pipelining: 1 });
   const latency = createLatencyRecorder();
@@ -59,7 +59,7 @@
   return { ...latency.summary(), perSecond: latency.count() / MEASURED_SECONDS, failed };
 }
 
-/** Sends at a fixed rate, whatever the answers do. */
+/** Sends at a fixed rate, regardless of how fast the answers arrive. */
 async function openLoop(target: Target, perSecond: number): Promise<LoadResult> {
   const pool = new Pool(target.origin, { connections: CONNECTIONS * 2, pipelining: 1 });
   const latency = createLatencyRecorder();
@@ -112,7 +112,7 @@
 
 let directCalls = 0;
 
-/** What the stand-in engine is asked when it is called directly. */
+/** Returns the body of a request that is sent directly to the stand-in engine. */
 function engineBody(): string {
   directCalls += 1;
   return JSON.stringify({
@@ -159,7 +159,7 @@
   });
 }
 
-/** Opens many streams at once and looks at the entry box's heap while they run. */
+/** Opens many concurrent streams and measures the heap of the entry box while they run. */
 async function measureStreamMemory(origin: string, entry: Worker): Promise<void> {
   const pool = new Pool(origin, { connections: STREAMS, pipelining: 1 });
   const before = await requestHeapBytes(entry);
--- a/packages/reedlug/src/bench/slopes.ts
+++ b/packages/reedlug/src/bench/slopes.ts
@@ -1,6 +1,6 @@
 /**
- * Slopes of the control part: processor time, bytes and memory of one box at
- * several sizes of the fleet, with the real reducer and the real codec.
+ * Measures how the cost of control traffic grows with the size of the fleet: processor time, bytes
+ * and memory of one box at several sizes, with the real reducer and the real codec.
  */
 import {
   createBoxState,
@@ -19,7 +19,7 @@
 } from 'reedlug-decisions';
 import { encodeFrame, encodeFrameCached } from '../peers/frames.js';
 
-/** A size of the fleet. */
+/** A size of the fleet, with the intervals of its heartbeats. */
 interface FleetSize {
   heartbeatMs: number;
   demandsEveryHeartbeats: number;
@@ -30,7 +30,7 @@
 }
 
 const DEFAULT_HEARTBEATS = { heartbeatMs: 1000, demandsEveryHeartbeats: 5 } as const;
-/** Slower heartbeats, as docs/CAPACITY.md sets them at the letter's size. */
+/** Slower heartbeats for the largest fleet, as set in docs/CAPACITY.md. */
 const SLOW_HEARTBEATS = { heartbeatMs: 2000, demandsEveryHeartbeats: 10 } as const;
 
 const SIZES: readonly FleetSize[] = [
@@ -146,7 +146,7 @@
   };
 }
 
-/** Peers that send heartbeats to the box: those of its site, and some of others. */
+/** Returns the peers that send heartbeats to the box: all of its site, and up to ten of others. */
 function heartbeatSenders(settings: DecisionSettings): { id: string; zone: string }[] {
   const siteOf = new Map(settings.zones.map(({ name, site }) => [name, site]));
   const ownSite = siteOf.get(settings.zone);
@@ -164,7 +164,7 @@
   probesPerSecond: number;
 }
 
-/** Lets the box live for some virtual seconds without requests. */
+/** Runs the box for `VIRTUAL_SECONDS` without requests and measures its control traffic. */
 function controlCost(box: Box, settings: DecisionSettings, fromSecond: number): ControlCost {
   const senders = heartbeatSenders(settings);
   for (const { id } of settings.workspaces) {
@@ -222,7 +222,7 @@
   };
 }
 
-/** Time of a whole request with 38 token events, in microseconds. */
+/** Measures the processing time of a request with 38 token events, in microseconds. */
 function requestCost(box: Box): number {
   const TOKEN_EVENTS = 38;
   const nowMs = (VIRTUAL_SECONDS * 2 + 1) * 1000;
@@ -241,7 +241,7 @@
   return ((performance.now() - startedMs) / REQUESTS) * 1000;
 }
 
-/** Time and bytes of one configuration change. */
+/** Measures the processing time and the encoded size of one configuration change. */
 function deltaCost(box: Box): { microseconds: number; bytes: number } {
   const first = box.state.config.revision + 1;
   const messages = Array.from({ length: DELTAS }, (_, index): PeerMessage => {
@@ -273,7 +273,7 @@
   box.send(0, { type: 'tick', epochMs: 0 });
   const serverReport = loadReport();
   for (const { id } of settings.servers) box.send(1, { ...serverReport, serverId: id });
-  // The first life of the box, in which it meets its peers, is not counted.
+  // Discards the first run, in which the box discovers its peers.
   controlCost(box, settings, 1);
   const control = controlCost(box, settings, VIRTUAL_SECONDS + 1);
   const memory = heapMiB() - heapBeforeMiB;
@@ -293,7 +293,7 @@
   ].join(' ');
 }
 
-// The first size warms the code up and is measured again.
+// Warms up the JIT compiler with the first size, which is then measured again.
 const [smallest] = SIZES;
 if (smallest !== undefined) measureSize(smallest);
 for (const size of SIZES) process.stdout.write(`${measureSize(size)}\n`);
