--- a/packages/reedlug/src/__tests__/__fixtures__/testCluster.ts
+++ b/packages/reedlug/src/__tests__/__fixtures__/testCluster.ts
@@ -1,4 +1,4 @@
-/** A dev cluster for tests, with short times. */
+/** A dev cluster for tests, with short time-outs and intervals. */
 import { readFile } from 'node:fs/promises';
 import { connect } from 'node:net';
 import { request } from 'undici';
@@ -9,10 +9,10 @@
 
 const EXAMPLE = new URL('../../../../../examples/bangkok.yaml', import.meta.url);
 
-/** The example's settings with short times. */
+/** Returns the settings of the Bangkok example with short time-outs and intervals. */
 export async function testSettings(): Promise<Settings> {
   const result = validateSettings(await readFile(EXAMPLE, 'utf8'));
-  if (result.kind === 'invalid') throw new Error('the example is not valid');
+  if (result.kind === 'invalid') throw new Error('the settings of the example are not valid');
   const { settings } = result;
   settings.callers.headersTimeoutMs = 1500;
   settings.callers.requestTimeoutMs = 2000;
@@ -26,19 +26,19 @@
   return settings;
 }
 
-/** Starts a cluster of the example. */
+/** Starts a cluster with the settings of the example. */
 export async function startTestCluster(): Promise<DevCluster> {
   return startDevCluster(await testSettings(), () => undefined);
 }
 
-/** A box of the cluster by its place. */
+/** Returns a box of the cluster by its index. */
 export function boxAt(cluster: DevCluster, index: number): DevBox {
   const box = cluster.boxes[index];
   if (box === undefined) throw new Error(`no box ${index}`);
   return box;
 }
 
-/** An answer with its parsed body. */
+/** An answer, with its body parsed if it is JSON. */
 export interface CallResult {
   status: number;
   headers: Record<string, string | string[] | undefined>;
@@ -46,7 +46,7 @@
   json: Record<string, unknown> & { error?: { type: string; outcome: string; message: string } };
 }
 
-/** Calls an entry box. */
+/** Sends a request to an entry box. */
 export async function call(
   cluster: DevCluster,
   path: string,
@@ -81,7 +81,7 @@
   }
 }
 
-/** Writes bytes to a box and returns what it answers until it closes or `enough` holds. */
+/** Writes bytes to a box and returns its answer once it closes or `enough` returns true. */
 export function sendBytes(
   box: DevBox,
   bytes: string | readonly string[],
--- a/packages/reedlug/src/__tests__/api.test.ts
+++ b/packages/reedlug/src/__tests__/api.test.ts
@@ -11,8 +11,8 @@
 
 let cluster: DevCluster;
 
-// Its own suite, so that other tests that run alone need no cluster.
-suite("the callers' interface", () => {
+// A suite of its own, so that tests of other files run without the cluster.
+suite('HTTP API', () => {
   suiteSetup(async () => {
     cluster = await startTestCluster();
   });
@@ -47,7 +47,7 @@
     await new Promise((resolve) => setTimeout(resolve, ms));
   }
 
-  test('a chat answer is whole and tells its usage', async () => {
+  test('a chat answer is complete and reports its usage', async () => {
     const { status, json, headers } = await call(cluster, '/v1/chat/completions', {
       body: draft(12, 'hello'),
     });
@@ -70,7 +70,7 @@
     expect(json['data']).deep.equal([{ id: MODEL, object: 'model', owned_by: 'reedlug' }]);
   });
 
-  test('a service call carries method, query, body and status through', async () => {
+  test('a service call forwards method, query, body and status', async () => {
     const got = await call(cluster, `${RECORDS}/samples/7?full=1`);
     expect(got.json).deep.equal({ path: '/samples/7?full=1', record: { status: 'registered' } });
     const posted = await call(cluster, `${RECORDS}/samples/8`, { body: refOf('carried') });
@@ -78,7 +78,7 @@
     expect(posted.json).deep.equal({ ref: 'carried', runs: 1 });
   });
 
-  test('a keyed notice runs once at whichever box it is repeated', async () => {
+  test('a notice with an idempotency key runs once, whichever boxes it is repeated at', async () => {
     const headers = { 'idempotency-key': 'once' };
     const options = { body: refOf('once'), headers };
     const answers = await Promise.all(
@@ -89,7 +89,7 @@
     expect(await runsOf('once')).equal(1);
   });
 
-  test('a key with another body is refused', async () => {
+  test('an idempotency key with another body is refused', async () => {
     const headers = { 'idempotency-key': 'reused' };
     await call(cluster, `${RECORDS}/notices`, { body: refOf('reused-1'), headers });
     const { status, json } = await call(cluster, `${RECORDS}/notices`, {
@@ -102,7 +102,7 @@
     expect(await runsOf('reused-2')).equal(0);
   });
 
-  test('a lost answer of the table does not double a notice', async () => {
+  test('a lost answer of the table does not run a notice twice', async () => {
     await cluster.injectFault({ kind: 'loseAnswers', count: 1 });
     const headers = { 'idempotency-key': 'lost-answer' };
     const { status } = await call(cluster, `${RECORDS}/notices`, {
@@ -113,7 +113,7 @@
     expect(await runsOf('lost-answer')).equal(1);
   });
 
-  test('without the table a keyed notice is not run and the rest goes on', async () => {
+  test('without the table a notice with a key is refused and other requests are served', async () => {
     await cluster.injectFault({ kind: 'tableDown', on: true });
     const headers = { 'idempotency-key': 'table-away' };
     const refused = await call(cluster, `${RECORDS}/notices`, {
@@ -128,7 +128,7 @@
     expect(await runsOf('table-away')).equal(0);
   });
 
-  test('no workspace is shown the request of another', async () => {
+  test('a workspace cannot see the request of another workspace', async () => {
     const { headers } = await call(cluster, '/v1/chat/completions', { body: draft(2, 'mine') });
     const path = `/v1/requests/${String(headers['x-request-id'])}`;
     const own = await call(cluster, path);
@@ -139,7 +139,7 @@
     expect((await call(cluster, path, { key })).status).equal(404);
   });
 
-  test('a stream is picked up at another box from its last event', async () => {
+  test('a stream is resumed at another box after its last event', async () => {
     const response = await request(`${boxAt(cluster, 0).address}/v1/chat/completions`, {
       method: 'POST',
       headers: { authorization: `Bearer ${cluster.key}` },
@@ -157,14 +157,14 @@
     expect(rest.text.endsWith('data: [DONE]\n\n')).equal(true);
   });
 
-  test('broken JSON is told with the way out', async () => {
+  test('invalid JSON is refused with a message that says what to send', async () => {
     const { status, json } = await call(cluster, '/v1/chat/completions', { raw: '{"model": ' });
     expect(status).equal(400);
     expect(json.error).include({ type: 'badRequest', outcome: 'notRun' });
     expect(json.error?.message).match(/not JSON; send an object/);
   });
 
-  test('every fault of a body is told at once', async () => {
+  test('all faults of a body and its headers are reported together', async () => {
     const { status, json } = await call(cluster, '/v1/chat/completions', {
       body: { model: 7, messages: 'hi', max_tokens: -1 },
       headers: { 'x-deadline-ms': 'soon' },
@@ -173,7 +173,7 @@
     expect(json.error?.message).match(/x-deadline-ms.*model.*messages/s);
   });
 
-  test('an unknown model names the known ones', async () => {
+  test('the error for an unknown model lists the served models', async () => {
     const body = { ...draft(2, 'x'), model: 'nobody' };
     const { status, json } = await call(cluster, '/v1/chat/completions', { body });
     expect(status).equal(404);
@@ -219,12 +219,12 @@
     expect(text).match(/^HTTP\/1.1 431 /);
   });
 
-  test('a slow sender is timed out', async () => {
+  test('a request that is sent too slowly times out', async () => {
     const text = await sendBytes(boxAt(cluster, 0), 'POST /v1/completions HTTP/1.1\r\nhost: x\r\n');
     expect(text).match(/^HTTP\/1.1 408 /);
   });
 
-  test('garbage instead of HTTP is refused', async () => {
+  test('bytes that are not HTTP are refused', async () => {
     expect(await sendBytes(boxAt(cluster, 0), 'hello there\r\n\r\n')).match(/^HTTP\/1.1 400 /);
   });
 
@@ -240,7 +240,7 @@
     expect(text.indexOf('/samples/1')).lessThan(text.indexOf('report-draft'));
   });
 
-  test('a stranger on the peer link is closed and counted', async () => {
+  test('a connection to the peer link that is not from a box is closed and counted', async () => {
     const box = boxAt(cluster, 0);
     const before = box.daemon.rejectedPeers();
     const peers = cluster.settings.boxes[0]?.peers ?? '';
@@ -257,7 +257,7 @@
     expect((await call(cluster, '/v1/models')).status).equal(200);
   });
 
-  test('the second of two racing operators is told of the first', async () => {
+  test('the second of two concurrent plans is refused with the id of the first', async () => {
     const intent = { kind: 'setPriority', workspaceId: 'archive', requestClass: 'urgent' };
     const key = cluster.operatorKey;
     const plans = await Promise.all([
@@ -273,7 +273,7 @@
     expect(conflict.json).include({ kind: 'conflict', firstPlanId: first?.planId });
   });
 
-  test('a changed plan is not confirmed', async () => {
+  test('a plan that was modified is not confirmed', async () => {
     const key = cluster.operatorKey;
     const intent = { kind: 'createService', service: 'new-records' };
     const { json } = await call(cluster, '/admin/plans', { key, body: intent });
@@ -286,7 +286,7 @@
     expect(String(answer['faults'])).match(/digest/);
   });
 
-  test('every fault of an intent is told at once', async () => {
+  test('all faults of an intent are reported together', async () => {
     const body = {
       kind: 'movePool',
       model: 'nobody',
@@ -298,11 +298,11 @@
     expect((json['faults'] as string[]).length).greaterThan(2);
   });
 
-  test('a workspace key opens no admin route', async () => {
+  test('a workspace key is refused on admin routes', async () => {
     expect((await call(cluster, '/admin/status')).status).equal(401);
   });
 
-  test('status and histograms tell what the box has seen', async () => {
+  test('status and histograms report the box and its requests', async () => {
     const key = cluster.operatorKey;
     const status = await call(cluster, '/admin/status', { key });
     expect(status.json).include({ box: 'hall-a-1', ready: true });
@@ -310,7 +310,7 @@
     expect(rows).match(/"measure":"firstToken"/);
   });
 
-  test('a stopped box finishes its stream and takes no new one', async () => {
+  test('a stopped box finishes its stream and is no longer ready', async () => {
     const box = boxAt(cluster, 6);
     const response = await request(`${box.address}/v1/chat/completions`, {
       method: 'POST',
@@ -324,7 +324,7 @@
     expect(text.endsWith('data: [DONE]\n\n')).equal(true);
   });
 
-  test('a box that is reclaimed hands its stream to a peer', async () => {
+  test('a reclaimed box hands its stream over to a peer', async () => {
     const box = boxAt(cluster, 5);
     const response = await request(`${box.address}/v1/chat/completions`, {
       method: 'POST',
@@ -344,7 +344,7 @@
     expect(words(text) + words(rest.text)).equal(expectedText('hand over', 400));
   });
 
-  test('a zone reclaimed in mid-stream loses nothing', async () => {
+  test('an answer is complete when zones are reclaimed while it is generated', async () => {
     const response = request(`${boxAt(cluster, 0).address}/v1/chat/completions`, {
       method: 'POST',
       headers: { authorization: `Bearer ${cluster.key}` },
--- a/packages/reedlug/src/__tests__/settingsValidation.test.ts
+++ b/packages/reedlug/src/__tests__/settingsValidation.test.ts
@@ -17,7 +17,7 @@
   }
 });
 
-test('unknown keys and wrong types are told together', async () => {
+test('unknown keys and wrong types are reported together', async () => {
   const faults = await faultsOf((text) =>
     text.replace('timeoutMs: 1000', 'timeout: 1s').replace('slots: 12', 'slots: twelve'),
   );
@@ -26,7 +26,7 @@
   expect(faults.join('\n')).match(/engines\.0\.slots: .*number/);
 });
 
-test('a fault names its line', async () => {
+test('a fault states its line', async () => {
   const text = await readFile(EXAMPLE, 'utf8');
   const line = text.split('\n').findIndex((item) => item.includes('slots: 12')) + 1;
   const [fault] = await faultsOf((all) => all.replace('slots: 12', 'slots: -1'));
@@ -41,7 +41,7 @@
   expect(faults[0]).match(/zone hall-x is not among zones: hall-a, hall-b, hall-c/);
 });
 
-test('broken YAML is told with its line', () => {
+test('broken YAML is invalid', () => {
   const result = validateSettings('zones: [\nboxes: }');
   expect(result.kind).equal('invalid');
 });
