--- a/packages/reedlug/src/cli.ts
+++ b/packages/reedlug/src/cli.ts
@@ -16,7 +16,7 @@
 import { HistogramsCommand, StatusCommand } from './commands/status.js';
 import { VERSION, VersionCommand } from './commands/version.js';
 
-/** Runs the command line; resolves with the exit code. */
+/** Runs the command line. Resolves with the exit code. */
 export function runCli(args: readonly string[]): Promise<number> {
   const cli = new Cli({ binaryLabel: 'reedlug', binaryName: 'reedlug', binaryVersion: VERSION });
   const commands = [
--- a/packages/reedlug/src/demo.ts
+++ b/packages/reedlug/src/demo.ts
@@ -1,6 +1,6 @@
 /**
- * The demo: a streamed draft and a bench look-up through `dev`, with a zone
- * reclaimed in mid-stream. Exits 0 when both answers are whole.
+ * Demo: streams a draft and looks up a record through a `dev` cluster, and reclaims a zone during
+ * the stream. Exits with 0 if both answers are complete.
  */
 import { request } from 'undici';
 import { answerText } from 'reedlug-standins';
@@ -16,13 +16,13 @@
 const NOTICE_MS = 1500;
 const PROMPT = 'Draft the conformance report of meter batch 7.';
 
-/** What came of the demo. */
+/** Result of the demo. */
 interface DemoResult {
   isDraftComplete: boolean;
   isLookUpComplete: boolean;
 }
 
-/** Runs the demo over a settings file; resolves with the exit code. */
+/** Runs the demo with a settings file. Resolves with the exit code. */
 export async function runDemo(
   settingsPath: string,
   print: (line: string) => void,
@@ -63,7 +63,7 @@
   };
 }
 
-/** The zone whose engine runs the draft. */
+/** Returns the zone of the engine that runs the draft. */
 function runningZone(cluster: DevCluster, box: DevBox): string {
   for (const view of box.daemon.state.servers.values()) {
     if (view.openAttempts.size > 0) return view.spec.zone;
--- a/packages/reedlug/src/index.ts
+++ b/packages/reedlug/src/index.ts
@@ -1,4 +1,4 @@
-/** Library of the entry daemon. */
+/** Public API of the package: the entry daemon, its settings and the command line. */
 export { runCli } from './cli.js';
 export * from './daemon/entryDaemon.js';
 export * from './daemon/exchange.js';
