--- a/packages/reedlug/src/dev/faultServer.ts
+++ b/packages/reedlug/src/dev/faultServer.ts
@@ -67,7 +67,7 @@
       else cluster.zonesWithoutPlatform.delete(fault.zone);
       return;
     case 'cutZones':
-      return cutZones(cluster, fault.zones, fault.on);
+      return partitionZones(cluster, fault.zones, fault.on);
     case 'stopBox':
       findRunningBox(cluster, fault.box)?.daemon.emit({ type: 'stopAsked' });
       return;
@@ -102,7 +102,7 @@
   schedule(cluster, noticeMs, () => void killBox(cluster, boxId));
 }
 
-function cutZones(cluster: Cluster, zones: readonly [string, string], on: boolean): void {
+function partitionZones(cluster: Cluster, zones: readonly [string, string], on: boolean): void {
   const [a, b] = zones;
   for (const pair of [`${a}|${b}`, `${b}|${a}`]) {
     if (on) cluster.cutZones.add(pair);
--- a/packages/reedlug/src/platform/platformClients.ts
+++ b/packages/reedlug/src/platform/platformClients.ts
@@ -2,7 +2,11 @@
 import type { ConfigSnapshot, TableAnswer, TableOp, TableRow } from 'reedlug-coordination';
 import type { CommandResult, BoxListEntry, CloudRequest } from 'reedlug-decisions';
 import type { Settings } from '../settings/settingsTypes.js';
-import { createPlatformCaller, type PlatformAnswer, type PlatformCaller } from './platformCall.js';
+import {
+  createPlatformServiceClient,
+  type PlatformAnswer,
+  type PlatformServiceClient,
+} from './platformServiceClient.js';
 
 /** Notice of the cloud that it will reclaim a box. */
 export interface ReclaimNotice {
@@ -34,13 +38,13 @@
   isPartitioned: () => boolean,
 ): PlatformClients {
   const { timeoutMs, requestsPerSecond } = platform;
-  const createCaller = (url: string): PlatformCaller =>
-    createPlatformCaller({ url, timeoutMs, requestsPerSecond, isPartitioned });
-  const table = createCaller(platform.tableUrl);
-  const objects = createCaller(platform.objectStoreUrl);
-  const cloud = createCaller(platform.cloudUrl);
-  const boxes = createCaller(platform.boxListUrl);
-  const callers = [table, objects, cloud, boxes];
+  const createClient = (url: string): PlatformServiceClient =>
+    createPlatformServiceClient({ url, timeoutMs, requestsPerSecond, isPartitioned });
+  const table = createClient(platform.tableUrl);
+  const objects = createClient(platform.objectStoreUrl);
+  const cloud = createClient(platform.cloudUrl);
+  const boxes = createClient(platform.boxListUrl);
+  const clients = [table, objects, cloud, boxes];
   return {
     table: async (op) =>
       toTableAnswer(
@@ -67,7 +71,7 @@
       return answer.kind === 'done' ? answer.body : undefined;
     },
     close: async () => {
-      await Promise.all(callers.map((client) => client.close()));
+      await Promise.all(clients.map((client) => client.close()));
     },
   };
 }
--- a/packages/reedlug/src/platform/platformCall.ts
+++ b/packages/reedlug/src/platform/platformServiceClient.ts
@@ -19,7 +19,7 @@
   | { kind: 'unknown' };
 
 /** Options of one platform client. */
-export interface PlatformCallerOptions {
+export interface PlatformServiceClientOptions {
   url: string;
   timeoutMs: number;
   requestsPerSecond: number;
@@ -35,7 +35,7 @@
 }
 
 /** A client of one platform service. */
-export interface PlatformCaller {
+export interface PlatformServiceClient {
   call: <T>(request: PlatformRequest) => Promise<PlatformAnswer<T>>;
   close: () => Promise<void>;
 }
@@ -49,7 +49,9 @@
 const JSON_HEADERS = { 'content-type': 'application/json' };
 
 /** Returns a client of one platform service. */
-export function createPlatformCaller(options: PlatformCallerOptions): PlatformCaller {
+export function createPlatformServiceClient(
+  options: PlatformServiceClientOptions,
+): PlatformServiceClient {
   const { timeoutMs, requestsPerSecond } = options;
   const pool = new Pool(options.url, { connections: 8, connect: { timeout: timeoutMs } });
   const breaker = createBreaker(FAILURES_TO_OPEN_BREAKER, BREAKER_OPEN_MS);
