--- a/packages/reedlug/src/backends/serverPools.ts
+++ b/packages/reedlug/src/backends/serverPools.ts
@@ -19,7 +19,7 @@
       let pool = pools.get(spec.address);
       if (pool === undefined) {
         pool = new Pool(spec.address, {
-          // Unlimited: the reducer already limits the requests to a server by its slots.
+          // Unlimited, since streams are long and many; the reducer limits requests by slots.
           connections: null,
           pipelining: 1,
           connect: { timeout: CONNECT_TIMEOUT_MS },
--- a/packages/reedlug/src/backends/serviceClient.ts
+++ b/packages/reedlug/src/backends/serviceClient.ts
@@ -108,7 +108,7 @@
   }
 }
 
-/** Returns a report from the two headers in which a service states its incarnation and leaving. */
+/** Returns the report of a plain service. Two headers state its incarnation and if it is leaving. */
 function reportFromHeaders(headers: Record<string, string | string[] | undefined>) {
   const incarnation = Number(headers['x-incarnation'] ?? 0);
   return {
--- a/packages/reedlug/src/peers/peerLink.ts
+++ b/packages/reedlug/src/peers/peerLink.ts
@@ -49,7 +49,7 @@
 }
 
 const HANDSHAKE_TIMEOUT_MS = 2000;
-/** Limits the memory that a connection can use before the other side has sent its hello. */
+/** Maximum size of the hello, which is read before the other side is authenticated, in bytes. */
 const MAX_HELLO_BYTES = 1024;
 const RECONNECT_DELAY_MS = 300;
 /** Maximum number of messages that are queued while the connection to a peer is being opened. */
