--- a/packages/reedlug/src/backends/engineClient.ts
+++ b/packages/reedlug/src/backends/engineClient.ts
@@ -14,26 +14,26 @@
   EngineRefusal,
   KvExportAnswer,
 } from './engineProtocol.js';
-import { neverConnected } from './httpErrors.js';
+import { failedToConnect } from './httpErrors.js';
 import type { ServerPools } from './serverPools.js';
 import { createSseParser } from './sseParser.js';
 
-/** How long the short calls to an engine may take, in ms. */
-const SHORT_CALL_MS = 2000;
+/** Time-out of calls to an engine other than streams, in ms. */
+const CALL_TIMEOUT_MS = 2000;
 const STATUS_OK = 200;
 const STATUS_REFUSED = 409;
 
 const JSON_HEADERS = { 'content-type': 'application/json' };
 
-/** Gives an event to the reducer. */
+/** Passes an event to the reducer. */
 export type Emit = (event: EventBody) => void;
 
-/** A running stream, to be cancelled. */
+/** An open stream that can be cancelled. */
 export interface EngineStream {
   abort: () => void;
 }
 
-/** Opens a stream at an engine; what it says comes back as events. */
+/** Opens a stream at an engine and emits an event for each chunk and for the end of the stream. */
 export function openEngineStream(params: {
   pools: ServerPools;
   spec: ServerSpec;
@@ -59,7 +59,7 @@
   abort: () => void;
 }
 
-/** Turns one response into events; exactly one closing event unless it was aborted. */
+/** Turns one response into events. Emits exactly one closing event unless the stream is aborted. */
 function createStreamHandler(attemptId: string, emit: Emit, onClosed: () => void): StreamHandler {
   const parser = createSseParser();
   const decoder = new TextDecoder();
@@ -67,22 +67,22 @@
   let status = 0;
   let refusal = '';
   let closed = false;
-  const close = (event: EventBody | undefined): void => {
+  const closeOnce = (event: EventBody | undefined): void => {
     if (closed) return;
     closed = true;
     onClosed();
     if (event !== undefined) emit(event);
   };
   const onData = (data: string): void => {
-    const event = eventOfChunk(attemptId, data);
+    const event = eventFromChunk(attemptId, data);
     if (event === undefined || closed) return;
-    if (event.type === 'attemptEnded') close(event);
+    if (event.type === 'attemptEnded') closeOnce(event);
     else emit(event);
   };
   return {
-    onRequestStart(started) {
-      controller = started;
-      if (closed) started.abort(new Error('cancelled'));
+    onRequestStart(startedController) {
+      controller = startedController;
+      if (closed) startedController.abort(new Error('cancelled'));
     },
     onResponseStart(_controller, statusCode) {
       status = statusCode;
@@ -92,19 +92,19 @@
       else refusal += decoder.decode(chunk, { stream: true });
     },
     onResponseEnd() {
-      close(closingEvent(attemptId, status, refusal));
+      closeOnce(responseEndEvent(attemptId, status, refusal));
     },
     onResponseError(_controller, error) {
-      close(errorEvent(attemptId, error));
+      closeOnce(responseErrorEvent(attemptId, error));
     },
     abort() {
-      close(undefined);
+      closeOnce(undefined);
       controller?.abort(new Error('cancelled'));
     },
   };
 }
 
-function eventOfChunk(attemptId: string, data: string): EventBody | undefined {
+function eventFromChunk(attemptId: string, data: string): EventBody | undefined {
   const chunk = parseChunk(data);
   if (chunk === undefined) return undefined;
   if (chunk.end === true) {
@@ -128,21 +128,24 @@
   }
 }
 
-/** The end of a response without an end marker is a loss; a 409 is a refusal before running. */
-function closingEvent(attemptId: string, status: number, refusal: string): EventBody {
+/**
+ * Returns the event for a response that ended without an end marker. Status 409 means that the
+ * engine refused the request before running it; any other status counts as a lost attempt.
+ */
+function responseEndEvent(attemptId: string, status: number, refusal: string): EventBody {
   if (status !== STATUS_REFUSED) return { type: 'attemptLost', attemptId, reached: true };
   const reason = (parseChunk(refusal) as EngineRefusal | undefined)?.refused;
   return { type: 'attemptRefused', attemptId, reason: reason ?? RefusalReason.full };
 }
 
-function errorEvent(attemptId: string, error: unknown): EventBody {
-  if (neverConnected(error)) {
+function responseErrorEvent(attemptId: string, error: unknown): EventBody {
+  if (failedToConnect(error)) {
     return { type: 'attemptRefused', attemptId, reason: RefusalReason.notConnected };
   }
   return { type: 'attemptLost', attemptId, reached: true };
 }
 
-async function shortCall<T>(
+async function callEngine<T>(
   pools: ServerPools,
   spec: ServerSpec,
   request: { method: 'GET' | 'POST'; path: string; body?: unknown },
@@ -152,17 +155,17 @@
     path: request.path,
     headers: JSON_HEADERS,
     body: request.body === undefined ? null : JSON.stringify(request.body),
-    headersTimeout: SHORT_CALL_MS,
-    bodyTimeout: SHORT_CALL_MS,
+    headersTimeout: CALL_TIMEOUT_MS,
+    bodyTimeout: CALL_TIMEOUT_MS,
   });
   return { status: response.statusCode, body: (await response.body.json()) as T };
 }
 
-/** Asks an engine for its load and the cache events since the last answer. */
+/** Gets from an engine its load and the cache evictions since the previous answer. */
 export async function probeEngine(pools: ServerPools, spec: ServerSpec, emit: Emit): Promise<void> {
   const serverId = spec.id;
   try {
-    const { body } = await shortCall<EngineLoadAnswer>(pools, spec, {
+    const { body } = await callEngine<EngineLoadAnswer>(pools, spec, {
       method: 'GET',
       path: '/v1/load',
     });
@@ -174,7 +177,7 @@
   }
 }
 
-/** Asks an engine to stop a run and keep its KV cache under a ticket. */
+/** Tells an engine to stop a run and keep its KV cache for export under a ticket. */
 export async function exportKv(
   pools: ServerPools,
   spec: ServerSpec,
@@ -182,7 +185,7 @@
   emit: Emit,
 ): Promise<void> {
   try {
-    const { status, body } = await shortCall<KvExportAnswer>(pools, spec, {
+    const { status, body } = await callEngine<KvExportAnswer>(pools, spec, {
       method: 'POST',
       path: '/v1/kv/export',
       body: { request_id: attemptId },
@@ -198,7 +201,7 @@
   }
 }
 
-/** Has an engine send an idle prefix to another engine. */
+/** Tells an engine to send the KV cache of an idle prefix to another engine. */
 export async function moveCache(
   pools: ServerPools,
   params: { source: ServerSpec; target: ServerSpec; affinityHash: number; tokens: number },
@@ -206,7 +209,7 @@
 ): Promise<void> {
   const { source, target, affinityHash, tokens } = params;
   try {
-    const { status } = await shortCall(pools, source, {
+    const { status } = await callEngine(pools, source, {
       method: 'POST',
       path: '/v1/kv/move',
       body: { cache_key: affinityHash, target: target.address },
@@ -214,7 +217,7 @@
     if (status === STATUS_OK)
       emit({ type: 'cacheMoved', affinityHash, serverId: target.id, tokens });
   } catch {
-    // The prefix is recomputed where its next request lands; nothing depends on the move.
+    // The move is an optimisation: without it, the next request recomputes the prefix.
   }
 }
 
@@ -225,7 +228,7 @@
   order: EngineOrderRequest,
 ): Promise<CommandResult> {
   try {
-    const { status, body } = await shortCall<{ error?: string }>(pools, spec, {
+    const { status, body } = await callEngine<{ error?: string }>(pools, spec, {
       method: 'POST',
       path: '/v1/orders',
       body: order,
--- a/packages/reedlug/src/backends/serverPools.ts
+++ b/packages/reedlug/src/backends/serverPools.ts
@@ -1,4 +1,4 @@
-/** One undici pool for each backend server. */
+/** HTTP connection pools (undici), one for each backend server. */
 import { Pool } from 'undici';
 import type { ServerSpec } from 'reedlug-decisions';
 
@@ -9,9 +9,9 @@
 }
 
 const CONNECT_TIMEOUT_MS = 1000;
-const KEEP_ALIVE_MS = 4000;
+const KEEP_ALIVE_TIMEOUT_MS = 4000;
 
-/** Returns pools that are made on first use. */
+/** Returns an empty set of pools. The pool of a server is created on first use. */
 export function createServerPools(): ServerPools {
   const pools = new Map<string, Pool>();
   return {
@@ -19,11 +19,11 @@
       let pool = pools.get(spec.address);
       if (pool === undefined) {
         pool = new Pool(spec.address, {
-          // Streams are long and many; slots are bounded by the decisions, not here.
+          // Unlimited, since streams are long and many; the reducer limits requests by slots.
           connections: null,
           pipelining: 1,
           connect: { timeout: CONNECT_TIMEOUT_MS },
-          keepAliveTimeout: KEEP_ALIVE_MS,
+          keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
           headersTimeout: 0,
           bodyTimeout: 0,
         });
--- a/packages/reedlug/src/bench/slopes.ts
+++ b/packages/reedlug/src/bench/slopes.ts
@@ -1,6 +1,6 @@
 /**
- * Slopes of the control part: processor time, bytes and memory of one box at
- * several sizes of the fleet, with the real reducer and the real codec.
+ * Measures how the cost of control traffic grows with the size of the fleet: processor time, bytes
+ * and memory of one box at several sizes, with the real reducer and the real codec.
  */
 import {
   createBoxState,
@@ -17,9 +17,9 @@
   type RequestSpec,
   type ServerSpec,
 } from 'reedlug-decisions';
-import { encodeFrame, encodeShared } from '../peers/frames.js';
+import { encodeFrame, encodeFrameCached } from '../peers/frames.js';
 
-/** A size of the fleet. */
+/** A size of the fleet, with the intervals of its heartbeats. */
 interface FleetSize {
   heartbeatMs: number;
   demandsEveryHeartbeats: number;
@@ -29,17 +29,17 @@
   sites: number;
 }
 
-const TODAY = { heartbeatMs: 1000, demandsEveryHeartbeats: 5 } as const;
-/** Slower heartbeats, as docs/CAPACITY.md sets them at the letter's size. */
-const LARGE = { heartbeatMs: 2000, demandsEveryHeartbeats: 10 } as const;
+const DEFAULT_HEARTBEATS = { heartbeatMs: 1000, demandsEveryHeartbeats: 5 } as const;
+/** Slower heartbeats for the largest fleet, as set in docs/CAPACITY.md. */
+const SLOW_HEARTBEATS = { heartbeatMs: 2000, demandsEveryHeartbeats: 10 } as const;
 
 const SIZES: readonly FleetSize[] = [
-  { ...TODAY, boxes: 6, engines: 9, zones: 3, sites: 1 },
-  { ...TODAY, boxes: 24, engines: 860, zones: 3, sites: 1 },
-  { ...TODAY, boxes: 55, engines: 2000, zones: 3, sites: 1 },
-  { ...TODAY, boxes: 165, engines: 6000, zones: 7, sites: 3 },
-  { ...TODAY, boxes: 330, engines: 12_000, zones: 14, sites: 6 },
-  { ...LARGE, boxes: 330, engines: 12_000, zones: 14, sites: 6 },
+  { ...DEFAULT_HEARTBEATS, boxes: 6, engines: 9, zones: 3, sites: 1 },
+  { ...DEFAULT_HEARTBEATS, boxes: 24, engines: 860, zones: 3, sites: 1 },
+  { ...DEFAULT_HEARTBEATS, boxes: 55, engines: 2000, zones: 3, sites: 1 },
+  { ...DEFAULT_HEARTBEATS, boxes: 165, engines: 6000, zones: 7, sites: 3 },
+  { ...DEFAULT_HEARTBEATS, boxes: 330, engines: 12_000, zones: 14, sites: 6 },
+  { ...SLOW_HEARTBEATS, boxes: 330, engines: 12_000, zones: 14, sites: 6 },
 ];
 const VIRTUAL_SECONDS = 20;
 const TICKS_PER_SECOND = 50;
@@ -128,7 +128,7 @@
   };
 }
 
-function report(): EventBody & { type: 'serverReported' } {
+function loadReport(): EventBody & { type: 'serverReported' } {
   return {
     type: 'serverReported',
     serverId: '',
@@ -146,8 +146,8 @@
   };
 }
 
-/** Peers that send heartbeats to the box: those of its site, and some of others. */
-function sendersTo(settings: DecisionSettings): { id: string; zone: string }[] {
+/** Returns the peers that send heartbeats to the box: all of its site, and up to ten of others. */
+function heartbeatSenders(settings: DecisionSettings): { id: string; zone: string }[] {
   const siteOf = new Map(settings.zones.map(({ name, site }) => [name, site]));
   const ownSite = siteOf.get(settings.zone);
   const own = settings.boxes.filter(
@@ -164,9 +164,9 @@
   probesPerSecond: number;
 }
 
-/** Lets the box live for some virtual seconds without requests. */
+/** Runs the box for `VIRTUAL_SECONDS` without requests and measures its control traffic. */
 function controlCost(box: Box, settings: DecisionSettings, fromSecond: number): ControlCost {
-  const senders = sendersTo(settings);
+  const senders = heartbeatSenders(settings);
   for (const { id } of settings.workspaces) {
     const view = workspaceView(box.state, id);
     if (view !== undefined) view.demandPerSecond = 1e6;
@@ -174,11 +174,11 @@
   let bytes = 0;
   let messages = 0;
   let probes = 0;
-  const heard = { ...report() };
+  const serverReport = { ...loadReport() };
   const startedMs = performance.now();
   for (let second = fromSecond; second < fromSecond + VIRTUAL_SECONDS; second += 1) {
-    const isTurn = (second * 1000) % settings.control.heartbeatMs === 0;
-    for (const { id, zone } of isTurn ? senders : []) {
+    const isHeartbeatDue = (second * 1000) % settings.control.heartbeatMs === 0;
+    for (const { id, zone } of isHeartbeatDue ? senders : []) {
       const message = heartbeatOf(zone, 1);
       box.send(second * 1000, { type: 'peerMessage', from: id, message });
     }
@@ -186,12 +186,12 @@
       const nowMs = second * 1000 + (tick * 1000) / TICKS_PER_SECOND;
       for (const effect of box.send(nowMs, { type: 'tick', epochMs: nowMs })) {
         if (effect.type === 'sendPeer') {
-          bytes += encodeShared(effect.message).length;
+          bytes += encodeFrameCached(effect.message).length;
           messages += 1;
         }
         if (effect.type !== 'probeServer') continue;
         probes += 1;
-        box.send(nowMs, { ...heard, serverId: effect.serverId });
+        box.send(nowMs, { ...serverReport, serverId: effect.serverId });
       }
     }
   }
@@ -222,7 +222,7 @@
   };
 }
 
-/** Time of a whole request with 38 token events, in microseconds. */
+/** Measures the processing time of a request with 38 token events, in microseconds. */
 function requestCost(box: Box): number {
   const TOKEN_EVENTS = 38;
   const nowMs = (VIRTUAL_SECONDS * 2 + 1) * 1000;
@@ -241,7 +241,7 @@
   return ((performance.now() - startedMs) / REQUESTS) * 1000;
 }
 
-/** Time and bytes of one configuration change. */
+/** Measures the processing time and the encoded size of one configuration change. */
 function deltaCost(box: Box): { microseconds: number; bytes: number } {
   const first = box.state.config.revision + 1;
   const messages = Array.from({ length: DELTAS }, (_, index): PeerMessage => {
@@ -267,16 +267,16 @@
 }
 
 function measureSize(size: FleetSize): string {
-  const before = heapMiB();
+  const heapBeforeMiB = heapMiB();
   const settings = fleetSettings(size);
   const box = createBox(settings);
   box.send(0, { type: 'tick', epochMs: 0 });
-  const heard = report();
-  for (const { id } of settings.servers) box.send(1, { ...heard, serverId: id });
-  // The first life of the box, in which it meets its peers, is not counted.
+  const serverReport = loadReport();
+  for (const { id } of settings.servers) box.send(1, { ...serverReport, serverId: id });
+  // Discards the first run, in which the box discovers its peers.
   controlCost(box, settings, 1);
   const control = controlCost(box, settings, VIRTUAL_SECONDS + 1);
-  const memory = heapMiB() - before;
+  const memory = heapMiB() - heapBeforeMiB;
   const requestMicros = requestCost(box);
   const delta = deltaCost(box);
   const heartbeat = encodeFrame(heartbeatOf('zone-0', 1)).length;
@@ -293,7 +293,7 @@
   ].join(' ');
 }
 
-// The first size warms the code up and is measured again.
+// Warms up the JIT compiler with the first size, which is then measured again.
 const [smallest] = SIZES;
 if (smallest !== undefined) measureSize(smallest);
 for (const size of SIZES) process.stdout.write(`${measureSize(size)}\n`);
--- a/packages/reedlug/src/commands/plan.ts
+++ b/packages/reedlug/src/commands/plan.ts
@@ -1,17 +1,17 @@
-/** `reedlug plan`, `confirm`, `plans` and `undo`: nothing changes until a plan is confirmed. */
+/** `reedlug plan`, `confirm`, `plans` and `undo`. Only confirming a plan changes anything. */
 import { readFile, writeFile } from 'node:fs/promises';
 import { Command, Option } from 'clipanion';
 import { parse } from 'yaml';
 import type { ConfirmedPlan, OperatorAnswer, Plan } from 'reedlug-decisions';
 import { parseIntent } from '../plans/intentValidation.js';
 import { AdminCommand } from './adminClient.js';
-import { table } from './textTable.js';
+import { formatTable } from './textTable.js';
 
 /** A command that drafts a plan and writes it to a file. */
 abstract class DraftCommand extends AdminCommand {
   abstract out: string;
 
-  protected async show(answer: OperatorAnswer): Promise<number> {
+  protected async writePlan(answer: OperatorAnswer): Promise<number> {
     if (answer.kind !== 'planned') {
       this.printLines(answerLines(answer));
       return 1;
@@ -24,16 +24,16 @@
   }
 }
 
-/** Asks for a plan of an intent and writes it to a file. */
+/** Requests a plan for an intent and writes it to a file. */
 export class PlanCommand extends DraftCommand {
   static override paths = [['plan']];
   static override usage = Command.Usage({
-    description: 'Show the plan of an intent; nothing changes',
+    description: 'Show the plan for an intent without changing anything',
     examples: [['Plan a site move', 'reedlug plan -f move.yaml --out move.plan.json --entry $E']],
   });
 
   file = Option.String('-f,--file', { required: true, description: 'The intent, in YAML' });
-  out = Option.String('--out', 'plan.json', { description: 'Where the plan is written' });
+  out = Option.String('--out', 'plan.json', { description: 'File to write the plan to' });
 
   override async execute(): Promise<number> {
     const document = await readDocument(this.file);
@@ -42,7 +42,7 @@
     if (parsed.kind === 'invalid') return this.fail(parsed.faults);
     const answer = await this.ask<OperatorAnswer>('POST', '/admin/plans', document.value);
     if (answer === undefined) return 1;
-    return this.show(answer.value);
+    return this.writePlan(answer.value);
   }
 
   private fail(faults: readonly string[]): number {
@@ -59,11 +59,11 @@
   }
 }
 
-/** Confirms a plan, or tells the conflict. */
+/** Confirms a plan, or prints the plan that it conflicts with. */
 export class ConfirmCommand extends AdminCommand {
   static override paths = [['confirm']];
   static override usage = Command.Usage({
-    description: 'Confirm a plan; a conflict names the plan that came first',
+    description: 'Confirm a plan, or show the earlier plan that it conflicts with',
     examples: [['Confirm a plan at any box', 'reedlug confirm move.plan.json --entry $E']],
   });
 
@@ -109,17 +109,17 @@
   });
 
   planId = Option.String();
-  out = Option.String('--out', 'undo.json', { description: 'Where the plan is written' });
+  out = Option.String('--out', 'undo.json', { description: 'File to write the plan to' });
 
   override async execute(): Promise<number> {
     const path = `/admin/plans/${encodeURIComponent(this.planId)}/undo`;
     const answer = await this.ask<OperatorAnswer>('POST', path, {});
     if (answer === undefined) return 1;
-    return this.show(answer.value);
+    return this.writePlan(answer.value);
   }
 }
 
-/** A plan as lines. */
+/** Formats a plan as lines of text. */
 export function planLines(plan: Plan): string[] {
   const steps = plan.steps.map(({ atEpochMs, text }) => [new Date(atEpochMs).toISOString(), text]);
   const boxes = plan.boxes.map(({ zone, machineClass, reclaimable, countDelta }) => [
@@ -136,13 +136,13 @@
     `rests on: ${basis.join(', ')}`,
     `digest: ${plan.digest}`,
     '',
-    ...table(['TIME', 'STEP'], steps),
-    ...(boxes.length > 0 ? ['', ...table(['BOXES', 'ZONE', 'CLASS', 'KIND'], boxes)] : []),
+    ...formatTable(['TIME', 'STEP'], steps),
+    ...(boxes.length > 0 ? ['', ...formatTable(['BOXES', 'ZONE', 'CLASS', 'KIND'], boxes)] : []),
     ...(plan.risks.length > 0 ? ['', ...plan.risks.map((risk) => `risk: ${risk}`)] : []),
   ];
 }
 
-/** An answer as lines. */
+/** Formats an answer as lines of text. */
 export function answerLines(answer: OperatorAnswer): string[] {
   switch (answer.kind) {
     case 'planned':
@@ -175,5 +175,5 @@
     operatorId,
     intent.kind,
   ]);
-  return table(['REVISION', 'PLAN', 'OPERATOR', 'INTENT'], rows);
+  return formatTable(['REVISION', 'PLAN', 'OPERATOR', 'INTENT'], rows);
 }
--- a/packages/reedlug/src/commands/simulateReport.ts
+++ b/packages/reedlug/src/commands/simulateReport.ts
@@ -1,9 +1,9 @@
-/** Text of the reports of a simulation. */
+/** Formats the reports of simulations as text. */
 import { median } from 'reedlug-check';
 import type { OutcomeRow, SceneReport } from 'reedlug-simulator';
-import { table } from './textTable.js';
+import { formatTable } from './textTable.js';
 
-/** A figure of a report, by which runs are compared. */
+/** A figure of a report that is printed and compared between runs. */
 interface Figure {
   name: string;
   of: (report: SceneReport) => number;
@@ -41,7 +41,7 @@
   return Object.values(report.storeCalls).reduce((sum, calls) => sum + calls, 0);
 }
 
-/** One run in full; of several the figures' median, least and most. */
+/** Formats one run in full, or the median, minimum and maximum of the figures of several runs. */
 export function reportLines(reports: readonly SceneReport[]): string[] {
   const [only] = reports;
   if (only === undefined) return [];
@@ -58,7 +58,7 @@
     return [name, text(median(values)), ...ends];
   });
   const ends = several ? ['LEAST', 'MOST'] : [];
-  return table(['FIGURE', several ? 'MEDIAN' : 'VALUE', ...ends], rows);
+  return formatTable(['FIGURE', several ? 'MEDIAN' : 'VALUE', ...ends], rows);
 }
 
 function brokenLines(reports: readonly SceneReport[]): string[] {
@@ -95,7 +95,7 @@
 
 function outcomeLines(label: string, rows: readonly OutcomeRow[]): string[] {
   const header = [label, 'ASKED', 'IN TIME', 'LATE', 'REFUSED', 'FAILED', 'LEFT', 'EARNED'];
-  return table(
+  return formatTable(
     header,
     rows.map((row) => [
       row.name,
@@ -110,15 +110,15 @@
   );
 }
 
-/** Two sets of runs side by side, with the difference of the seeds that both have. */
+/** Formats two sets of runs side by side, with the differences for the seeds in both sets. */
 export function comparisonLines(
   before: readonly SceneReport[],
   after: readonly SceneReport[],
 ): string[] {
-  const earlier = new Map(before.map((report) => [report.seed, report]));
+  const beforeBySeed = new Map(before.map((report) => [report.seed, report]));
   const pairs = after.flatMap((report) => {
-    const known = earlier.get(report.seed);
-    return known === undefined ? [] : [{ before: known, after: report }];
+    const earlier = beforeBySeed.get(report.seed);
+    return earlier === undefined ? [] : [{ before: earlier, after: report }];
   });
   if (pairs.length === 0) return ['the two sets of runs have no seed in common'];
   const rows = FIGURES.map(({ name, of, digits }) => {
@@ -131,5 +131,5 @@
       differences.map(text).join(' '),
     ];
   });
-  return table(['FIGURE', 'BEFORE', 'AFTER', 'DIFFERENCE BY SEED'], rows);
+  return formatTable(['FIGURE', 'BEFORE', 'AFTER', 'DIFFERENCE BY SEED'], rows);
 }
--- a/packages/reedlug/src/commands/textTable.ts
+++ b/packages/reedlug/src/commands/textTable.ts
@@ -1,7 +1,7 @@
 /** Text tables for the terminal. */
 
-/** Lines of a table with aligned columns. */
-export function table(
+/** Returns the lines of a table with aligned columns. */
+export function formatTable(
   header: readonly string[],
   rows: readonly (readonly (string | number)[])[],
 ): string[] {
--- a/packages/reedlug/src/dev/devServers.ts
+++ b/packages/reedlug/src/dev/devServers.ts
@@ -1,4 +1,4 @@
-/** The stand-in backend servers of `reedlug dev`, and the box list made of them. */
+/** The stand-in backend servers of `reedlug dev`, and the box list that contains them. */
 import {
   ServerKind,
   type BoxListEntry,
@@ -18,7 +18,7 @@
   { kind: 'engine'; running: EngineServer } | { kind: 'service'; running: ServiceServer }
 );
 
-/** Starts an engine under a description. */
+/** Starts a stand-in engine. */
 export async function startDevEngine(
   settings: Settings,
   spec: Omit<ServerSpec, 'address'>,
@@ -45,7 +45,7 @@
   return { kind: 'engine', spec: { ...spec, address }, incarnation, leaving: false, running };
 }
 
-/** Starts a plain service under a description. */
+/** Starts a stand-in of a plain service. */
 export async function startDevService(
   settings: Settings,
   spec: Omit<ServerSpec, 'address'>,
@@ -57,26 +57,26 @@
   return { kind: 'service', spec: { ...spec, address }, incarnation, leaving: false, running };
 }
 
-/** The description of an engine that the cloud is asked to start. */
-export function startedSpec(
+/** Returns the spec of an engine that the cloud is requested to start. */
+export function startedEngineSpec(
   settings: Settings,
-  ask: Extract<CloudRequest, { kind: 'start' }>,
+  request: Extract<CloudRequest, { kind: 'start' }>,
 ): Omit<ServerSpec, 'address'> {
-  const pool = settings.pools.find(({ model }) => model === ask.pool);
+  const pool = settings.pools.find(({ model }) => model === request.pool);
   return {
-    id: ask.startToken,
+    id: request.startToken,
     kind: ServerKind.engine,
-    zone: ask.zone,
-    pool: ask.pool,
+    zone: request.zone,
+    pool: request.pool,
     version: pool?.version ?? '',
     slots: pool?.slotsPerEngine ?? 8,
-    machineClass: ask.machineClass,
-    reclaimable: ask.reclaimable,
+    machineClass: request.machineClass,
+    reclaimable: request.reclaimable,
     checksFence: pool?.checksFence ?? true,
   };
 }
 
-/** The box list as it is now. */
+/** Returns the current box list. */
 export function boxListOf(servers: Iterable<DevServer>): BoxListEntry[] {
   return [...servers].map(({ spec, incarnation, leaving }) => ({ spec, incarnation, leaving }));
 }
--- a/packages/reedlug/src/http/adminRoutes.ts
+++ b/packages/reedlug/src/http/adminRoutes.ts
@@ -9,20 +9,23 @@
 import { sendJson } from './exchanges.js';
 import { boxStatus } from './boxStatus.js';
 
-/** An operator's request with its JSON body. */
-interface OperatorRequest {
+/** A request of an authenticated operator with its parsed JSON body. */
+interface AuthenticatedRequest {
   operatorId: string;
   body: unknown;
 }
 
-type OperatorHandler = (asked: OperatorRequest, params: { id: string }) => Promise<Answer>;
+type OperatorHandler = (
+  request: AuthenticatedRequest,
+  params: { id: string },
+) => Promise<HttpAnswer>;
 
-interface Answer {
+interface HttpAnswer {
   status: number;
   value: unknown;
 }
 
-/** Adds the routes. */
+/** Adds the routes of the admin API. */
 export function addAdminRoutes(router: Router, context: RouteContext): void {
   const { daemon } = context;
   const route = (method: 'GET' | 'POST', path: string, handler: OperatorHandler): void =>
@@ -30,28 +33,30 @@
       method,
       path,
       (request, response, params) =>
-        void serveOperator(context, request, response, { id: params['id'] ?? '' }, handler),
+        void handleOperatorRequest(context, request, response, { id: params['id'] ?? '' }, handler),
     );
   route('GET', '/admin/status', async () => ({ status: 200, value: boxStatus(daemon) }));
   route('GET', '/admin/histograms', async () => ({ status: 200, value: daemon.histograms.rows() }));
-  route('GET', '/admin/plans', async () => answerOf(await daemon.ask({ kind: 'listPlans' })));
+  route('GET', '/admin/plans', async () => toHttpAnswer(await daemon.ask({ kind: 'listPlans' })));
   route('POST', '/admin/plans', async ({ operatorId, body }) => {
     const parsed = parseIntent(body);
-    if (parsed.kind === 'invalid') return answerOf({ kind: 'invalid', faults: parsed.faults });
+    if (parsed.kind === 'invalid') return toHttpAnswer({ kind: 'invalid', faults: parsed.faults });
     const planId = randomUUID();
-    return answerOf(await daemon.ask({ kind: 'plan', operatorId, intent: parsed.intent, planId }));
+    return toHttpAnswer(
+      await daemon.ask({ kind: 'plan', operatorId, intent: parsed.intent, planId }),
+    );
   });
   route('POST', '/admin/plans/confirm', async ({ body }) => {
-    if (!isPlan(body)) return answerOf({ kind: 'invalid', faults: ['the body is not a plan'] });
-    return answerOf(await daemon.ask({ kind: 'confirm', plan: body as Plan }));
+    if (!isPlan(body)) return toHttpAnswer({ kind: 'invalid', faults: ['the body is not a plan'] });
+    return toHttpAnswer(await daemon.ask({ kind: 'confirm', plan: body as Plan }));
   });
   route('POST', '/admin/plans/:id/undo', async ({ operatorId }, { id }) => {
     const newPlanId = randomUUID();
-    return answerOf(await daemon.ask({ kind: 'undo', operatorId, planId: id, newPlanId }));
+    return toHttpAnswer(await daemon.ask({ kind: 'undo', operatorId, planId: id, newPlanId }));
   });
 }
 
-async function serveOperator(
+async function handleOperatorRequest(
   context: RouteContext,
   request: IncomingMessage,
   response: ServerResponse,
@@ -87,7 +92,7 @@
   }
 }
 
-const ANSWER_STATUS: { [K in OperatorAnswer['kind']]: number } = {
+const STATUS_BY_ANSWER_KIND: { [K in OperatorAnswer['kind']]: number } = {
   planned: 200,
   invalid: 400,
   confirmed: 200,
@@ -97,6 +102,6 @@
   plans: 200,
 };
 
-function answerOf(answer: OperatorAnswer): Answer {
-  return { status: ANSWER_STATUS[answer.kind], value: answer };
+function toHttpAnswer(answer: OperatorAnswer): HttpAnswer {
+  return { status: STATUS_BY_ANSWER_KIND[answer.kind], value: answer };
 }
--- a/packages/reedlug/src/http/exchanges.ts
+++ b/packages/reedlug/src/http/exchanges.ts
@@ -1,14 +1,14 @@
-/** The three ways to answer a caller: a plain answer, a token stream, a service's answer. */
+/** The three ways to answer a caller: one JSON body, an event stream, a service's answer. */
 import type { ServerResponse } from 'node:http';
 import { Outcome } from 'reedlug-coordination';
 import { Reason } from 'reedlug-decisions';
 import type { ServiceAnswer } from '../backends/serviceClient.js';
 import type { Exchange, FinishEffect } from '../daemon/exchange.js';
-import { errorBody, errorOfFinish, type ApiError } from './apiError.js';
+import { errorBody, errorFromFinish, type ApiError } from './apiError.js';
 import { ModelForm } from './modelRequest.js';
 import { HeaderName } from './requestHeaders.js';
 
-/** What an exchange needs of its request. */
+/** Parameters of an exchange that answers a model request. */
 export interface ModelExchangeParams {
   response: ServerResponse;
   requestId: string;
@@ -17,7 +17,7 @@
   createdAtSeconds: number;
 }
 
-/** Sends an error in the one JSON form. */
+/** Sends an error as JSON. If the headers were already sent, only ends the response. */
 export function sendError(
   response: ServerResponse,
   error: ApiError,
@@ -39,7 +39,7 @@
   response.end(errorBody(error, requestId));
 }
 
-/** Sends a JSON value. */
+/** Sends a value as JSON. */
 export function sendJson(
   response: ServerResponse,
   status: number,
@@ -59,15 +59,15 @@
   };
 }
 
-/** An answer in one piece. */
-export function createPlainExchange(params: ModelExchangeParams): Exchange {
+/** Returns an exchange that collects the tokens and sends them in one JSON body. */
+export function createJsonExchange(params: ModelExchangeParams): Exchange {
   const { response, requestId, model, form, createdAtSeconds } = params;
   const parts: string[] = [];
   return {
     onTokens: (_offset, tokens) => void parts.push(...tokens),
     onFinish(finish) {
       if (finish.outcome !== Outcome.completed) {
-        sendError(response, errorOfFinish(finish), requestId);
+        sendError(response, errorFromFinish(finish), requestId);
         return;
       }
       const text = parts.join('');
@@ -91,13 +91,16 @@
   };
 }
 
-/** An answer as server-sent events; each event's id is the offset after its tokens. */
+/**
+ * Returns an exchange that sends the answer as server-sent events. The id of each event is the
+ * token offset after it, which a caller sends as `Last-Event-ID` to resume the stream.
+ */
 export function createStreamExchange(params: ModelExchangeParams): Exchange {
   const { response, requestId, model, form, createdAtSeconds } = params;
   const object = form === ModelForm.chat ? 'chat.completion.chunk' : 'text_completion';
   const base = JSON.stringify({ id: requestId, object, created: createdAtSeconds, model });
-  const open = base.slice(0, -1);
-  const start = (): void => {
+  const chunkPrefix = base.slice(0, -1);
+  const writeHeadersOnce = (): void => {
     if (response.headersSent) return;
     response.writeHead(200, {
       'content-type': 'text/event-stream',
@@ -107,44 +110,47 @@
   };
   return {
     onTokens(offset, tokens) {
-      start();
+      writeHeadersOnce();
       const text = JSON.stringify(tokens.join(''));
-      const piece = form === ModelForm.chat ? `"delta":{"content":${text}}` : `"text":${text}`;
-      const choice = `{"index":0,${piece},"finish_reason":null}`;
-      response.write(`id: ${offset + tokens.length}\ndata: ${open},"choices":[${choice}]}\n\n`);
+      const contentField =
+        form === ModelForm.chat ? `"delta":{"content":${text}}` : `"text":${text}`;
+      const choice = `{"index":0,${contentField},"finish_reason":null}`;
+      response.write(
+        `id: ${offset + tokens.length}\ndata: ${chunkPrefix},"choices":[${choice}]}\n\n`,
+      );
     },
     onFinish(finish) {
       if (finish.outcome === Outcome.completed) {
-        start();
-        response.end(lastEvents(open, form, finish));
+        writeHeadersOnce();
+        response.end(finalEvents(chunkPrefix, form, finish));
         return;
       }
       if (!response.headersSent) {
-        sendError(response, errorOfFinish(finish), requestId);
+        sendError(response, errorFromFinish(finish), requestId);
         return;
       }
-      // Without `[DONE]` the caller knows that the answer is not whole.
+      // `[DONE]` is not sent, so that the caller can tell that the answer is incomplete.
       const event = finish.reason === Reason.handedOver ? 'reconnect' : 'error';
-      response.end(`event: ${event}\ndata: ${errorBody(errorOfFinish(finish), requestId)}\n\n`);
+      response.end(`event: ${event}\ndata: ${errorBody(errorFromFinish(finish), requestId)}\n\n`);
     },
   };
 }
 
-function lastEvents(open: string, form: ModelForm, finish: FinishEffect): string {
-  const piece = form === ModelForm.chat ? '"delta":{}' : '"text":""';
-  const choice = `{"index":0,${piece},"finish_reason":"stop"}`;
+function finalEvents(chunkPrefix: string, form: ModelForm, finish: FinishEffect): string {
+  const emptyContentField = form === ModelForm.chat ? '"delta":{}' : '"text":""';
+  const choice = `{"index":0,${emptyContentField},"finish_reason":"stop"}`;
   const usage = JSON.stringify(usageOf(finish));
-  const last = `${open},"choices":[${choice}],"usage":${usage},"outcome":"${finish.outcome}"}`;
-  return `data: ${last}\n\ndata: [DONE]\n\n`;
+  const lastChunk = `${chunkPrefix},"choices":[${choice}],"usage":${usage},"outcome":"${finish.outcome}"}`;
+  return `data: ${lastChunk}\n\ndata: [DONE]\n\n`;
 }
 
-/** The answer of a plain service, carried through. */
+/** Returns an exchange that forwards the answer of a plain service. */
 export function createServiceExchange(response: ServerResponse, requestId: string): Exchange {
   return {
     onTokens: () => undefined,
     onFinish(finish, answer) {
       if (finish.outcome !== Outcome.completed) {
-        sendError(response, errorOfFinish(finish), requestId);
+        sendError(response, errorFromFinish(finish), requestId);
         return;
       }
       sendServiceAnswer(response, requestId, finish, answer);
@@ -158,12 +164,17 @@
   finish: FinishEffect,
   answer: ServiceAnswer | undefined,
 ): void {
-  const own = { [HeaderName.requestId]: requestId, [HeaderName.outcome]: finish.outcome };
+  const ownHeaders = { [HeaderName.requestId]: requestId, [HeaderName.outcome]: finish.outcome };
   if (answer === undefined) {
-    // The request ran and its answer is no longer held by any box.
-    sendJson(response, 200, { requestId, outcome: finish.outcome, status: finish.status }, own);
+    // The request ran, but no box stores its answer any more.
+    sendJson(
+      response,
+      200,
+      { requestId, outcome: finish.outcome, status: finish.status },
+      ownHeaders,
+    );
     return;
   }
-  response.writeHead(answer.status, { ...answer.headers, ...own });
+  response.writeHead(answer.status, { ...answer.headers, ...ownHeaders });
   response.end(answer.body);
 }
--- a/packages/reedlug/src/http/modelRoutes.ts
+++ b/packages/reedlug/src/http/modelRoutes.ts
@@ -1,18 +1,18 @@
-/** Routes of model requests: chat, completions and the list of models. */
+/** Routes for models: chat completions, text completions and the list of models. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { hashString } from 'reedlug-coordination';
 import { RequestClass, ServerKind, type RequestSpec } from 'reedlug-decisions';
 import { hashKey } from './keys.js';
-import { readCallerRequest, workspaceOf } from './callerRequest.js';
+import { readCallerRequest, authenticateWorkspace } from './callerRequest.js';
 import { refuseRequest, type RouteContext, type Router } from './callerServer.js';
-import { createPlainExchange, createStreamExchange, sendJson } from './exchanges.js';
+import { createJsonExchange, createStreamExchange, sendJson } from './exchanges.js';
 import { ModelForm, parseModelRequest, type ModelRequest } from './modelRequest.js';
 import type { RequestHeaders } from './requestHeaders.js';
 
-/** Characters of a prompt that make about one token. */
+/** Average number of characters in a token, to estimate the length of a prompt. */
 const CHARACTERS_PER_TOKEN = 4;
 
-/** Adds the routes. */
+/** Adds the routes for models. */
 export function addModelRoutes(router: Router, context: RouteContext): void {
   const handle = (form: ModelForm) => (request: IncomingMessage, response: ServerResponse) =>
     void serveModelRequest(context, form, request, response);
@@ -26,12 +26,12 @@
   request: IncomingMessage,
   response: ServerResponse,
 ): void {
-  if (workspaceOf(context, request, response) === undefined) return;
-  const data = modelsOf(context).map((id) => ({ id, object: 'model', owned_by: 'reedlug' }));
+  if (authenticateWorkspace(context, request, response) === undefined) return;
+  const data = servedModels(context).map((id) => ({ id, object: 'model', owned_by: 'reedlug' }));
   sendJson(response, 200, { object: 'list', data });
 }
 
-function modelsOf(context: RouteContext): string[] {
+function servedModels(context: RouteContext): string[] {
   const models = new Set<string>();
   for (const { spec } of context.daemon.state.servers.values()) {
     if (spec.kind === ServerKind.engine) models.add(spec.pool);
@@ -57,30 +57,30 @@
     refuseRequest(request, response, 'badRequest', faults.join('; '));
     return;
   }
-  const fault = requestFault(context, parsed.request);
+  const fault = findRequestFault(context, parsed.request);
   if (fault !== undefined) {
     refuseRequest(request, response, fault.type, fault.message);
     return;
   }
-  const spec = specOf(context, workspaceId, parsed.request, headers.headers, body);
-  begin(context, spec, parsed.request, response);
+  const spec = createRequestSpec(context, workspaceId, parsed.request, headers.headers, body);
+  submitModelRequest(context, spec, parsed.request, response);
 }
 
-function requestFault(
+function findRequestFault(
   context: RouteContext,
   request: ModelRequest,
 ): { type: 'notFound' | 'badRequest'; message: string } | undefined {
-  const models = modelsOf(context);
+  const models = servedModels(context);
   if (!models.includes(request.model)) {
     const message = `model ${request.model} is not served; served: ${models.join(', ')}`;
     return { type: 'notFound', message };
   }
   const { maxTokensLimit } = context.settings.callers;
   if ((request.maxTokens ?? 0) <= maxTokensLimit) return undefined;
-  return { type: 'badRequest', message: `max_tokens may be ${maxTokensLimit} at most` };
+  return { type: 'badRequest', message: `max_tokens must not exceed ${maxTokensLimit}` };
 }
 
-function specOf(
+function createRequestSpec(
   context: RouteContext,
   workspaceId: string,
   request: ModelRequest,
@@ -88,9 +88,9 @@
   body: Buffer,
 ): RequestSpec {
   const { callers, workspaces } = context.settings;
-  const ownClass = workspaces.find(({ id }) => id === workspaceId)?.requestClass;
-  const requestClass = headers.requestClass ?? ownClass ?? RequestClass.patient;
-  const defaultMs =
+  const workspaceClass = workspaces.find(({ id }) => id === workspaceId)?.requestClass;
+  const requestClass = headers.requestClass ?? workspaceClass ?? RequestClass.patient;
+  const defaultDeadlineMs =
     requestClass === RequestClass.urgent
       ? callers.urgentDeadlineDefaultMs
       : callers.deadlineDefaultMs;
@@ -106,14 +106,14 @@
     repeatable: headers.repeatable ?? true,
     idempotencyKey: headers.idempotencyKey,
     digest: hasKey ? hashKey(`${request.form} ${body.toString('latin1')}`) : '',
-    deadlineAtMs: performance.now() + (headers.deadlineMs ?? defaultMs),
+    deadlineAtMs: performance.now() + (headers.deadlineMs ?? defaultDeadlineMs),
     affinityHash: hashString(`${workspaceId}|${request.model}|${conversation}`),
     promptTokens: Math.ceil(request.prompt.length / CHARACTERS_PER_TOKEN),
     maxTokens: request.maxTokens ?? callers.maxTokensDefault,
   };
 }
 
-function begin(
+function submitModelRequest(
   context: RouteContext,
   spec: RequestSpec,
   request: ModelRequest,
@@ -127,9 +127,9 @@
     form: request.form,
     createdAtSeconds: Math.floor(Date.now() / 1000),
   };
-  const exchange = request.stream ? createStreamExchange(params) : createPlainExchange(params);
+  const exchange = request.stream ? createStreamExchange(params) : createJsonExchange(params);
   response.on('close', () => {
     if (!response.writableEnded) context.daemon.callerGone(requestId);
   });
-  context.daemon.begin(spec, { kind: 'prompt', prompt: request.prompt }, exchange);
+  context.daemon.submitRequest(spec, { kind: 'prompt', prompt: request.prompt }, exchange);
 }
--- a/packages/reedlug/src/http/requestHeaders.ts
+++ b/packages/reedlug/src/http/requestHeaders.ts
@@ -1,8 +1,8 @@
-/** The documented request headers: deadline, class, repeatability, key, conversation. */
+/** The documented headers of requests: deadline, class, repeatability, key, conversation. */
 import type { IncomingHttpHeaders } from 'node:http';
 import { RequestClass } from 'reedlug-decisions';
 
-/** What the headers say; undefined where one is absent. */
+/** Values of the request headers; undefined for an absent header. */
 export interface RequestHeaders {
   deadlineMs: number | undefined;
   requestClass: RequestClass | undefined;
@@ -12,11 +12,11 @@
   modelVersion: string | undefined;
 }
 
-/** Checked headers, or every fault. */
+/** Validated headers, or all faults. */
 export type RequestHeadersResult =
   { kind: 'valid'; headers: RequestHeaders } | { kind: 'invalid'; faults: string[] };
 
-/** Names of the headers. */
+/** Names of request and response headers. */
 export const HeaderName = {
   deadline: 'x-deadline-ms',
   requestClass: 'x-request-class',
@@ -29,28 +29,32 @@
   lastEventId: 'last-event-id',
 } as const;
 
-const LONGEST_KEY = 255;
+const MAX_KEY_LENGTH = 255;
 
-/** Checks the headers. */
+/** Validates the headers of a request. */
 export function parseRequestHeaders(
   headers: IncomingHttpHeaders,
   deadlineLimitMs: number,
 ): RequestHeadersResult {
   const faults: string[] = [];
-  const deadlineMs = parseDeadline(text(headers, HeaderName.deadline), deadlineLimitMs, faults);
-  const requestClass = parseClass(text(headers, HeaderName.requestClass), faults);
-  const repeatable = parseBoolean(text(headers, HeaderName.repeatable), faults);
-  const idempotencyKey = parseKey(text(headers, HeaderName.idempotencyKey), faults);
+  const deadlineMs = parseDeadline(
+    headerValue(headers, HeaderName.deadline),
+    deadlineLimitMs,
+    faults,
+  );
+  const requestClass = parseClass(headerValue(headers, HeaderName.requestClass), faults);
+  const repeatable = parseBoolean(headerValue(headers, HeaderName.repeatable), faults);
+  const idempotencyKey = parseKey(headerValue(headers, HeaderName.idempotencyKey), faults);
   if (faults.length > 0) return { kind: 'invalid', faults };
-  const conversationId = text(headers, HeaderName.conversation);
-  const modelVersion = text(headers, HeaderName.modelVersion);
+  const conversationId = headerValue(headers, HeaderName.conversation);
+  const modelVersion = headerValue(headers, HeaderName.modelVersion);
   return {
     kind: 'valid',
     headers: { deadlineMs, requestClass, repeatable, idempotencyKey, conversationId, modelVersion },
   };
 }
 
-function text(headers: IncomingHttpHeaders, name: string): string | undefined {
+function headerValue(headers: IncomingHttpHeaders, name: string): string | undefined {
   const value = headers[name];
   return Array.isArray(value) ? value[0] : value;
 }
@@ -84,7 +88,7 @@
 
 function parseKey(value: string | undefined, faults: string[]): string | undefined {
   if (value === undefined) return undefined;
-  if (value.length >= 1 && value.length <= LONGEST_KEY) return value;
-  faults.push(`${HeaderName.idempotencyKey} must have 1 to ${LONGEST_KEY} characters`);
+  if (value.length >= 1 && value.length <= MAX_KEY_LENGTH) return value;
+  faults.push(`${HeaderName.idempotencyKey} must have 1 to ${MAX_KEY_LENGTH} characters`);
   return undefined;
 }
--- a/packages/reedlug/src/http/serviceRoutes.ts
+++ b/packages/reedlug/src/http/serviceRoutes.ts
@@ -1,4 +1,4 @@
-/** Routes to plain services: method, query, body and status are carried through. */
+/** Routes to plain services. Method, query, body and status are forwarded unchanged. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { hashString } from 'reedlug-coordination';
 import { RequestClass, ServerKind, type RequestSpec } from 'reedlug-decisions';
@@ -10,11 +10,11 @@
 import { hashKey } from './keys.js';
 import type { RequestHeaders } from './requestHeaders.js';
 
-/** Methods that repeat without harm where no route says otherwise. */
+/** Methods that are safe to repeat unless a route in the settings says otherwise. */
 const REPEATABLE_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD']);
-const PREFIX = '/v1/services/';
+const SERVICES_PREFIX = '/v1/services/';
 
-/** Adds the routes. */
+/** Adds the routes to plain services. */
 export function addServiceRoutes(router: Router, context: RouteContext): void {
   const handler = (request: IncomingMessage, response: ServerResponse): void =>
     void serveServiceRequest(context, request, response);
@@ -48,11 +48,11 @@
   }
   const method = request.method ?? 'GET';
   const call = { service, method, path, body };
-  const spec = specOf(context, workspaceId, call, headers.headers);
+  const spec = createRequestSpec(context, workspaceId, call, headers.headers);
   response.on('close', () => {
     if (!response.writableEnded) context.daemon.callerGone(spec.requestId);
   });
-  context.daemon.begin(
+  context.daemon.submitRequest(
     spec,
     {
       kind: 'call',
@@ -65,20 +65,23 @@
   );
 }
 
-interface Call {
+interface ServiceRequest {
   service: string;
   method: string;
   path: string;
   body: Buffer;
 }
 
-/** The service's name and the path and query at it. */
+/** Splits a request target into the service's name and the path and query for the service. */
 function splitTarget(url: string): { service: string; path: string } {
-  const rest = url.slice(PREFIX.length);
-  const end = rest.search(/[/?]/);
-  if (end < 0) return { service: rest, path: '/' };
-  const tail = rest.slice(end);
-  return { service: rest.slice(0, end), path: tail.startsWith('/') ? tail : `/${tail}` };
+  const target = url.slice(SERVICES_PREFIX.length);
+  const end = target.search(/[/?]/);
+  if (end < 0) return { service: target, path: '/' };
+  const pathAndQuery = target.slice(end);
+  return {
+    service: target.slice(0, end),
+    path: pathAndQuery.startsWith('/') ? pathAndQuery : `/${pathAndQuery}`,
+  };
 }
 
 function knownServices(context: RouteContext): Set<string> {
@@ -89,10 +92,10 @@
   return services;
 }
 
-function specOf(
+function createRequestSpec(
   context: RouteContext,
   workspaceId: string,
-  call: Call,
+  call: ServiceRequest,
   headers: RequestHeaders,
 ): RequestSpec {
   const { settings } = context;
@@ -122,18 +125,22 @@
 }
 
 /**
- * A caller may call a repeatable route not repeatable. The other way round
- * only the settings decide, so that a wrong header cannot double a notice.
+ * Returns true if the request may be sent more than once. A header can declare a request to a
+ * repeatable route not repeatable. Only the settings can declare a route repeatable, so that a
+ * wrong header cannot cause a notice to be sent twice.
  */
 function isRepeatable(
-  call: Call,
+  call: ServiceRequest,
   route: RouteSettings | undefined,
   headers: RequestHeaders,
 ): boolean {
-  const byRoute = route?.repeatable ?? REPEATABLE_METHODS.has(call.method);
-  return byRoute && headers.repeatable !== false;
+  const isRouteRepeatable = route?.repeatable ?? REPEATABLE_METHODS.has(call.method);
+  return isRouteRepeatable && headers.repeatable !== false;
 }
 
-function routeOf(routes: readonly RouteSettings[], call: Call): RouteSettings | undefined {
+function routeOf(
+  routes: readonly RouteSettings[],
+  call: ServiceRequest,
+): RouteSettings | undefined {
   return routes.find((route) => route.service === call.service && route.method === call.method);
 }
--- a/packages/reedlug/src/observe/histograms.ts
+++ b/packages/reedlug/src/observe/histograms.ts
@@ -1,8 +1,8 @@
-/** Latency histograms by workspace and class. */
+/** Latency histograms by workspace and request class. */
 import { build, type Histogram } from 'hdr-histogram-js';
 import type { RequestClass } from 'reedlug-decisions';
 
-/** What is measured, in ms. */
+/** Measured times of a request. */
 export const Measure = {
   waiting: 'waiting',
   firstToken: 'firstToken',
@@ -11,7 +11,7 @@
 } as const;
 export type Measure = (typeof Measure)[keyof typeof Measure];
 
-/** One row of the report. */
+/** Summary of one histogram, as reported to operators. */
 export interface HistogramRow {
   workspaceId: string;
   requestClass: RequestClass;
@@ -22,7 +22,7 @@
   p99Ms: number;
 }
 
-/** All histograms of a box. */
+/** Histograms of a box. */
 export interface Histograms {
   record: (
     key: { workspaceId: string; requestClass: RequestClass; measure: Measure },
@@ -31,9 +31,9 @@
   rows: () => HistogramRow[];
 }
 
-/** Values are kept in hundredths of a ms, so that short times keep their digits. */
+/** Values are stored in hundredths of a ms, so that short times keep their precision. */
 const UNITS_PER_MS = 100;
-const HIGHEST_MS = 3_600_000;
+const MAX_VALUE_MS = 3_600_000;
 
 interface Entry {
   workspaceId: string;
@@ -42,7 +42,7 @@
   histogram: Histogram;
 }
 
-/** Returns empty histograms. */
+/** Returns an empty set of histograms. */
 export function createHistograms(): Histograms {
   const entries = new Map<string, Entry>();
   return {
@@ -50,17 +50,17 @@
       const name = `${key.workspaceId} ${key.requestClass} ${key.measure}`;
       let entry = entries.get(name);
       if (entry === undefined) {
-        entry = { ...key, histogram: newHistogram() };
+        entry = { ...key, histogram: createHistogram() };
         entries.set(name, entry);
       }
-      const value = Math.min(HIGHEST_MS, Math.max(0, valueMs)) * UNITS_PER_MS;
+      const value = Math.min(MAX_VALUE_MS, Math.max(0, valueMs)) * UNITS_PER_MS;
       entry.histogram.recordValue(Math.round(value));
     },
-    rows: () => [...entries.values()].map(rowOf),
+    rows: () => [...entries.values()].map(toRow),
   };
 }
 
-function newHistogram(): Histogram {
+function createHistogram(): Histogram {
   return build({
     bitBucketSize: 32,
     autoResize: true,
@@ -70,7 +70,7 @@
   });
 }
 
-function rowOf({ histogram, ...key }: Entry): HistogramRow {
+function toRow({ histogram, ...key }: Entry): HistogramRow {
   const at = (percentile: number): number =>
     histogram.getValueAtPercentile(percentile) / UNITS_PER_MS;
   return {
--- a/packages/reedlug/src/peers/frames.ts
+++ b/packages/reedlug/src/peers/frames.ts
@@ -1,14 +1,14 @@
-/** Length-framed cbor-x: four bytes of length, then one value. */
+/** Frames of the peer link: four bytes of length, followed by one value encoded with cbor-x. */
 import { Decoder, Encoder } from 'cbor-x';
 
-/** Largest frame taken, in bytes. */
+/** Maximum size of a received frame, in bytes. */
 export const MAX_FRAME_BYTES = 4 * 1024 * 1024;
 const LENGTH_BYTES = 4;
 
 const encoder = new Encoder({ useRecords: true, mapsAsObjects: true });
 const decoder = new Decoder({ useRecords: true, mapsAsObjects: true });
 
-/** One value as a frame. */
+/** Encodes a value as a frame. */
 export function encodeFrame(value: unknown): Buffer {
   const body = encoder.encode(value);
   const frame = Buffer.allocUnsafe(LENGTH_BYTES + body.length);
@@ -17,36 +17,36 @@
   return frame;
 }
 
-const encoded = new WeakMap<object, Buffer>();
+const frameByMessage = new WeakMap<object, Buffer>();
 
-/** The frame of a message that goes to several peers; encoded once. */
-export function encodeShared(message: object): Buffer {
-  const known = encoded.get(message);
-  if (known !== undefined) return known;
+/** Encodes a message that is sent to several peers. Encodes each message object only once. */
+export function encodeFrameCached(message: object): Buffer {
+  const cachedFrame = frameByMessage.get(message);
+  if (cachedFrame !== undefined) return cachedFrame;
   const frame = encodeFrame(message);
-  encoded.set(message, frame);
+  frameByMessage.set(message, frame);
   return frame;
 }
 
-/** Collects bytes and gives out whole values. */
+/** Collects received bytes and decodes complete frames. */
 export interface FrameReader {
-  /** Returns the values that are complete, or `undefined` when the bytes are no frames. */
+  /** Returns the values of complete frames, or `undefined` if a frame is too long or invalid. */
   push: (chunk: Buffer, maxBytes?: number) => unknown[] | undefined;
 }
 
-/** Returns a reader that keeps an unfinished frame from chunk to chunk. */
+/** Returns a reader that buffers an incomplete frame until its remaining bytes arrive. */
 export function createFrameReader(): FrameReader {
-  let rest: Buffer = Buffer.alloc(0);
+  let buffered: Buffer = Buffer.alloc(0);
   return {
     push(chunk, maxBytes = MAX_FRAME_BYTES) {
-      rest = rest.length === 0 ? chunk : Buffer.concat([rest, chunk]);
+      buffered = buffered.length === 0 ? chunk : Buffer.concat([buffered, chunk]);
       const values: unknown[] = [];
-      while (rest.length >= LENGTH_BYTES) {
-        const length = rest.readUInt32BE(0);
+      while (buffered.length >= LENGTH_BYTES) {
+        const length = buffered.readUInt32BE(0);
         if (length > maxBytes) return undefined;
-        if (rest.length < LENGTH_BYTES + length) break;
-        const body = rest.subarray(LENGTH_BYTES, LENGTH_BYTES + length);
-        rest = rest.subarray(LENGTH_BYTES + length);
+        if (buffered.length < LENGTH_BYTES + length) break;
+        const body = buffered.subarray(LENGTH_BYTES, LENGTH_BYTES + length);
+        buffered = buffered.subarray(LENGTH_BYTES + length);
         try {
           values.push(decoder.decode(body));
         } catch {
--- a/packages/reedlug/src/peers/peerLink.ts
+++ b/packages/reedlug/src/peers/peerLink.ts
@@ -1,18 +1,19 @@
 /**
- * Peer link: one outgoing TCP connection to each peer for what this box says,
- * and incoming ones for what it hears. A stranger or garbage is closed and
- * counted; the process goes on.
+ * Peer link between boxes. Each box opens one TCP connection to each peer to send its messages
+ * and receives messages over the connections that the peers open. A connection that fails the
+ * handshake or sends invalid frames is closed and reported to `onRejected`; the process keeps
+ * running.
  */
 import { createServer, connect, type Server, type Socket } from 'node:net';
 import * as tls from 'node:tls';
 import type { PeerMessage } from 'reedlug-decisions';
-import { createFrameReader, encodeFrame, encodeShared } from './frames.js';
+import { createFrameReader, encodeFrame, encodeFrameCached } from './frames.js';
 import {
   createHello,
   createProof,
   isHello,
   isProof,
-  proofFits,
+  isProofValid,
   type Hello,
   type Side,
 } from './handshake.js';
@@ -25,7 +26,7 @@
   ca: string;
 }
 
-/** What a peer link needs. */
+/** Options of a peer link. */
 export interface PeerLinkOptions {
   boxId: string;
   /** Address to listen on, `ip:port`. */
@@ -34,10 +35,10 @@
   secret: string;
   tls: PeerTls | undefined;
   onMessage: (from: string, message: PeerMessage) => void;
-  /** Told of each connection that was refused, with the reason. */
+  /** Called with the reason for each connection that was refused. */
   onRejected: (reason: string) => void;
-  /** For tests of cuts: true while nothing passes between this box and a peer. */
-  isCut: (boxId: string) => boolean;
+  /** Simulates a network partition: returns true while messages to and from a peer are dropped. */
+  isPartitioned: (boxId: string) => boolean;
 }
 
 /** A running peer link. */
@@ -48,12 +49,13 @@
 }
 
 const HANDSHAKE_TIMEOUT_MS = 2000;
-const HANDSHAKE_MAX_BYTES = 1024;
-const RECONNECT_MS = 300;
-/** Messages kept for a peer whose connection is being made. */
-const PENDING_LIMIT = 256;
-/** A peer that takes nothing is dropped at this many bytes waiting. */
-const BACKLOG_BYTES = 8 * 1024 * 1024;
+/** Maximum size of the hello, which is read before the other side is authenticated, in bytes. */
+const MAX_HELLO_BYTES = 1024;
+const RECONNECT_DELAY_MS = 300;
+/** Maximum number of messages that are queued while the connection to a peer is being opened. */
+const MAX_PENDING_MESSAGES = 256;
+/** The connection to a peer that stops reading is closed at this number of unsent bytes. */
+const MAX_BACKLOG_BYTES = 8 * 1024 * 1024;
 
 interface Outgoing {
   address: string;
@@ -63,7 +65,7 @@
   retryAtMs: number;
 }
 
-/** Starts a peer link; resolves once it listens. */
+/** Starts a peer link. Resolves once it is listening. */
 export async function startPeerLink(options: PeerLinkOptions): Promise<PeerLink> {
   const incoming = new Set<Socket>();
   const outgoing = new Map<string, Outgoing>();
@@ -80,7 +82,8 @@
     port,
     send(boxId, message) {
       const peer = outgoing.get(boxId);
-      if (peer !== undefined && !options.isCut(boxId)) sendTo(options, boxId, peer, message);
+      if (peer !== undefined && !options.isPartitioned(boxId))
+        sendToPeer(options, boxId, peer, message);
     },
     close: async () => {
       for (const socket of incoming) socket.destroy();
@@ -117,22 +120,27 @@
 }
 
 function serveIncoming(options: PeerLinkOptions, socket: Socket): void {
-  handshake(options, socket, 'listener', undefined, (other, reader, rest) => {
-    const take = (values: unknown[] | undefined): void => {
+  runHandshake(options, socket, 'listener', undefined, (other, reader, earlyValues) => {
+    const receiveValues = (values: unknown[] | undefined): void => {
       if (values === undefined) {
         options.onRejected('garbage');
         socket.destroy();
         return;
       }
-      for (const value of values) takeValue(options, socket, other.boxId, value);
+      for (const value of values) receiveValue(options, socket, other.boxId, value);
     };
-    take(rest);
-    socket.on('data', (chunk: Buffer) => take(reader.push(chunk)));
+    receiveValues(earlyValues);
+    socket.on('data', (chunk: Buffer) => receiveValues(reader.push(chunk)));
   });
 }
 
-function takeValue(options: PeerLinkOptions, socket: Socket, from: string, value: unknown): void {
-  if (options.isCut(from)) return;
+function receiveValue(
+  options: PeerLinkOptions,
+  socket: Socket,
+  from: string,
+  value: unknown,
+): void {
+  if (options.isPartitioned(from)) return;
   if (isPeerMessage(value)) {
     options.onMessage(from, value);
     return;
@@ -143,13 +151,16 @@
 
 type Reader = ReturnType<typeof createFrameReader>;
 
-/** Runs the handshake; `onDone` gets the other side, the reader, and values that came early. */
-function handshake(
+/**
+ * Runs the handshake. `onDone` gets the hello of the other side, the frame reader, and the values
+ * that arrived in the same chunk as the proof.
+ */
+function runHandshake(
   options: PeerLinkOptions,
   socket: Socket,
   side: Side,
   expectedId: string | undefined,
-  onDone: (other: Hello, reader: Reader, rest: unknown[]) => void,
+  onDone: (other: Hello, reader: Reader, earlyValues: unknown[]) => void,
 ): void {
   const own = createHello(options.boxId);
   const reader = createFrameReader();
@@ -165,8 +176,8 @@
   socket.on('close', () => clearTimeout(timer));
   socket.write(encodeFrame(own));
   const onData = (chunk: Buffer): void => {
-    // Messages may follow the proof at once, so only the hello is held to the small size.
-    const values = reader.push(chunk, other === undefined ? HANDSHAKE_MAX_BYTES : undefined);
+    // Messages can follow the proof in the same chunk, so only the hello has the small limit.
+    const values = reader.push(chunk, other === undefined ? MAX_HELLO_BYTES : undefined);
     if (values === undefined) return reject('garbage');
     while (values.length > 0) {
       const value = values.shift();
@@ -178,7 +189,7 @@
         continue;
       }
       const { secret } = options;
-      if (!isProof(value) || !proofFits({ secret, side, own, other, proof: value })) {
+      if (!isProof(value) || !isProofValid({ secret, side, own, other, proof: value })) {
         return reject('proof');
       }
       clearTimeout(timer);
@@ -190,7 +201,7 @@
   socket.on('data', onData);
 }
 
-function sendTo(
+function sendToPeer(
   options: PeerLinkOptions,
   boxId: string,
   peer: Outgoing,
@@ -198,18 +209,19 @@
 ): void {
   const { socket } = peer;
   if (socket !== undefined && peer.ready) {
-    if (socket.writableLength > BACKLOG_BYTES) socket.destroy();
-    else socket.write(encodeShared(message));
+    if (socket.writableLength > MAX_BACKLOG_BYTES) socket.destroy();
+    else socket.write(encodeFrameCached(message));
     return;
   }
-  // A heartbeat says how things are now; an old one is worth nothing.
-  if (message.kind !== 'heartbeat' && peer.pending.length < PENDING_LIMIT) {
+  // A heartbeat describes the current state, so a queued one would be outdated when it is sent.
+  if (message.kind !== 'heartbeat' && peer.pending.length < MAX_PENDING_MESSAGES) {
     peer.pending.push(message);
   }
-  if (socket === undefined && performance.now() >= peer.retryAtMs) open(options, boxId, peer);
+  if (socket === undefined && performance.now() >= peer.retryAtMs)
+    openConnection(options, boxId, peer);
 }
 
-function open(options: PeerLinkOptions, boxId: string, peer: Outgoing): void {
+function openConnection(options: PeerLinkOptions, boxId: string, peer: Outgoing): void {
   const { host, port } = splitAddress(peer.address);
   const socket =
     options.tls === undefined
@@ -219,9 +231,9 @@
   socket.on('close', () => {
     peer.socket = undefined;
     peer.ready = false;
-    peer.retryAtMs = performance.now() + RECONNECT_MS;
+    peer.retryAtMs = performance.now() + RECONNECT_DELAY_MS;
   });
-  handshake(options, socket, 'opener', boxId, () => {
+  runHandshake(options, socket, 'opener', boxId, () => {
     peer.ready = true;
     for (const message of peer.pending.splice(0)) socket.write(encodeFrame(message));
   });
--- a/packages/reedlug/src/peers/peerMessages.ts
+++ b/packages/reedlug/src/peers/peerMessages.ts
@@ -1,8 +1,8 @@
-/** Shape check of what arrives over the peer link. */
+/** Validation of the messages that are received over the peer link. */
 import type { PeerMessage } from 'reedlug-decisions';
 
-/** The fields that each kind of message must have, by type. */
-const SHAPES: { [K in PeerMessage['kind']]: Readonly<Record<string, string>> } = {
+/** Required fields and their types for each kind of message. */
+const FIELD_TYPES: { [K in PeerMessage['kind']]: Readonly<Record<string, string>> } = {
   heartbeat: {
     incarnation: 'number',
     zone: 'string',
@@ -21,14 +21,14 @@
   handoverTaken: { requestId: 'string' },
 };
 
-/** True for a value with the fields of its kind of message. */
+/** Returns true if a value has the required fields of its kind of message. */
 export function isPeerMessage(value: unknown): value is PeerMessage {
   if (typeof value !== 'object' || value === null) return false;
   const message = value as Record<string, unknown>;
   const { kind } = message;
-  if (typeof kind !== 'string' || !Object.hasOwn(SHAPES, kind)) return false;
-  const shape = SHAPES[kind as PeerMessage['kind']];
-  return Object.entries(shape).every(([field, type]) => typeOf(message[field]) === type);
+  if (typeof kind !== 'string' || !Object.hasOwn(FIELD_TYPES, kind)) return false;
+  const fieldTypes = FIELD_TYPES[kind as PeerMessage['kind']];
+  return Object.entries(fieldTypes).every(([field, type]) => typeOf(message[field]) === type);
 }
 
 function typeOf(value: unknown): string {
--- a/packages/reedlug/src/plans/intentValidation.ts
+++ b/packages/reedlug/src/plans/intentValidation.ts
@@ -1,12 +1,12 @@
-/** Validation of an intent document, from YAML or JSON. Times carry their time zone. */
+/** Validation of an intent document from YAML or JSON. Times must state their time zone. */
 import { z } from 'zod';
 import type { Intent } from 'reedlug-decisions';
 
-/** A checked intent, or every fault. */
+/** A validated intent, or all faults of the document. */
 export type IntentResult =
   { kind: 'valid'; intent: Intent } | { kind: 'invalid'; faults: string[] };
 
-/** A point in time with its offset, such as 2026-12-02T20:00:00+07:00. */
+/** A point in time with its UTC offset, such as 2026-12-02T20:00:00+07:00. */
 const pointInTime = z
   .string()
   .refine((text) => /(Z|[+-]\d{2}:\d{2})$/.test(text), 'must state its time zone, such as +07:00')
@@ -16,7 +16,7 @@
   )
   .transform((text) => Date.parse(text));
 
-const limits = {
+const limitFields = {
   requestsPerSecond: z.number(),
   burst: z.number(),
   maxQueued: z.number().default(500),
@@ -28,9 +28,9 @@
     kind: z.literal('createWorkspace'),
     workspaceId: z.string(),
     keySha256: z.string(),
-    ...limits,
+    ...limitFields,
   }),
-  z.strictObject({ kind: z.literal('setLimits'), workspaceId: z.string(), ...limits }),
+  z.strictObject({ kind: z.literal('setLimits'), workspaceId: z.string(), ...limitFields }),
   z.strictObject({
     kind: z.literal('createService'),
     service: z.string(),
@@ -64,7 +64,7 @@
   }),
 ]);
 
-/** Checks a document. */
+/** Validates an intent document. */
 export function parseIntent(document: unknown): IntentResult {
   const parsed = intentSchema.safeParse(document);
   if (!parsed.success) {
--- a/packages/reedlug/src/plans/planShape.ts
+++ b/packages/reedlug/src/plans/planShape.ts
@@ -1,7 +1,7 @@
-/** Shape of a plan as it comes back for confirmation; its digest guards its content. */
+/** Checks that a plan sent for confirmation has all fields. Its digest protects their content. */
 import type { Plan } from 'reedlug-decisions';
 
-const FIELDS: readonly (keyof Plan)[] = [
+const REQUIRED_FIELDS: readonly (keyof Plan)[] = [
   'planId',
   'operatorId',
   'intent',
@@ -12,10 +12,12 @@
   'digest',
 ];
 
-/** True for a value with the fields of a plan. */
+/** Returns true if a value has the fields of a plan. */
 export function isPlan(value: unknown): value is Plan {
   if (typeof value !== 'object' || value === null) return false;
   const plan = value as Record<string, unknown>;
-  const lists = ['steps', 'changes', 'undo', 'basis'].every((field) => Array.isArray(plan[field]));
-  return lists && FIELDS.every((field) => plan[field] !== undefined);
+  const hasArrays = ['steps', 'changes', 'undo', 'basis'].every((field) =>
+    Array.isArray(plan[field]),
+  );
+  return hasArrays && REQUIRED_FIELDS.every((field) => plan[field] !== undefined);
 }
--- a/packages/reedlug/src/platform/platformClients.ts
+++ b/packages/reedlug/src/platform/platformClients.ts
@@ -1,23 +1,27 @@
-/** Clients of the platform: table, object store, cloud, box list and notices, weight store. */
+/** Clients of the platform's services: table, object store, cloud and box list. */
 import type { ConfigSnapshot, TableAnswer, TableOp, TableRow } from 'reedlug-coordination';
 import type { CommandResult, BoxListEntry, CloudRequest } from 'reedlug-decisions';
 import type { Settings } from '../settings/settingsTypes.js';
-import { createPlatformCaller, type PlatformAnswer, type PlatformCaller } from './platformCall.js';
+import {
+  createPlatformServiceClient,
+  type PlatformAnswer,
+  type PlatformServiceClient,
+} from './platformServiceClient.js';
 
-/** A reclaim notice of the cloud. */
+/** Notice of the cloud that it will reclaim a box. */
 export interface ReclaimNotice {
-  /** Grows with each notice. */
+  /** Increases with each notice. */
   sequence: number;
   boxId: string;
   incarnation: number;
-  /** Ms from now until the box goes. */
+  /** Time until the box is reclaimed, in ms. */
   leavesInMs: number;
 }
 
-/** What the entry daemon asks of the platform. */
+/** Operations of the platform that the entry daemon uses. */
 export interface PlatformClients {
   table: (op: TableOp) => Promise<TableAnswer>;
-  cloud: (ask: CloudRequest) => Promise<CommandResult>;
+  cloud: (request: CloudRequest) => Promise<CommandResult>;
   boxList: () => Promise<readonly BoxListEntry[] | undefined>;
   notices: (afterSequence: number) => Promise<readonly ReclaimNotice[]>;
   writeSnapshot: (snapshot: ConfigSnapshot) => Promise<void>;
@@ -28,27 +32,27 @@
 const SNAPSHOT_PATH = '/v1/objects/config-snapshot';
 const STATUS_CONFLICT = 409;
 
-/** Returns clients for the addresses of the settings. */
+/** Returns clients for the addresses in the settings. */
 export function createPlatformClients(
   platform: Settings['platform'],
-  isCut: () => boolean,
+  isPartitioned: () => boolean,
 ): PlatformClients {
   const { timeoutMs, requestsPerSecond } = platform;
-  const caller = (url: string): PlatformCaller =>
-    createPlatformCaller({ url, timeoutMs, requestsPerSecond, isCut });
-  const table = caller(platform.tableUrl);
-  const objects = caller(platform.objectStoreUrl);
-  const cloud = caller(platform.cloudUrl);
-  const boxes = caller(platform.boxListUrl);
-  const all = [table, objects, cloud, boxes];
+  const createClient = (url: string): PlatformServiceClient =>
+    createPlatformServiceClient({ url, timeoutMs, requestsPerSecond, isPartitioned });
+  const table = createClient(platform.tableUrl);
+  const objects = createClient(platform.objectStoreUrl);
+  const cloud = createClient(platform.cloudUrl);
+  const boxes = createClient(platform.boxListUrl);
+  const clients = [table, objects, cloud, boxes];
   return {
     table: async (op) =>
-      tableAnswer(
+      toTableAnswer(
         await table.call<{ rows: TableRow[] }>({ method: 'POST', path: '/v1/table', body: op }),
       ),
-    cloud: async (ask) =>
-      askAnswer(
-        await cloud.call<{ error?: string }>({ method: 'POST', path: '/v1/boxes', body: ask }),
+    cloud: async (request) =>
+      toCommandResult(
+        await cloud.call<{ error?: string }>({ method: 'POST', path: '/v1/boxes', body: request }),
       ),
     boxList: async () => {
       const answer = await boxes.call<BoxListEntry[]>({ method: 'GET', path: '/v1/boxes' });
@@ -67,12 +71,12 @@
       return answer.kind === 'done' ? answer.body : undefined;
     },
     close: async () => {
-      await Promise.all(all.map((client) => client.close()));
+      await Promise.all(clients.map((client) => client.close()));
     },
   };
 }
 
-function tableAnswer(answer: PlatformAnswer<{ rows: TableRow[] }>): TableAnswer {
+function toTableAnswer(answer: PlatformAnswer<{ rows: TableRow[] }>): TableAnswer {
   switch (answer.kind) {
     case 'done':
       return { kind: 'done', rows: answer.body.rows };
@@ -86,7 +90,7 @@
   }
 }
 
-function askAnswer(answer: PlatformAnswer<{ error?: string }>): CommandResult {
+function toCommandResult(answer: PlatformAnswer<{ error?: string }>): CommandResult {
   switch (answer.kind) {
     case 'done':
       return { kind: 'done' };
--- a/packages/reedlug/src/platform/platformCall.ts
+++ b/packages/reedlug/src/platform/platformServiceClient.ts
@@ -1,6 +1,6 @@
 /**
- * Calls to the platform: each with a time-out, a rate limit and a breaker, and
- * a three-way answer. An answer that does not come is `unknown`, never a failure.
+ * Calls to the platform, with a time-out, a rate limit and a circuit breaker. A call without an
+ * answer gives `unknown`, not a failure, because the platform may have carried it out.
  */
 import { Pool } from 'undici';
 import {
@@ -10,24 +10,24 @@
   createTokenBucket,
   takeTokens,
 } from 'reedlug-coordination';
-import { neverConnected } from '../backends/httpErrors.js';
+import { failedToConnect } from '../backends/httpErrors.js';
 
-/** The three-way answer. `refused` means that the platform did not carry it out. */
+/** Result of a call. `refused` means that the platform did not carry the call out. */
 export type PlatformAnswer<T> =
   | { kind: 'done'; body: T }
   | { kind: 'refused'; status: number; body: T | undefined }
   | { kind: 'unknown' };
 
 /** Options of one platform client. */
-export interface PlatformCallerOptions {
+export interface PlatformServiceClientOptions {
   url: string;
   timeoutMs: number;
   requestsPerSecond: number;
-  /** For tests of cuts: true while nothing reaches the platform. */
-  isCut: () => boolean;
+  /** Simulates a network partition: returns true while no call reaches the platform. */
+  isPartitioned: () => boolean;
 }
 
-/** One call. */
+/** A request to the platform. */
 export interface PlatformRequest {
   method: 'GET' | 'POST' | 'PUT';
   path: string;
@@ -35,33 +35,35 @@
 }
 
 /** A client of one platform service. */
-export interface PlatformCaller {
+export interface PlatformServiceClient {
   call: <T>(request: PlatformRequest) => Promise<PlatformAnswer<T>>;
   close: () => Promise<void>;
 }
 
-const FAILURES_TO_OPEN = 5;
-const OPEN_FOR_MS = 1000;
-const STATUS_REFUSED_FROM = 400;
-const STATUS_FAILED_FROM = 500;
-/** Status told when the rate limit or the breaker kept the call back: nothing was sent. */
-const STATUS_KEPT_BACK = 429;
+const FAILURES_TO_OPEN_BREAKER = 5;
+const BREAKER_OPEN_MS = 1000;
+const MIN_REFUSED_STATUS = 400;
+const MIN_FAILED_STATUS = 500;
+/** Status of a call that the rate limit or the circuit breaker rejected before it was sent. */
+const STATUS_NOT_SENT = 429;
 const JSON_HEADERS = { 'content-type': 'application/json' };
 
-/** Returns a client. */
-export function createPlatformCaller(options: PlatformCallerOptions): PlatformCaller {
+/** Returns a client of one platform service. */
+export function createPlatformServiceClient(
+  options: PlatformServiceClientOptions,
+): PlatformServiceClient {
   const { timeoutMs, requestsPerSecond } = options;
   const pool = new Pool(options.url, { connections: 8, connect: { timeout: timeoutMs } });
-  const breaker = createBreaker(FAILURES_TO_OPEN, OPEN_FOR_MS);
+  const breaker = createBreaker(FAILURES_TO_OPEN_BREAKER, BREAKER_OPEN_MS);
   const bucket = createTokenBucket(requestsPerSecond, requestsPerSecond, performance.now());
-  const keptBack = { kind: 'refused', status: STATUS_KEPT_BACK, body: undefined } as const;
+  const notSent = { kind: 'refused', status: STATUS_NOT_SENT, body: undefined } as const;
   return {
     async call<T>(request: PlatformRequest): Promise<PlatformAnswer<T>> {
-      if (takeTokens(bucket, 1, performance.now()) > 0) return keptBack;
-      if (!breakerAllows(breaker, performance.now())) return keptBack;
-      const answer = options.isCut()
-        ? await afterTimeout(timeoutMs)
-        : await send<T>(pool, request, timeoutMs);
+      if (takeTokens(bucket, 1, performance.now()) > 0) return notSent;
+      if (!breakerAllows(breaker, performance.now())) return notSent;
+      const answer = options.isPartitioned()
+        ? await unknownAfterTimeout(timeoutMs)
+        : await sendRequest<T>(pool, request, timeoutMs);
       recordBreakerResult(breaker, answer.kind !== 'unknown', performance.now());
       return answer;
     },
@@ -69,14 +71,14 @@
   };
 }
 
-async function afterTimeout(timeoutMs: number): Promise<{ kind: 'unknown' }> {
+async function unknownAfterTimeout(timeoutMs: number): Promise<{ kind: 'unknown' }> {
   await new Promise((resolve) => {
     setTimeout(resolve, timeoutMs).unref();
   });
   return { kind: 'unknown' };
 }
 
-async function send<T>(
+async function sendRequest<T>(
   pool: Pool,
   request: PlatformRequest,
   timeoutMs: number,
@@ -91,15 +93,15 @@
       bodyTimeout: timeoutMs,
     });
     const { statusCode } = response;
-    if (statusCode >= STATUS_FAILED_FROM) {
+    if (statusCode >= MIN_FAILED_STATUS) {
       await response.body.dump();
       return { kind: 'unknown' };
     }
     const body = (await response.body.json()) as T;
-    if (statusCode >= STATUS_REFUSED_FROM) return { kind: 'refused', status: statusCode, body };
+    if (statusCode >= MIN_REFUSED_STATUS) return { kind: 'refused', status: statusCode, body };
     return { kind: 'done', body };
   } catch (error) {
-    if (neverConnected(error)) return { kind: 'refused', status: 0, body: undefined };
+    if (failedToConnect(error)) return { kind: 'refused', status: 0, body: undefined };
     return { kind: 'unknown' };
   }
 }
--- a/packages/reedlug/src/settings/settingsSchema.ts
+++ b/packages/reedlug/src/settings/settingsSchema.ts
@@ -1,4 +1,4 @@
-/** The shape of the settings file, with the defaults beside the checks. */
+/** Schema of the settings file, with the default of each key. */
 import { z } from 'zod';
 import { DEFAULT_CONTROL, DEFAULT_POLICY, RequestClass } from 'reedlug-decisions';
 
@@ -7,33 +7,35 @@
   .regex(/^[a-z0-9][a-z0-9.-]{0,62}$/i, 'must be 1 to 63 letters, digits, dots and dashes');
 const ipPort = z
   .string()
-  .regex(/^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$/, 'must be an IP number and port such as 10.0.0.5:8080');
+  .regex(/^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$/, 'must be an IP address and port such as 10.0.0.5:8080');
 const url = z.string().regex(/^https?:\/\/[^/]+/, 'must be a URL such as http://10.0.0.7:8000');
 const sha256 = z
   .string()
   .regex(/^[0-9a-f]{64}$/, 'must be the SHA-256 of the key in hex; see reedlug settings hash-key');
 const positive = z.number().positive();
-const ms = z.number().nonnegative();
-const count = z.number().int().positive();
+const nonNegative = z.number().nonnegative();
+const positiveInteger = z.number().int().positive();
 const requestClass = z.enum([RequestClass.urgent, RequestClass.patient]);
 
-/** An optional section whose keys default one by one. */
+/** Returns the schema of an optional section in which each key has its own default. */
 function withDefaults<T extends object>(
   defaults: T,
   shape: { [K in keyof T]: z.ZodType<T[K]> },
 ): z.ZodType<T> {
-  const withEach = Object.fromEntries(
+  const shapeWithDefaults = Object.fromEntries(
     Object.entries(shape).map(([key, type]) => [
       key,
       (type as z.ZodType).default(defaults[key as keyof T] as never),
     ]),
   );
-  return z.strictObject(withEach).default(defaults as never) as unknown as z.ZodType<T>;
+  return z.strictObject(shapeWithDefaults).default(defaults as never) as unknown as z.ZodType<T>;
 }
 
 const weights = z.strictObject({
-  recomputePerThousandTokens: ms.default(DEFAULT_POLICY.weights.recomputePerThousandTokens),
-  waitPerSecond: ms.default(DEFAULT_POLICY.weights.waitPerSecond),
+  recomputePerThousandTokens: nonNegative.default(
+    DEFAULT_POLICY.weights.recomputePerThousandTokens,
+  ),
+  waitPerSecond: nonNegative.default(DEFAULT_POLICY.weights.waitPerSecond),
 });
 
 const policy = withDefaults(DEFAULT_POLICY, {
@@ -46,11 +48,11 @@
   routeOverSite: z.boolean(),
   weights,
   urgentReservedSlots: z.number().int().nonnegative(),
-  patientFloorEvery: count,
-  longestHoldMs: ms,
+  patientFloorEvery: positiveInteger,
+  longestHoldMs: nonNegative,
   engineQueueAllowance: z.number().int().nonnegative(),
-  retryShare: ms,
-  retryCapacity: count,
+  retryShare: nonNegative,
+  retryCapacity: positiveInteger,
   retryBaseMs: positive,
   retryCapMs: positive,
   secondTryAfterMs: positive,
@@ -60,7 +62,7 @@
   prefillTokensPerMs: positive,
   interTokenMs: positive,
   kvTokensPerMs: positive,
-  crossZoneMs: ms,
+  crossZoneMs: nonNegative,
 });
 
 const control = withDefaults(
@@ -71,12 +73,12 @@
 );
 
 const callerLimits = z.strictObject({
-  maxBodyBytes: count.default(1_048_576),
-  maxHeaderBytes: count.default(16_384),
+  maxBodyBytes: positiveInteger.default(1_048_576),
+  maxHeaderBytes: positiveInteger.default(16_384),
   headersTimeoutMs: positive.default(5000),
   requestTimeoutMs: positive.default(30_000),
-  maxTokensDefault: count.default(256),
-  maxTokensLimit: count.default(16_384),
+  maxTokensDefault: positiveInteger.default(256),
+  maxTokensLimit: positiveInteger.default(16_384),
   deadlineDefaultMs: positive.default(120_000),
   urgentDeadlineDefaultMs: positive.default(5000),
   deadlineLimitMs: positive.default(3_600_000),
@@ -95,16 +97,16 @@
 });
 
 const standins = z.strictObject({
-  /** Time that one way between zones takes. */
-  zoneLatencyMs: ms.default(1.5),
-  kvCapacityTokens: count.default(120_000),
+  /** One-way network latency between zones. */
+  zoneLatencyMs: nonNegative.default(1.5),
+  kvCapacityTokens: positiveInteger.default(120_000),
   prefillTokensPerMs: positive.default(8),
   interTokenMs: positive.default(25),
-  crowding: ms.default(0.5),
-  serviceAnswerMs: ms.default(5),
+  crowding: nonNegative.default(0.5),
+  serviceAnswerMs: nonNegative.default(5),
 });
 
-/** The whole file. */
+/** Schema of the whole file. */
 export const settingsSchema = z.strictObject({
   box: name.optional(),
   deployment: name,
@@ -122,7 +124,7 @@
       zone: name,
       model: name,
       version: z.string().default(''),
-      slots: count,
+      slots: positiveInteger,
       address: url,
       machineClass: name.default('standard'),
       reclaimable: z.boolean(),
@@ -135,7 +137,7 @@
         id: name,
         zone: name,
         service: name,
-        slots: count.default(64),
+        slots: positiveInteger.default(64),
         address: url,
       }),
     )
@@ -159,7 +161,7 @@
         keySha256: sha256,
         requestsPerSecond: positive,
         burst: positive,
-        maxQueued: count.default(500),
+        maxQueued: positiveInteger.default(500),
         requestClass: requestClass.optional(),
       }),
     )
@@ -172,7 +174,7 @@
         zone: name,
         reclaimable: z.boolean(),
         pricePerHour: positive,
-        reclaimsPerHour: ms,
+        reclaimsPerHour: nonNegative,
       }),
     )
     .default([]),
@@ -181,9 +183,9 @@
       z.strictObject({
         model: name,
         version: z.string().default(''),
-        slotsPerEngine: count,
-        minEngines: count,
-        maxEngines: count,
+        slotsPerEngine: positiveInteger,
+        minEngines: positiveInteger,
+        maxEngines: positiveInteger,
         onDemandFloor: z.number().int().nonnegative(),
         checksFence: z.boolean().default(true),
       }),
@@ -193,7 +195,11 @@
   control,
   callers: callerLimits.prefault({}),
   metrics: z
-    .strictObject({ host: z.string(), port: count, prefix: z.string().default('reedlug.') })
+    .strictObject({
+      host: z.string(),
+      port: positiveInteger,
+      prefix: z.string().default('reedlug.'),
+    })
     .optional(),
   standins: standins.prefault({}),
 });
