--- a/packages/reedlug-simulator/src/__tests__/sceneValidation.test.ts
+++ b/packages/reedlug-simulator/src/__tests__/sceneValidation.test.ts
@@ -4,11 +4,11 @@
 import { fileURLToPath } from 'node:url';
 import { expect } from 'chai';
 import { readSceneFile } from '../scene/readSceneFile.js';
-import { validateScene, type SceneFault } from '../scene/sceneValidation.js';
+import { validateScene, type SceneFileError } from '../scene/sceneValidation.js';
 
 const LARGE = fileURLToPath(new URL('../../../../scenes/large.yaml', import.meta.url));
 
-function faultsOf(change: (text: string) => string): SceneFault[] {
+function faultsOf(change: (text: string) => string): SceneFileError[] {
   const read = validateScene(change(readFileSync(LARGE, 'utf8')));
   return read.kind === 'faulty' ? read.faults : [];
 }
--- a/packages/reedlug-simulator/src/index.ts
+++ b/packages/reedlug-simulator/src/index.ts
@@ -1,14 +1,14 @@
 /** A whole fleet of gateway boxes in one process under virtual time. */
-export { drawCopies } from './scene/drawCopies.js';
+export { generateStoreRestores as drawCopies } from './scene/drawCopies.js';
 export * from './scene/drawCrashTroubles.js';
 export * from './scene/drawLimitTroubles.js';
 export * from './scene/drawRollout.js';
-export { drawServerLimits } from './scene/drawServerLimits.js';
+export { generateServerLimits as drawServerLimits } from './scene/drawServerLimits.js';
 export * from './scene/drawStatements.js';
 export * from './report/outcomes.js';
 export * from './report/sceneReport.js';
 export type { BrokenPromise, LogLine } from './report/sceneRecord.js';
 export * from './runScene.js';
 export type * from './scene/scene.js';
-export { readSceneFile, type SceneRead } from './scene/readSceneFile.js';
-export { validateScene, type SceneFault } from './scene/sceneValidation.js';
+export { readSceneFile, type SceneFileResult as SceneRead } from './scene/readSceneFile.js';
+export { validateScene, type SceneFileError as SceneFault } from './scene/sceneValidation.js';
--- a/packages/reedlug-simulator/src/scene/drawCopies.ts
+++ b/packages/reedlug-simulator/src/scene/drawCopies.ts
@@ -1,30 +1,34 @@
 /** Scenes drawn by seed: the store comes back from copies, and troubles around them. */
 import { hashString } from 'reedlug-coordination';
 import { createRandom, type Random } from 'reedlug-standins';
-import { drawTrouble } from './drawServerLimits.js';
+import { generateFault } from './drawServerLimits.js';
 import type { Scene, SceneFaultSpec } from './scene.js';
 
 /** Copies, and troubles and changes beside them, in number of faults. */
-const COPIES = { least: 1, most: 3 };
-const BESIDE = { least: 1, most: 4 };
-const TROUBLES = { least: 0, most: 2 };
+const RESTORES_PER_SCENE = { least: 1, most: 3 };
+const CONCURRENT_FAULTS_PER_SCENE = { least: 1, most: 4 };
+const OTHER_FAULTS_PER_SCENE = { least: 0, most: 2 };
 /** Time from the first caller to the first copy at the earliest, and from the last one to the end, in s. */
 const QUIET_START_S = 5;
 const QUIET_END_S = 8;
 
 /** Replaces a scene's faults by drawn ones. */
-export function drawCopies(scene: Scene, seed: number): Scene {
+export function generateStoreRestores(scene: Scene, seed: number): Scene {
   const random = createRandom(hashString(`copies ${seed}`));
-  const draw = <T>(bounds: { least: number; most: number }, one: () => T): T[] =>
-    Array.from({ length: random.whole(bounds.least, bounds.most) }, one);
+  const generateList = <T>(bounds: { least: number; most: number }, generateOne: () => T): T[] =>
+    Array.from({ length: random.whole(bounds.least, bounds.most) }, generateOne);
   const atS = QUIET_START_S + random.unit() * (scene.lengthS - QUIET_START_S - QUIET_END_S);
-  const copies = draw(COPIES, () => drawCopy(random, atS + random.exponential(1.5)));
-  const beside = draw(BESIDE, () => drawBeside(random, atS));
-  const troubles = draw(TROUBLES, () => drawTrouble(random, scene));
-  return { ...scene, faults: [...copies, ...beside, ...troubles] };
+  const restores = generateList(RESTORES_PER_SCENE, () =>
+    generateRestore(random, atS + random.exponential(1.5)),
+  );
+  const concurrent = generateList(CONCURRENT_FAULTS_PER_SCENE, () =>
+    generateConcurrentFault(random, atS),
+  );
+  const others = generateList(OTHER_FAULTS_PER_SCENE, () => generateFault(random, scene));
+  return { ...scene, faults: [...restores, ...concurrent, ...others] };
 }
 
-function drawCopy(random: Random, atS: number): SceneFaultSpec {
+function generateRestore(random: Random, atS: number): SceneFaultSpec {
   return {
     kind: 'copyStore',
     atS,
@@ -36,8 +40,8 @@
 }
 
 /** What makes the lost seconds matter, a little before the copy or after it. */
-function drawBeside(random: Random, copyAtS: number): SceneFaultSpec {
-  const atS = Math.max(0.5, copyAtS - 5 + random.unit() * 8);
+function generateConcurrentFault(random: Random, restoreAtS: number): SceneFaultSpec {
+  const atS = Math.max(0.5, restoreAtS - 5 + random.unit() * 8);
   const downS = 0.2 + random.unit() * 3;
   const kinds: readonly SceneFaultSpec[] = [
     { kind: 'changeLimits', atS, factor: 0.8 + random.unit() },
--- a/packages/reedlug-simulator/src/scene/drawCrashTroubles.ts
+++ b/packages/reedlug-simulator/src/scene/drawCrashTroubles.ts
@@ -4,28 +4,29 @@
 import type { Scene, SceneFaultSpec } from './scene.js';
 
 /** Requests that crash their servers, and troubles beside, in number. */
-const CULPRITS = { least: 0, most: 2 };
-const TROUBLES = { least: 1, most: 4 };
+const CRASHING_REQUESTS_PER_SCENE = { least: 0, most: 2 };
+const OTHER_FAULTS_PER_SCENE = { least: 1, most: 4 };
 /** Bodies of a class whose requests are mostly alike. */
 const POPULAR_BODIES = { least: 1, most: 6 };
 
 /** Replaces a scene's faults by drawn ones, and gives some classes few bodies. */
-export function drawCrashTroubles(scene: Scene, seed: number): Scene {
+export function generateCrashFaults(scene: Scene, seed: number): Scene {
   const random = createRandom(hashString(`crashes ${seed}`));
   const classes = scene.classes.map((spec) =>
     random.chance(0.5)
       ? { ...spec, bodies: random.whole(POPULAR_BODIES.least, POPULAR_BODIES.most) }
       : spec,
   );
-  const culprits = Array.from({ length: random.whole(CULPRITS.least, CULPRITS.most) }, () =>
-    drawCulprit(random, scene),
+  const crashingRequests = Array.from(
+    { length: random.whole(CRASHING_REQUESTS_PER_SCENE.least, CRASHING_REQUESTS_PER_SCENE.most) },
+    () => generateCrashingRequests(random, scene),
   );
-  const count = random.whole(TROUBLES.least, TROUBLES.most);
-  const troubles = Array.from({ length: count }, () => drawTrouble(random, scene));
-  return { ...scene, classes, faults: [...culprits, ...troubles] };
+  const count = random.whole(OTHER_FAULTS_PER_SCENE.least, OTHER_FAULTS_PER_SCENE.most);
+  const others = Array.from({ length: count }, () => generateFault(random, scene));
+  return { ...scene, classes, faults: [...crashingRequests, ...others] };
 }
 
-function drawCulprit(random: Random, scene: Scene): SceneFaultSpec {
+function generateCrashingRequests(random: Random, scene: Scene): SceneFaultSpec {
   const atS = 1 + random.unit() * 6;
   return {
     kind: 'endingRequests',
@@ -41,7 +42,7 @@
   };
 }
 
-function drawTrouble(random: Random, scene: Scene): SceneFaultSpec {
+function generateFault(random: Random, scene: Scene): SceneFaultSpec {
   const atS = 1 + random.unit() * (scene.lengthS - 6);
   const forS = 1 + random.unit() * 8;
   const zone = scene.zones[random.whole(0, scene.zones.length - 1)] ?? '';
--- a/packages/reedlug-simulator/src/scene/drawLimitTroubles.ts
+++ b/packages/reedlug-simulator/src/scene/drawLimitTroubles.ts
@@ -4,23 +4,23 @@
 import type { Scene, SceneFaultSpec } from './scene.js';
 
 /** Faults drawn beside the hot workspace, in number. */
-const TROUBLES = { least: 1, most: 4 };
+const OTHER_FAULTS_PER_SCENE = { least: 1, most: 4 };
 
 /** Replaces a scene's faults by drawn ones. */
-export function drawLimitTroubles(scene: Scene, seed: number): Scene {
+export function generateLimitFaults(scene: Scene, seed: number): Scene {
   const random = createRandom(hashString(`limits ${seed}`));
-  const hot: SceneFaultSpec = {
+  const hotWorkspace: SceneFaultSpec = {
     kind: 'hotWorkspace',
     atS: random.unit() * 4,
     forS: 8 + random.unit() * scene.lengthS,
     factor: 3 + random.unit() * 7,
   };
-  const count = random.whole(TROUBLES.least, TROUBLES.most);
-  const troubles = Array.from({ length: count }, () => drawTrouble(random, scene));
-  return { ...scene, faults: [hot, ...troubles] };
+  const count = random.whole(OTHER_FAULTS_PER_SCENE.least, OTHER_FAULTS_PER_SCENE.most);
+  const others = Array.from({ length: count }, () => generateFault(random, scene));
+  return { ...scene, faults: [hotWorkspace, ...others] };
 }
 
-function drawTrouble(random: Random, scene: Scene): SceneFaultSpec {
+function generateFault(random: Random, scene: Scene): SceneFaultSpec {
   const atS = 1 + random.unit() * (scene.lengthS - 6);
   const forS = 1 + random.unit() * 11;
   const zone = scene.zones[random.whole(0, scene.zones.length - 1)] ?? '';
--- a/packages/reedlug-simulator/src/scene/drawRollout.ts
+++ b/packages/reedlug-simulator/src/scene/drawRollout.ts
@@ -10,10 +10,13 @@
 const DURATION_S = { least: 10, most: 18 };
 
 type RolloutSpec = Extract<SceneFaultSpec, { kind: 'rollout' }>;
-type Fault = Pick<RolloutSpec, 'failShare' | 'slowFactor' | 'badFromS' | 'badFromOpen' | 'class'>;
+type VersionFault = Pick<
+  RolloutSpec,
+  'failShare' | 'slowFactor' | 'badFromS' | 'badFromOpen' | 'class'
+>;
 
 /** A drawn roll-out. */
-export interface DrawnRollout {
+export interface GeneratedRollout {
   scene: Scene;
   isBad: boolean;
   /** How it is bad, and what goes wrong beside it; for the report. */
@@ -21,58 +24,62 @@
 }
 
 /** Draws a roll-out into a scene; `withTrouble` adds a fault beside it. */
-export function drawRollout(scene: Scene, seed: number, withTrouble: boolean): DrawnRollout {
+export function generateRollout(
+  scene: Scene,
+  seed: number,
+  withExtraFault: boolean,
+): GeneratedRollout {
   // Seeds that follow each other would draw alike at first.
   const random = createRandom(hashString(`rollout ${seed}`));
   const service = pick(random, scene.services).name;
   const durationS = random.whole(DURATION_S.least, DURATION_S.most);
-  const fault = drawFault(random, scene, service, durationS);
+  const versionFault = generateVersionFault(random, scene, service, durationS);
   const rollout: RolloutSpec = {
     kind: 'rollout',
     atS: ORDERED_AT_S,
     service,
     durationS,
     startS: 1 + random.unit() * 4,
-    ...fault.spec,
+    ...versionFault.spec,
   };
-  const trouble = withTrouble ? drawTrouble(random, scene, durationS) : undefined;
-  const faults = trouble === undefined ? [rollout] : [rollout, trouble];
+  const extraFault = withExtraFault ? generateExtraFault(random, scene, durationS) : undefined;
+  const faults = extraFault === undefined ? [rollout] : [rollout, extraFault];
   return {
     scene: { ...scene, faults },
     isBad: isBadVersion(rollout),
-    label: `${service} ${durationS}s ${fault.name}${trouble === undefined ? '' : ` ${trouble.kind}`}`,
+    label: `${service} ${durationS}s ${versionFault.name}${extraFault === undefined ? '' : ` ${extraFault.kind}`}`,
   };
 }
 
-function pick<T>(random: Random, things: readonly T[]): T {
-  const thing = things[random.whole(0, things.length - 1)];
-  if (thing === undefined) throw new Error('nothing to draw from');
-  return thing;
+function pick<T>(random: Random, choices: readonly T[]): T {
+  const choice = choices[random.whole(0, choices.length - 1)];
+  if (choice === undefined) throw new Error('nothing to draw from');
+  return choice;
 }
 
 /** Half of the versions are sound. */
-function drawFault(
+function generateVersionFault(
   random: Random,
   scene: Scene,
   service: string,
   durationS: number,
-): { name: string; spec: Fault } {
-  const sound: Fault = { failShare: 0, slowFactor: 1, badFromS: 0, badFromOpen: 0 };
+): { name: string; spec: VersionFault } {
+  const good: VersionFault = { failShare: 0, slowFactor: 1, badFromS: 0, badFromOpen: 0 };
   const failShare = 0.2 + random.unit() * 0.5;
   const slowFactor = 4 + random.unit() * 4;
   const routes = scene.classes.filter((spec) => spec.service === service);
   const bad = [
-    { name: 'fails', spec: { ...sound, failShare } },
-    { name: 'slow', spec: { ...sound, slowFactor } },
-    { name: 'failsLater', spec: { ...sound, failShare, badFromS: durationS * 0.6 } },
-    { name: 'slowLater', spec: { ...sound, slowFactor, badFromS: durationS * 0.6 } },
-    { name: 'failsUnderLoad', spec: { ...sound, failShare, badFromOpen: 2 } },
-    { name: 'failsOneRoute', spec: { ...sound, failShare, class: pick(random, routes).name } },
+    { name: 'fails', spec: { ...good, failShare } },
+    { name: 'slow', spec: { ...good, slowFactor } },
+    { name: 'failsLater', spec: { ...good, failShare, badFromS: durationS * 0.6 } },
+    { name: 'slowLater', spec: { ...good, slowFactor, badFromS: durationS * 0.6 } },
+    { name: 'failsUnderLoad', spec: { ...good, failShare, badFromOpen: 2 } },
+    { name: 'failsOneRoute', spec: { ...good, failShare, class: pick(random, routes).name } },
   ];
-  return random.chance(0.5) ? { name: 'sound', spec: sound } : pick(random, bad);
+  return random.chance(0.5) ? { name: 'sound', spec: good } : pick(random, bad);
 }
 
-function drawTrouble(random: Random, scene: Scene, durationS: number): SceneFaultSpec {
+function generateExtraFault(random: Random, scene: Scene, durationS: number): SceneFaultSpec {
   const atS = ORDERED_AT_S + random.unit() * durationS;
   const zone = pick(random, scene.zones);
   return pick<SceneFaultSpec>(random, [
--- a/packages/reedlug-simulator/src/scene/drawServerLimits.ts
+++ b/packages/reedlug-simulator/src/scene/drawServerLimits.ts
@@ -4,22 +4,24 @@
 import type { Scene, SceneFaultSpec } from './scene.js';
 
 /** Times at which servers begin to name limits, and troubles beside, in number. */
-const NAMINGS = { least: 1, most: 3 };
-const TROUBLES = { least: 0, most: 3 };
+const LIMIT_STATEMENTS_PER_SCENE = { least: 1, most: 3 };
+const OTHER_FAULTS_PER_SCENE = { least: 0, most: 3 };
 /** Limits that are named, in requests a second. */
-const LIMITS: readonly number[] = [0, 0.1, 0.4, 1, 1.2, 3, 8, 50];
+const LIMITS_PER_SECOND: readonly number[] = [0, 0.1, 0.4, 1, 1.2, 3, 8, 50];
 
 /** Replaces a scene's faults by drawn ones. */
-export function drawServerLimits(scene: Scene, seed: number): Scene {
+export function generateServerLimits(scene: Scene, seed: number): Scene {
   const random = createRandom(hashString(`server limits ${seed}`));
-  const draw = <T>(bounds: { least: number; most: number }, one: () => T): T[] =>
-    Array.from({ length: random.whole(bounds.least, bounds.most) }, one);
-  const namings = draw(NAMINGS, () => drawNaming(random, scene));
-  const troubles = draw(TROUBLES, () => drawTrouble(random, scene));
-  return { ...scene, faults: [...namings, ...troubles] };
+  const generateList = <T>(bounds: { least: number; most: number }, generateOne: () => T): T[] =>
+    Array.from({ length: random.whole(bounds.least, bounds.most) }, generateOne);
+  const limitStatements = generateList(LIMIT_STATEMENTS_PER_SCENE, () =>
+    generateLimitStatement(random, scene),
+  );
+  const others = generateList(OTHER_FAULTS_PER_SCENE, () => generateFault(random, scene));
+  return { ...scene, faults: [...limitStatements, ...others] };
 }
 
-function drawNaming(random: Random, scene: Scene): SceneFaultSpec {
+function generateLimitStatement(random: Random, scene: Scene): SceneFaultSpec {
   const atS = 1 + random.unit() * (scene.lengthS - 10);
   const service = scene.services[random.whole(0, scene.services.length - 1)]?.name ?? '';
   return {
@@ -28,14 +30,14 @@
     forS: 5 + random.unit() * (scene.lengthS - atS - 5),
     service,
     share: random.chance(0.2) ? 1 : 0.1 + random.unit() * 0.5,
-    perSecond: random.pick(LIMITS),
-    thenPerSecond: random.chance(0.4) ? random.pick(LIMITS) : undefined,
+    perSecond: random.pick(LIMITS_PER_SECOND),
+    thenPerSecond: random.chance(0.4) ? random.pick(LIMITS_PER_SECOND) : undefined,
     turnsDown: random.chance(0.3),
   };
 }
 
 /** Draws a trouble that may stand beside statements of servers. */
-export function drawTrouble(random: Random, scene: Scene): SceneFaultSpec {
+export function generateFault(random: Random, scene: Scene): SceneFaultSpec {
   const atS = 1 + random.unit() * (scene.lengthS - 6);
   const forS = 1 + random.unit() * 8;
   const zone = random.pick(scene.zones);
--- a/packages/reedlug-simulator/src/scene/readSceneFile.ts
+++ b/packages/reedlug-simulator/src/scene/readSceneFile.ts
@@ -3,16 +3,17 @@
 import { dirname, join } from 'node:path';
 import { parseDocument } from 'yaml';
 import type { Scene } from './scene.js';
-import { validateScene, type SceneFault } from './sceneValidation.js';
+import { validateScene, type SceneFileError } from './sceneValidation.js';
 
 /** Scenes that extend each other at most; more are a circle. */
-const MAX_DEPTH = 5;
+const MAX_EXTENDS_DEPTH = 5;
 
 /** A scene, or everything that is wrong with its file. */
-export type SceneRead = { kind: 'scene'; scene: Scene } | { kind: 'faulty'; faults: SceneFault[] };
+export type SceneFileResult =
+  { kind: 'scene'; scene: Scene } | { kind: 'faulty'; faults: SceneFileError[] };
 
 /** Reads and checks a scene's file. */
-export function readSceneFile(path: string): SceneRead {
+export function readSceneFile(path: string): SceneFileResult {
   const text = readText(path);
   if (text.kind === 'faulty') return text;
   const base = readBase(path, text.text, 1);
@@ -22,7 +23,7 @@
 
 function readText(
   path: string,
-): { kind: 'text'; text: string } | { kind: 'faulty'; faults: SceneFault[] } {
+): { kind: 'text'; text: string } | { kind: 'faulty'; faults: SceneFileError[] } {
   try {
     return { kind: 'text', text: readFileSync(path, 'utf8') };
   } catch (error) {
@@ -35,20 +36,22 @@
   path: string,
   text: string,
   depth: number,
-): { kind: 'fields'; fields: Record<string, unknown> } | { kind: 'faulty'; faults: SceneFault[] } {
-  const named = (parseDocument(text).toJS() as { extends?: unknown } | null)?.extends;
-  if (named === undefined) return { kind: 'fields', fields: {} };
-  if (typeof named !== 'string') return faulty('`extends` names a file');
-  if (depth > MAX_DEPTH) return faulty(`${named}: scenes extend each other in a circle`);
-  const basePath = join(dirname(path), named);
+):
+  | { kind: 'fields'; fields: Record<string, unknown> }
+  | { kind: 'faulty'; faults: SceneFileError[] } {
+  const baseName = (parseDocument(text).toJS() as { extends?: unknown } | null)?.extends;
+  if (baseName === undefined) return { kind: 'fields', fields: {} };
+  if (typeof baseName !== 'string') return faulty('`extends` names a file');
+  if (depth > MAX_EXTENDS_DEPTH) return faulty(`${baseName}: scenes extend each other in a circle`);
+  const basePath = join(dirname(path), baseName);
   const base = readText(basePath);
   if (base.kind === 'faulty') return base;
-  const further = readBase(basePath, base.text, depth + 1);
-  if (further.kind === 'faulty') return further;
+  const inherited = readBase(basePath, base.text, depth + 1);
+  if (inherited.kind === 'faulty') return inherited;
   const own = parseDocument(base.text).toJS() as Record<string, unknown>;
-  return { kind: 'fields', fields: { ...further.fields, ...own } };
+  return { kind: 'fields', fields: { ...inherited.fields, ...own } };
 }
 
-function faulty(message: string): { kind: 'faulty'; faults: SceneFault[] } {
+function faulty(message: string): { kind: 'faulty'; faults: SceneFileError[] } {
   return { kind: 'faulty', faults: [{ line: 1, field: '', message }] };
 }
--- a/packages/reedlug-simulator/src/scene/scene.ts
+++ b/packages/reedlug-simulator/src/scene/scene.ts
@@ -17,7 +17,7 @@
 export type PlainService = Extract<SceneService, { kind: 'plain' }>;
 
 /** Figures of one engine. */
-export type EngineFigures = EngineService['engine'];
+export type EngineParameters = EngineService['engine'];
 
 /** Something that goes wrong, or is done, at a time. */
 export type SceneFaultSpec = Scene['faults'][number];
--- a/packages/reedlug-simulator/src/scene/sceneValidation.ts
+++ b/packages/reedlug-simulator/src/scene/sceneValidation.ts
@@ -4,22 +4,22 @@
 import type { Scene } from './scene.js';
 
 const positive = z.number().positive();
-const notNegative = z.number().min(0);
+const nonNegative = z.number().min(0);
 const share = z.number().min(0).max(1);
 const count = z.number().int().positive();
-const size = z.strictObject({ mean: positive, spread: notNegative.default(0) });
+const size = z.strictObject({ mean: positive, spread: nonNegative.default(0) });
 
 const engineSchema = z.strictObject({
   slots: count,
   queue: count.default(100),
   kvTokens: count,
   stepMs: positive,
-  stepMsPerRun: notNegative.default(0),
+  stepMsPerRun: nonNegative.default(0),
   readTokensPerMs: positive,
-  readMsPerMillionPairs: notNegative.default(0),
+  readMsPerMillionPairs: nonNegative.default(0),
   chunkTokens: count.default(2048),
   tokensPerEvent: count.default(1),
-  firstMs: notNegative.default(0),
+  firstMs: nonNegative.default(0),
 });
 
 const serviceSchema = z.discriminatedUnion('kind', [
@@ -69,24 +69,24 @@
   workMs: size.optional(),
 });
 
-const at = { atS: notNegative };
-const span = { ...at, forS: positive };
+const startFields = { atS: nonNegative };
+const spanFields = { ...startFields, forS: positive };
 const faultSchema = z.discriminatedUnion('kind', [
-  z.strictObject({ kind: z.literal('killBoxes'), ...at, share, downS: positive }),
-  z.strictObject({ kind: z.literal('rollBoxes'), ...at, share, gapS: positive }),
-  z.strictObject({ kind: z.literal('cutZone'), ...span, zone: z.string() }),
+  z.strictObject({ kind: z.literal('killBoxes'), ...startFields, share, downS: positive }),
+  z.strictObject({ kind: z.literal('rollBoxes'), ...startFields, share, gapS: positive }),
+  z.strictObject({ kind: z.literal('cutZone'), ...spanFields, zone: z.string() }),
   z.strictObject({
     kind: z.literal('reclaimZone'),
-    ...at,
+    ...startFields,
     noticeS: positive,
-    dryS: notNegative,
+    dryS: nonNegative,
     zone: z.string().optional(),
   }),
-  z.strictObject({ kind: z.literal('crashEngines'), ...at, share, silent: z.boolean() }),
+  z.strictObject({ kind: z.literal('crashEngines'), ...startFields, share, silent: z.boolean() }),
   /** They come back under their ids with nothing of before. */
   z.strictObject({
     kind: z.literal('restartEngines'),
-    ...at,
+    ...startFields,
     share,
     downS: positive,
     /** Whether their entries tell when they were born. */
@@ -95,32 +95,32 @@
   /** Requests under which each server ends that runs them; they come again under other ids. */
   z.strictObject({
     kind: z.literal('endingRequests'),
-    ...span,
+    ...spanFields,
     class: z.string(),
     /** Different ones, and how many of each come at once. */
     count: count.default(1),
     copies: count.default(1),
     everyMs: positive.default(300),
     /** How long a server runs one before it ends, and how long it is away. */
-    runMs: notNegative.default(60),
+    runMs: nonNegative.default(60),
     downS: positive.default(2.5),
     tellsBirth: z.boolean().default(true),
   }),
   /** Servers in need name a limit of requests a second, another one after half of the time, then none. */
   z.strictObject({
     kind: z.literal('limitServers'),
-    ...span,
+    ...spanFields,
     service: z.string().min(1),
     share,
-    perSecond: notNegative,
-    thenPerSecond: notNegative.optional(),
+    perSecond: nonNegative,
+    thenPerSecond: nonNegative.optional(),
     /** Whether they turn down, as not run, what comes beyond it within a second. */
     turnsDown: z.boolean().default(false),
   }),
   /** Servers say in their answers alone that they leave, serve on for a while, and end or begin another life. */
   z.strictObject({
     kind: z.literal('leaveServers'),
-    ...at,
+    ...startFields,
     service: z.string().min(1),
     share,
     endAfterS: positive,
@@ -130,48 +130,48 @@
   /** Servers refuse a share of their requests, as not run, and may ask for rest. */
   z.strictObject({
     kind: z.literal('restServers'),
-    ...span,
+    ...spanFields,
     service: z.string().min(1),
     share,
     refuseShare: share.default(1),
     restS: positive.optional(),
   }),
-  z.strictObject({ kind: z.literal('failRequests'), ...span, share }),
+  z.strictObject({ kind: z.literal('failRequests'), ...spanFields, share }),
   z.strictObject({
     kind: z.literal('burst'),
-    ...span,
+    ...spanFields,
     factor: positive,
     class: z.string().optional(),
   }),
-  z.strictObject({ kind: z.literal('hotWorkspace'), ...span, factor: positive }),
+  z.strictObject({ kind: z.literal('hotWorkspace'), ...spanFields, factor: positive }),
   /** A configuration with limits of so many times the scene's. */
-  z.strictObject({ kind: z.literal('changeLimits'), ...at, factor: positive }),
+  z.strictObject({ kind: z.literal('changeLimits'), ...startFields, factor: positive }),
   /** Boxes that were never there before join in each zone. */
-  z.strictObject({ kind: z.literal('addBoxes'), ...at, perZone: count }),
-  z.strictObject({ kind: z.literal('storeAway'), ...span }),
+  z.strictObject({ kind: z.literal('addBoxes'), ...startFields, perZone: count }),
+  z.strictObject({ kind: z.literal('storeAway'), ...spanFields }),
   /** It goes away and comes back from a copy of so long before it went. */
   z.strictObject({
     kind: z.literal('copyStore'),
-    ...at,
-    ageS: notNegative,
-    awayS: notNegative.default(0.5),
+    ...startFields,
+    ageS: nonNegative,
+    awayS: nonNegative.default(0.5),
     /** Time in which the operator and the servers write again what was lost; 0 for the moment of its return. */
-    againWithinS: notNegative.default(1.2),
+    againWithinS: nonNegative.default(1.2),
     /** Versions that others use up within a moment of its return. */
     otherWrites: z.number().int().min(0).default(0),
   }),
-  z.strictObject({ kind: z.literal('callersLeave'), ...span, share }),
+  z.strictObject({ kind: z.literal('callersLeave'), ...spanFields, share }),
   z.strictObject({
     kind: z.literal('rollout'),
-    ...at,
+    ...startFields,
     service: z.string().min(1),
     durationS: positive,
     /** From the order until the servers of the new version stand. */
-    startS: notNegative.default(4),
+    startS: nonNegative.default(4),
     /** Share of its answers that fail, and how many times slower it works; from some time after the order on. */
     failShare: share.default(0),
     slowFactor: positive.default(1),
-    badFromS: notNegative.default(0),
+    badFromS: nonNegative.default(0),
     /** Only these are failed: requests of one class, or those that find so many others at their server. */
     class: z.string().optional(),
     badFromOpen: z.number().int().min(0).default(0),
@@ -182,7 +182,7 @@
   name: z.string().min(1),
   /** From the first caller to the end, and from the start of the boxes to the first caller. */
   lengthS: positive,
-  leadS: notNegative,
+  leadS: nonNegative,
   zones: z.array(z.string().min(1)).min(1),
   /** Price of an engine-second by zone, in turn. */
   zonePrices: z.array(positive).min(1),
@@ -192,9 +192,9 @@
   /** From the start of a box's process until it listens. */
   boxStartMs: positive,
   network: z.strictObject({
-    sameZoneMs: notNegative,
-    otherZoneMs: notNegative,
-    callerMs: notNegative,
+    sameZoneMs: nonNegative,
+    otherZoneMs: nonNegative,
+    callerMs: nonNegative,
     datagramLossShare: share.default(0),
   }),
   storeAnswerMs: positive,
@@ -202,17 +202,17 @@
     configurationMs: positive,
     drainMs: positive,
     graceMs: positive,
-    retryRatio: notNegative,
-    retrySlack: notNegative,
+    retryRatio: nonNegative,
+    retrySlack: nonNegative,
     limitWindowMs: positive,
-    limitOverShare: notNegative,
-    limitSlackUnits: notNegative,
+    limitOverShare: nonNegative,
+    limitSlackUnits: nonNegative,
     /** What a bad version may get: a share of the requests of its service, and some on top. */
     exposeShare: share.default(0.1),
-    exposeSlack: notNegative.default(50),
+    exposeSlack: nonNegative.default(50),
     leaseMs: positive,
-    usageWindowMs: notNegative,
-    usageDueMs: notNegative,
+    usageWindowMs: nonNegative,
+    usageDueMs: nonNegative,
   }),
   services: z.array(serviceSchema).min(1),
   callers: z.strictObject({
@@ -237,7 +237,7 @@
 export type SceneShape = z.output<typeof sceneSchema>;
 
 /** A fault of a scene's file. */
-export interface SceneFault {
+export interface SceneFileError {
   /** Line in the file, from 1; 0 where none is known. */
   line: number;
   /** Path of the field, by dots. */
@@ -252,7 +252,7 @@
 export function validateScene(
   text: string,
   base: Readonly<Record<string, unknown>> = {},
-): { kind: 'scene'; scene: Scene } | { kind: 'faulty'; faults: SceneFault[] } {
+): { kind: 'scene'; scene: Scene } | { kind: 'faulty'; faults: SceneFileError[] } {
   const document = parseLocatedYaml(text);
   if (document.kind === 'faulty') {
     return { kind: 'faulty', faults: document.faults.map((fault) => ({ ...fault, field: '' })) };
@@ -260,27 +260,27 @@
   const { lineOf } = document;
   const own = (document.value ?? {}) as Record<string, unknown>;
   const fields = Object.entries({ ...base, ...own }).filter(([name]) => name !== 'extends');
-  const read = sceneSchema.safeParse(Object.fromEntries(fields));
-  if (!read.success) {
-    const faults = read.error.issues.map(({ path, message }) => {
+  const parsed = sceneSchema.safeParse(Object.fromEntries(fields));
+  if (!parsed.success) {
+    const faults = parsed.error.issues.map(({ path, message }) => {
       return { line: lineOf(path), field: path.map(String).join('.'), message };
     });
     return { kind: 'faulty', faults };
   }
-  const faults = crossFaults(read.data).map(({ path, message }) => {
+  const faults = crossFieldErrors(parsed.data).map(({ path, message }) => {
     return { line: lineOf(path), field: path.map(String).join('.'), message };
   });
-  return faults.length > 0 ? { kind: 'faulty', faults } : { kind: 'scene', scene: read.data };
+  return faults.length > 0 ? { kind: 'faulty', faults } : { kind: 'scene', scene: parsed.data };
 }
 
-interface CrossFault {
+interface CrossFieldError {
   path: (string | number)[];
   message: string;
 }
 
 /** Faults between fields: names that nothing has, and parts that a kind of request needs. */
-function crossFaults(scene: SceneShape): CrossFault[] {
-  const faults: CrossFault[] = [];
+function crossFieldErrors(scene: SceneShape): CrossFieldError[] {
+  const faults: CrossFieldError[] = [];
   const kinds = new Map(scene.services.map(({ name, kind }) => [name, kind]));
   scene.classes.forEach((spec, index) => {
     const path = ['classes', index];
--- a/packages/reedlug-simulator/src/servers/batchEngine.ts
+++ b/packages/reedlug-simulator/src/servers/batchEngine.ts
@@ -4,7 +4,7 @@
  * whose prompt is read. What runs beside a long prompt waits for its chunks.
  */
 import type { PromptPart } from 'reedlug-gateway';
-import type { EngineFigures } from '../scene/scene.js';
+import type { EngineParameters } from '../scene/scene.js';
 import {
   createPromptCache,
   keepParts,
@@ -41,7 +41,7 @@
 
 /** One engine's work. */
 export interface BatchEngine {
-  figures: EngineFigures;
+  figures: EngineParameters;
   /** How many times longer its steps take than the figures say. */
   slowFactor: number;
   waiting: LiveRun[];
@@ -56,7 +56,7 @@
 }
 
 /** Returns an idle engine. */
-export function createBatchEngine(figures: EngineFigures): BatchEngine {
+export function createBatchEngine(figures: EngineParameters): BatchEngine {
   return {
     figures,
     slowFactor: 1,
--- a/packages/reedlug/src/commands/simulate.ts
+++ b/packages/reedlug/src/commands/simulate.ts
@@ -3,10 +3,10 @@
 import { Command, Option } from 'clipanion';
 import {
   drawCopies,
-  drawCrashTroubles,
-  drawLimitTroubles,
+  generateCrashFaults,
+  generateLimitFaults,
   drawServerLimits,
-  drawStatements,
+  generateServerStatements,
   readSceneFile,
   runScene,
   type Scene,
@@ -71,11 +71,11 @@
   }
 
   private drawn(scene: Scene, seed: number): Scene {
-    if (this.draw) return drawLimitTroubles(scene, seed);
+    if (this.draw) return generateLimitFaults(scene, seed);
     if (this.drawCopies) return drawCopies(scene, seed);
-    if (this.drawStatements) return drawStatements(scene, seed);
+    if (this.drawStatements) return generateServerStatements(scene, seed);
     if (this.drawServerLimits) return drawServerLimits(scene, seed);
-    return this.drawCrashes ? drawCrashTroubles(scene, seed) : scene;
+    return this.drawCrashes ? generateCrashFaults(scene, seed) : scene;
   }
 
   private linesOf(reports: readonly SceneReport[]): string[] {
--- a/packages/reedlug/src/commands/simulateRollouts.ts
+++ b/packages/reedlug/src/commands/simulateRollouts.ts
@@ -1,6 +1,6 @@
 /** `reedlug simulate-rollouts`: roll-outs drawn by seed, and what came of them. */
 import { Command, Option } from 'clipanion';
-import { drawRollout, readSceneFile, runScene, type SceneReport } from 'reedlug-simulator';
+import { generateRollout, readSceneFile, runScene, type SceneReport } from 'reedlug-simulator';
 import { parseSeedRange } from './seedRange.js';
 
 /** What came of the roll-outs of one kind. */
@@ -41,7 +41,7 @@
     const sound = createTally();
     const bad = createTally();
     for (let seed = seeds.first; seed <= seeds.last; seed += 1) {
-      const drawn = drawRollout(read.scene, seed, this.trouble);
+      const drawn = generateRollout(read.scene, seed, this.trouble);
       const report = await runScene(drawn.scene, seed);
       this.count(drawn.isBad ? bad : sound, report, drawn.label);
     }
