--- a/packages/reedlug-simulator/src/boxes/performEffect.ts
+++ b/packages/reedlug-simulator/src/boxes/performEffect.ts
@@ -119,11 +119,11 @@
   noteArrival(world, request, server.entry.service);
   noteRolloutArrival(world, server);
   noteLimitedArrival(world, server, box);
-  const callerSentAtMs = request.heldSinceMs ?? nowMs(world);
+  const callerSentAtMs = request.reachedBoxAtMs ?? nowMs(world);
   noteArrivalAtStating(world, { server, box, callerSentAtMs });
-  if (request.endsServer !== undefined) {
+  if (request.crashesServer !== undefined) {
     noteEndingSend(world, box, request.facts.digest);
-    return endUnder(world, server, request.facts.digest, request.endsServer);
+    return endUnder(world, server, request.facts.digest, request.crashesServer);
   }
   const versionFault = faultOfVersion(world, server, request.spec.name);
   const tryNumber = request.tries;
--- a/packages/reedlug-simulator/src/callers/callerAttempt.ts
+++ b/packages/reedlug-simulator/src/callers/callerAttempt.ts
@@ -3,7 +3,7 @@
 import type { SceneClass } from '../scene/scene.js';
 
 /** How a server ends under a request: after how long, and for how long. */
-export interface ServerEnding {
+export interface ServerCrash {
   runMs: number;
   downMs: number;
   /** Whether its next life tells when it was born. */
@@ -32,17 +32,17 @@
   lastEventAtMs: number | undefined;
   longestGapMs: number;
   /** Runs of the try in progress that servers have begun. */
-  runsOfTry: number;
+  runsInTry: number;
   /** Servers that the try in progress reached. */
-  arrivalsOfTry: number;
+  arrivalsInTry: number;
   /** Set when a refusal was waited out as told: when the try after it began. */
-  returnedAtMs: number | undefined;
+  retryAfterHonoredAtMs: number | undefined;
   /** World time at which the try in progress reached a box. */
-  heldSinceMs: number | undefined;
+  reachedBoxAtMs: number | undefined;
   /** The caller leaves before its time. */
   leavesEarly: boolean;
   /** What becomes of a server that runs it; undefined for usual requests. */
-  endsServer: ServerEnding | undefined;
+  crashesServer: ServerCrash | undefined;
 }
 
 /** Whether a request may run more than once. */
--- a/packages/reedlug-simulator/src/callers/callers.ts
+++ b/packages/reedlug-simulator/src/callers/callers.ts
@@ -21,30 +21,30 @@
   type Refusal,
 } from './callerAttempt.js';
 import {
-  drawRequest,
-  drawSharedParts,
-  type DrawnRequest,
+  generateRequest,
+  generateSharedParts,
+  type GeneratedRequest,
   workspaceName,
   workspaceShares,
   type SharedParts,
 } from './drawRequest.js';
 
 /** How often the balancer asks each box whether it is ready, in ms, and after how many misses it leaves it out. */
-const CHECK_EVERY_MS = 1000;
-const MISSES = 2;
+const HEALTH_CHECK_INTERVAL_MS = 1000;
+const MAX_MISSED_CHECKS = 2;
 /** How long a caller waits for a connection that nobody answers, in ms. */
-const CONNECT_MS = 1000;
+const CONNECT_TIMEOUT_MS = 1000;
 /** Part of the time left up to which a caller waits as it is told. */
-const WAIT_SHARE = 1 / 3;
+const MAX_WAIT_SHARE = 1 / 3;
 /** Pause of a caller after a lost connection, in ms. */
-const RETRY_MS = 50;
+const RETRY_DELAY_MS = 50;
 /** A caller gives a stream up after this silence, in ms: the longest of the three. */
-const SILENCE_MS = 2000;
-const SILENCE_TARGETS = 4;
-const SILENCE_GAPS = 8;
+const MIN_SILENCE_TIMEOUT_MS = 2000;
+const SILENCE_TARGET_FACTOR = 4;
+const SILENCE_GAP_FACTOR = 8;
 
 /** The boxes' own status for a request that is sent to no server any more. */
-const KEPT_OUT = 500;
+const BLOCKED_STATUS = 500;
 
 /** Changes of the load that faults make. */
 export interface LoadChanges {
@@ -59,10 +59,10 @@
 /** Starts the balancer and the callers of every zone. */
 export function startCallers(world: World, changes: LoadChanges): void {
   checkBoxes(world);
-  const shared = drawSharedParts(world.scene, world.random);
+  const shared = generateSharedParts(world.scene, world.random);
   const firstAtMs = world.scene.leadS * 1000;
   for (const zone of world.scene.zones) {
-    world.queue.at(firstAtMs, () => comeAgain(world, { zone, shared, changes }));
+    world.queue.at(firstAtMs, () => startClump(world, { zone, shared, changes }));
   }
 }
 
@@ -71,9 +71,9 @@
     const isGood = box.isListening && isReady(box.state);
     box.missedChecks = isGood ? 0 : box.missedChecks + 1;
     if (isGood) box.isIn = true;
-    else if (box.missedChecks >= MISSES) box.isIn = false;
+    else if (box.missedChecks >= MAX_MISSED_CHECKS) box.isIn = false;
   }
-  later(world, CHECK_EVERY_MS, () => checkBoxes(world));
+  later(world, HEALTH_CHECK_INTERVAL_MS, () => checkBoxes(world));
 }
 
 interface ZoneCallers {
@@ -83,7 +83,7 @@
 }
 
 /** Lets a clump of callers come, and the next one after a while. */
-function comeAgain(world: World, callers: ZoneCallers): void {
+function startClump(world: World, callers: ZoneCallers): void {
   const { scene, random } = world;
   const trafficS = nowMs(world) / 1000 - scene.leadS;
   if (trafficS >= scene.lengthS) return;
@@ -93,8 +93,9 @@
   const factor = classes.total / classes.usual;
   const ratePerMs = (perSecond * wave * factor) / scene.zones.length / 1000;
   const size = clump <= 1 ? 1 : 1 + Math.floor(random.exponential(clump - 1) + 0.5);
-  for (let index = 0; index < size; index += 1) begin(world, callers, pickClass(world, classes));
-  later(world, random.exponential(clump / ratePerMs), () => comeAgain(world, callers));
+  for (let index = 0; index < size; index += 1)
+    startRequest(world, callers, pickClass(world, classes));
+  later(world, random.exponential(clump / ratePerMs), () => startClump(world, callers));
 }
 
 interface WeightedClasses {
@@ -124,27 +125,27 @@
 }
 
 /** A new request: its first try. */
-function begin(world: World, callers: ZoneCallers, spec: SceneClass): void {
+function startRequest(world: World, callers: ZoneCallers, spec: SceneClass): void {
   const { changes, zone, shared } = callers;
   const shares = workspaceShares(world.scene.workspaces.count);
   shares[0] = (shares[0] ?? 0) * changes.hotFactor;
   const total = shares.reduce((sum, share) => sum + share, 0);
   const workspace = workspaceName(pickIndex(world, shares, total));
   const number = takeNumber(world, 'requests');
-  const drawn = drawRequest(world.scene, world.random, { spec, shared, workspace, number });
-  const request = createRequest(world, { ...drawn, spec, zone, workspace });
+  const generated = generateRequest(world.scene, world.random, { spec, shared, workspace, number });
+  const request = createRequest(world, { ...generated, spec, zone, workspace });
   request.leavesEarly = changes.leaveShare > 0 && world.random.chance(changes.leaveShare);
   if (request.leavesEarly) {
     request.deadlineAtMs = nowMs(world) + world.random.unit() * spec.targetMs;
   }
   noteAsked(world, request);
-  tryOnce(world, request);
+  sendTry(world, request);
 }
 
 /** A request as its caller begins it. */
 export function createRequest(
   world: World,
-  params: DrawnRequest & Pick<CallerRequest, 'spec' | 'zone' | 'workspace'>,
+  params: GeneratedRequest & Pick<CallerRequest, 'spec' | 'zone' | 'workspace'>,
 ): CallerRequest {
   const { spec } = params;
   const startedAtMs = nowMs(world);
@@ -157,58 +158,61 @@
     firstEventAtMs: undefined,
     lastEventAtMs: undefined,
     longestGapMs: 0,
-    runsOfTry: 0,
-    arrivalsOfTry: 0,
-    returnedAtMs: undefined,
-    heldSinceMs: undefined,
+    runsInTry: 0,
+    arrivalsInTry: 0,
+    retryAfterHonoredAtMs: undefined,
+    reachedBoxAtMs: undefined,
     leavesEarly: false,
-    endsServer: undefined,
+    crashesServer: undefined,
   };
 }
 
 /** Sends a try to a box of the zone; of the nearest zones when none is in there. */
-export function tryOnce(world: World, request: CallerRequest): void {
+export function sendTry(world: World, request: CallerRequest): void {
   request.tries += 1;
-  request.runsOfTry = 0;
-  request.arrivalsOfTry = 0;
-  request.heldSinceMs = undefined;
+  request.runsInTry = 0;
+  request.arrivalsInTry = 0;
+  request.reachedBoxAtMs = undefined;
   const leftMs = request.deadlineAtMs - nowMs(world);
   const { facts, lastEventId } = request;
   const requestId = `${facts.requestId.split('/')[0] ?? ''}/${request.tries}`;
   request.facts = { ...facts, requestId, deadlineMs: leftMs, lastEventId };
   const box = pickBox(world, request.zone);
   const { callerMs } = world.scene.network;
-  if (box === undefined) return later(world, callerMs, () => lost(world, request, 'noBox'));
+  if (box === undefined)
+    return later(world, callerMs, () => handleLostConnection(world, request, 'noBox'));
   if (!box.isListening) {
-    const waitMs = box.hasPower ? callerMs : CONNECT_MS;
-    return later(world, waitMs, () => lost(world, request, 'noConnection'));
+    const waitMs = box.hasPower ? callerMs : CONNECT_TIMEOUT_MS;
+    return later(world, waitMs, () => handleLostConnection(world, request, 'noConnection'));
   }
-  later(world, callerMs, () => arriveAt(world, request, box));
+  later(world, callerMs, () => arriveAtBox(world, request, box));
 }
 
 function pickBox(world: World, zone: string): VirtualBox | undefined {
   const boxes = [...world.boxes.values()];
   const ofZone = boxes.filter((box) => box.settings.box.zone === zone);
-  const isIn = (box: VirtualBox): boolean => box.isIn;
-  const candidates = ofZone.some(isIn) ? ofZone.filter(isIn) : boxes.filter(isIn);
+  const isInRotation = (box: VirtualBox): boolean => box.isIn;
+  const candidates = ofZone.some(isInRotation)
+    ? ofZone.filter(isInRotation)
+    : boxes.filter(isInRotation);
   // When fewer than half are in, the balancer uses all of them.
   const usable = candidates.length * 2 < ofZone.length ? ofZone : candidates;
   return usable.length === 0 ? undefined : world.random.pick(usable);
 }
 
-function arriveAt(world: World, request: CallerRequest, box: VirtualBox): void {
-  if (!box.isListening) return lost(world, request, 'noConnection');
+function arriveAtBox(world: World, request: CallerRequest, box: VirtualBox): void {
+  if (!box.isListening) return handleLostConnection(world, request, 'noConnection');
   const exchangeId = box.nextExchangeId;
   box.nextExchangeId += 1;
-  request.heldSinceMs = nowMs(world);
+  request.reachedBoxAtMs = nowMs(world);
   const attempt = createAttempt(world, request);
   box.exchanges.set(exchangeId, attempt);
-  watchCaller(world, request, { box, exchangeId, attempt });
+  watchTimeouts(world, request, { box, exchangeId, attempt });
   box.emit({ type: 'requestArrived', exchangeId, facts: request.facts });
 }
 
 /** Ends the try when the caller's time is up, or a stream has been silent for too long. */
-function watchCaller(
+function watchTimeouts(
   world: World,
   request: CallerRequest,
   at: { box: VirtualBox; exchangeId: number; attempt: CallerAttempt },
@@ -216,26 +220,26 @@
   const { box, exchangeId, attempt } = at;
   const { spec } = request;
   const silenceMs = Math.max(
-    SILENCE_MS,
-    SILENCE_TARGETS * spec.targetMs,
-    SILENCE_GAPS * (spec.gapTargetMs ?? 0),
+    MIN_SILENCE_TIMEOUT_MS,
+    SILENCE_TARGET_FACTOR * spec.targetMs,
+    SILENCE_GAP_FACTOR * (spec.gapTargetMs ?? 0),
   );
   const sentAtMs = nowMs(world);
-  const leave = (): void => {
+  const giveUpIfDue = (): void => {
     if (box.exchanges.get(exchangeId) !== attempt) return;
     const silentSinceMs = Math.max(sentAtMs, request.lastEventAtMs ?? 0);
     const isSilent = spec.kind === 'stream' && nowMs(world) - silentSinceMs >= silenceMs - 1;
-    if (nowMs(world) < request.deadlineAtMs - 1 && !isSilent) return plan();
+    if (nowMs(world) < request.deadlineAtMs - 1 && !isSilent) return scheduleCheck();
     box.exchanges.delete(exchangeId);
     box.emit({ type: 'callerGone', exchangeId });
     noteFailed(world, request, isSilent ? 'callerLeftSilence' : 'deadline');
   };
-  const plan = (): void => {
+  const scheduleCheck = (): void => {
     const silentSinceMs = Math.max(sentAtMs, request.lastEventAtMs ?? 0);
     const dueMs = spec.kind === 'stream' ? silentSinceMs + silenceMs : Number.POSITIVE_INFINITY;
-    world.queue.at(Math.min(request.deadlineAtMs, dueMs), leave);
+    world.queue.at(Math.min(request.deadlineAtMs, dueMs), giveUpIfDue);
   };
-  plan();
+  scheduleCheck();
 }
 
 function createAttempt(world: World, request: CallerRequest): CallerAttempt {
@@ -257,42 +261,43 @@
       });
     },
     onEnded: () => later(world, callerMs, () => noteAnswered(world, request)),
-    onRefused: (refusal) => later(world, callerMs, () => refused(world, request, refusal)),
-    onConnectionLost: () => later(world, callerMs, () => lost(world, request, 'connection')),
+    onRefused: (refusal) => later(world, callerMs, () => handleRefusal(world, request, refusal)),
+    onConnectionLost: () =>
+      later(world, callerMs, () => handleLostConnection(world, request, 'connection')),
   };
 }
 
 /** A refusal that promises that the request has not run may be tried again, when it is told. */
-function refused(world: World, request: CallerRequest, refusal: Refusal): void {
+function handleRefusal(world: World, request: CallerRequest, refusal: Refusal): void {
   const { status, reason, retryAfterMs } = refusal;
-  const isPromise = status === 429 || status === 503;
-  if (status === KEPT_OUT && request.endsServer === undefined) {
+  const claimsNotRun = status === 429 || status === 503;
+  if (status === BLOCKED_STATUS && request.crashesServer === undefined) {
     noteBroken(world, 'innocentKeptOut', request);
   }
-  if (isPromise && request.runsOfTry > 0) noteBroken(world, 'refusalAfterRun', request);
-  if (!isPromise && !isRepeatable(request)) {
+  if (claimsNotRun && request.runsInTry > 0) noteBroken(world, 'refusalAfterRun', request);
+  if (!claimsNotRun && !isRepeatable(request)) {
     return noteFailed(world, request, `${status} ${reason}`);
   }
   const leftMs = request.deadlineAtMs - nowMs(world);
-  const waitMs = retryAfterMs ?? RETRY_MS;
-  const mayWait = request.tries <= request.spec.retries && waitMs <= leftMs * WAIT_SHARE;
+  const waitMs = retryAfterMs ?? RETRY_DELAY_MS;
+  const mayWait = request.tries <= request.spec.retries && waitMs <= leftMs * MAX_WAIT_SHARE;
   if (!mayWait || status === 401 || status === 404) {
     const label = `${status} ${reason}`;
-    if (isPromise) return noteRefused(world, request, label);
+    if (claimsNotRun) return noteRefused(world, request, label);
     return noteFailed(world, request, label);
   }
   later(world, waitMs, () => {
-    request.returnedAtMs = nowMs(world);
-    tryOnce(world, request);
+    request.retryAfterHonoredAtMs = nowMs(world);
+    sendTry(world, request);
   });
 }
 
 /** A lost connection: what may be repeated is tried again at once. */
-function lost(world: World, request: CallerRequest, reason: string): void {
-  const mayTry = request.heldSinceMs === undefined || isRepeatable(request);
+function handleLostConnection(world: World, request: CallerRequest, reason: string): void {
+  const mayRetry = request.reachedBoxAtMs === undefined || isRepeatable(request);
   const leftMs = request.deadlineAtMs - nowMs(world);
-  if (!mayTry || request.tries > request.spec.retries || leftMs <= RETRY_MS) {
+  if (!mayRetry || request.tries > request.spec.retries || leftMs <= RETRY_DELAY_MS) {
     return noteFailed(world, request, reason);
   }
-  later(world, RETRY_MS, () => tryOnce(world, request));
+  later(world, RETRY_DELAY_MS, () => sendTry(world, request));
 }
--- a/packages/reedlug-simulator/src/callers/drawRequest.ts
+++ b/packages/reedlug-simulator/src/callers/drawRequest.ts
@@ -29,7 +29,7 @@
 }
 
 /** A size with the given mean and the given spread of its logarithm. */
-export function drawSize(random: Random, { mean, spread }: SizeSpec): number {
+export function generateSize(random: Random, { mean, spread }: SizeSpec): number {
   return random.logNormal(mean * Math.exp(-(spread ** 2) / 2), spread);
 }
 
@@ -37,39 +37,39 @@
 export type SharedParts = Map<string, readonly (readonly number[])[]>;
 
 /** Draws the shared parts of a scene. */
-export function drawSharedParts(scene: Scene, random: Random): SharedParts {
-  const drawn: SharedParts = new Map();
+export function generateSharedParts(scene: Scene, random: Random): SharedParts {
+  const lengthsByClass: SharedParts = new Map();
   for (const { name, sharedParts } of scene.classes) {
-    drawn.set(
+    lengthsByClass.set(
       name,
       sharedParts.map(({ tokens, things }) =>
-        Array.from({ length: things }, () => tokensOf(drawSize(random, tokens))),
+        Array.from({ length: things }, () => toTokenCount(generateSize(random, tokens))),
       ),
     );
   }
-  return drawn;
+  return lengthsByClass;
 }
 
-function tokensOf(size: number): number {
+function toTokenCount(size: number): number {
   return Math.max(1, Math.round(size));
 }
 
 /** What a request asks for. */
-export interface DrawnRequest {
+export interface GeneratedRequest {
   facts: RequestFacts;
   workMs: number;
   events: number;
 }
 
 /** Draws one request of a class. */
-export function drawRequest(
+export function generateRequest(
   scene: Scene,
   random: Random,
   params: { spec: SceneClass; shared: SharedParts; workspace: string; number: number },
-): DrawnRequest {
+): GeneratedRequest {
   const { spec, shared, workspace, number } = params;
-  const parts = drawParts(random, spec, shared.get(spec.name) ?? [], number);
-  const events = spec.events === undefined ? 1 : tokensOf(drawSize(random, spec.events));
+  const parts = generatePromptParts(random, spec, shared.get(spec.name) ?? [], number);
+  const events = spec.events === undefined ? 1 : toTokenCount(generateSize(random, spec.events));
   const promptTokens = parts.reduce((sum, { tokens }) => sum + tokens, 0);
   const isStream = spec.kind === 'stream';
   return {
@@ -85,7 +85,7 @@
       lastEventId: undefined,
       digest: digestOf(random, spec, number),
     },
-    workMs: spec.workMs === undefined ? 0 : drawSize(random, spec.workMs),
+    workMs: spec.workMs === undefined ? 0 : generateSize(random, spec.workMs),
     events,
   };
 }
@@ -101,7 +101,7 @@
 }
 
 /** A later part belongs to one of the earlier part before it, as subjects to a template. */
-function drawParts(
+function generatePromptParts(
   random: Random,
   spec: SceneClass,
   shared: readonly (readonly number[])[],
@@ -109,13 +109,13 @@
 ): PromptPart[] {
   if (spec.ownTokens === undefined) return [];
   const parts: PromptPart[] = [];
-  let thing = random.whole(0, Math.max(1, shared.at(-1)?.length ?? 1) - 1);
+  let variant = random.whole(0, Math.max(1, shared.at(-1)?.length ?? 1) - 1);
   for (let level = shared.length - 1; level >= 0; level -= 1) {
     const lengths = shared[level] ?? [];
-    thing %= Math.max(1, lengths.length);
-    parts.unshift({ id: `${spec.name}-${level}-${thing}`, tokens: lengths[thing] ?? 1 });
+    variant %= Math.max(1, lengths.length);
+    parts.unshift({ id: `${spec.name}-${level}-${variant}`, tokens: lengths[variant] ?? 1 });
   }
-  const tokens = tokensOf(drawSize(random, spec.ownTokens));
+  const tokens = toTokenCount(generateSize(random, spec.ownTokens));
   return [...parts, { id: `own-${number}`, tokens }];
 }
 
--- a/packages/reedlug-simulator/src/faults/endingRequests.ts
+++ b/packages/reedlug-simulator/src/faults/endingRequests.ts
@@ -1,7 +1,7 @@
 /** Requests under which each server ends that runs them, and what is promised of them. */
-import { createRequest, tryOnce } from '../callers/callers.js';
-import type { ServerEnding } from '../callers/callerAttempt.js';
-import { drawRequest, drawSharedParts, workspaceName } from '../callers/drawRequest.js';
+import { createRequest, sendTry } from '../callers/callers.js';
+import type { ServerCrash } from '../callers/callerAttempt.js';
+import { generateRequest, generateSharedParts, workspaceName } from '../callers/drawRequest.js';
 import { endingOf, noteAsked } from '../report/sceneRecord.js';
 import type { SceneClass, SceneFaultSpec } from '../scene/scene.js';
 import { restartServer, type VirtualServer } from '../servers/virtualServers.js';
@@ -41,15 +41,15 @@
   const { scene, random } = world;
   const workspace = workspaceName(0);
   const number = takeNumber(world, 'requests');
-  const shared = drawSharedParts(scene, random);
-  const drawn = drawRequest(scene, random, { spec, shared, workspace, number });
+  const shared = generateSharedParts(scene, random);
+  const drawn = generateRequest(scene, random, { spec, shared, workspace, number });
   const zone = random.pick(scene.zones);
   const request = createRequest(world, { ...drawn, spec, zone, workspace });
   request.facts = { ...request.facts, digest };
   const { runMs, downS, tellsBirth } = fault;
-  request.endsServer = { runMs, downMs: downS * 1000, tellsBirth };
+  request.crashesServer = { runMs, downMs: downS * 1000, tellsBirth };
   noteAsked(world, request);
-  tryOnce(world, request);
+  sendTry(world, request);
 }
 
 /** A server begins to run such a request, and ends a moment later. */
@@ -57,7 +57,7 @@
   world: World,
   server: VirtualServer,
   digest: string,
-  { runMs, downMs, tellsBirth }: ServerEnding,
+  { runMs, downMs, tellsBirth }: ServerCrash,
 ): void {
   later(world, runMs, () => {
     if (world.servers.get(server.entry.id) !== server) return;
--- a/packages/reedlug-simulator/src/report/outcomes.ts
+++ b/packages/reedlug-simulator/src/report/outcomes.ts
@@ -36,7 +36,10 @@
 }
 
 /** A refused request that came back as told and was then served in time earns the mean of both. */
-function earned(end: RequestEnd, { spec, returnedAtMs }: CallerRequest): number {
+function earned(
+  end: RequestEnd,
+  { spec, retryAfterHonoredAtMs: returnedAtMs }: CallerRequest,
+): number {
   const lateWorth = spec.worth * spec.lateWorthShare;
   switch (end) {
     case RequestEnd.inTime:
--- a/packages/reedlug-simulator/src/report/sceneRecord.ts
+++ b/packages/reedlug-simulator/src/report/sceneRecord.ts
@@ -154,8 +154,8 @@
 
 /** A send reached a server that takes it. */
 export function noteArrival(world: World, request: CallerRequest, service: string): void {
-  request.arrivalsOfTry += 1;
-  if (request.arrivalsOfTry === 1) return;
+  request.arrivalsInTry += 1;
+  if (request.arrivalsInTry === 1) return;
   entryOf(world.record.repeats, service, () => []).push({ atMs: nowMs(world), amount: 1 });
 }
 
@@ -164,8 +164,8 @@
  * send reached the server: how long a server then takes to begin is not a box's to bound.
  */
 export function noteRun(world: World, request: CallerRequest, arrivedAtMs: number): void {
-  request.runsOfTry += 1;
-  const isRepeat = request.runsOfTry > 1;
+  request.runsInTry += 1;
+  const isRepeat = request.runsInTry > 1;
   if (isRepeat && !isRepeatable(request)) noteBroken(world, 'atMostOnce', request);
   const { facts, workspace } = request;
   const { plainTokens } = world.scene.workspaces;
@@ -186,7 +186,7 @@
 
 /** A request was served. */
 export function noteAnswered(world: World, request: CallerRequest): void {
-  const { spec, startedAtMs, returnedAtMs } = request;
+  const { spec, startedAtMs, retryAfterHonoredAtMs: returnedAtMs } = request;
   const firstAtMs = request.firstEventAtMs ?? nowMs(world);
   const waitMs = firstAtMs - startedAtMs;
   entryOf(world.record.firstEventMs, spec.name, createHistogram).recordValue(
@@ -217,7 +217,7 @@
   noteEnd(world, request, hasLeft ? RequestEnd.left : RequestEnd.failed);
 }
 
-function noteHeld(world: World, { heldSinceMs }: CallerRequest): void {
+function noteHeld(world: World, { reachedBoxAtMs: heldSinceMs }: CallerRequest): void {
   if (heldSinceMs === undefined) return;
   const heldMs = Math.round(Math.max(0, nowMs(world) - heldSinceMs));
   world.record.heldUnservedMs.recordValue(Math.min(GREATEST_MS, heldMs));
@@ -225,7 +225,7 @@
 
 function noteEnd(world: World, request: CallerRequest, end: RequestEnd): void {
   // It is owed nothing, and its caller is missed by nobody.
-  if (request.endsServer !== undefined) return;
+  if (request.crashesServer !== undefined) return;
   const { record, scene } = world;
   const startedS = request.startedAtMs / 1000 - scene.leadS;
   const span = Math.floor(startedS / SPAN_S) * SPAN_S;
