--- a/packages/reedlug-simulator/src/boxes/performEffect.ts
+++ b/packages/reedlug-simulator/src/boxes/performEffect.ts
@@ -100,12 +100,12 @@
   const ms = wayMs(world, box.settings.box.zone, server.entry.zone);
   later(world, ms, () => {
     if (!box.sends.has(attemptId) || !world.servers.has(order.serverId)) return;
-    arrive(world, box, { server, effect, runId });
+    arriveAtServer(world, box, { server, effect, runId });
   });
 }
 
 /** A request reaches its server. */
-function arrive(
+function arriveAtServer(
   world: World,
   box: VirtualBox,
   params: { server: VirtualServer; effect: EffectOf<'send'>; runId: number },
@@ -129,25 +129,25 @@
   const tryNumber = request.tries;
   const arrivedAtMs = nowMs(world);
   /** A server that cannot be told to stop may begin a try that its caller has left. */
-  const begin = (): void => {
+  const recordStart = (): void => {
     if (request.tries === tryNumber) noteRun(world, request, arrivedAtMs);
   };
   /** A connection that a cut has taken bytes from says nothing any more. */
   let isBroken = false;
   /** What the server says, unless it has gone silent or the box has left it. */
-  const say = (tell: () => void): void => {
+  const respond = (deliver: () => void): void => {
     isBroken ||= !reaches(world, box.settings.box.zone, server);
     if (isBroken) return;
     const ms = wayMs(world, box.settings.box.zone, server.entry.zone);
     later(world, ms, () => {
-      if (box.sends.has(attemptId)) tell();
+      if (box.sends.has(attemptId)) deliver();
     });
   };
   const answer = (verdict: 'success' | 'failure' | 'notRun', status: number): void => {
     const statements = statementsOf(world, server, verdict === 'notRun');
-    say(() => {
+    respond(() => {
       const isOpen = verdict === 'success' && effect.streaming;
-      if (!isOpen) end(box, server, attemptId, runId);
+      if (!isOpen) endSend(box, server, attemptId, runId);
       box.emit({ type: 'answerBegun', ...ids, statements });
       noteStated(world, { server, box, statements });
       box.emit({ type: 'attemptAnswered', ...ids, verdict, status });
@@ -157,7 +157,7 @@
   if (isTurnedDown(world, server) || isRefused(world, server)) return onRejected();
   if (server.work.kind === 'plain') {
     const onAnswered = (): void => {
-      begin();
+      recordStart();
       answer('success', 200);
     };
     if (versionFault.fails) return later(world, FAILURE_MS, () => answer('failure', 500));
@@ -166,10 +166,10 @@
   }
   slowDown(server.work.engine, versionFault.slowFactor);
   if (versionFault.fails || world.random.chance(world.failShare)) {
-    begin();
+    recordStart();
     return later(world, FAILURE_MS, () => answer('failure', 500));
   }
-  let isBegun = false;
+  let hasStarted = false;
   const fromEvent = Math.max(order.resumeAfterEventId ?? request.lastEventId ?? 0, 0);
   submitToEngine(world, server.work.engine, {
     runId,
@@ -179,16 +179,16 @@
     events: request.events,
     onRejected,
     onEvent(event, isLast) {
-      if (!isBegun) {
-        isBegun = true;
-        begin();
+      if (!hasStarted) {
+        hasStarted = true;
+        recordStart();
         answer('success', 200);
       }
-      say(() => {
+      respond(() => {
         box.exchanges.get(exchangeId)?.onEvent(event);
         box.emit({ type: 'eventsRelayed', ...ids, lastEventId: event });
         if (!isLast) return;
-        end(box, server, attemptId, runId);
+        endSend(box, server, attemptId, runId);
         box.exchanges.get(exchangeId)?.onEnded();
         box.exchanges.delete(exchangeId);
         box.emit({ type: 'attemptEnded', ...ids });
@@ -197,7 +197,7 @@
   });
 }
 
-function end(box: VirtualBox, server: VirtualServer, attemptId: number, runId: number): void {
+function endSend(box: VirtualBox, server: VirtualServer, attemptId: number, runId: number): void {
   box.sends.delete(attemptId);
   server.openRuns.delete(runId);
 }
--- a/packages/reedlug-simulator/src/boxes/virtualBox.ts
+++ b/packages/reedlug-simulator/src/boxes/virtualBox.ts
@@ -19,7 +19,7 @@
 import { performEffect } from './performEffect.js';
 
 /** Wall clock of the world's start, in ms; any time will do. */
-const WALL_START_MS = 1_700_000_000_000;
+const WALL_CLOCK_START_MS = 1_700_000_000_000;
 /** Port on which boxes hear each other. */
 export const PEERS_PORT = 7000;
 
@@ -48,7 +48,7 @@
   nextExchangeId: number;
   /** Callers' balancer: checks in a row without a good answer, and whether callers come. */
   missedChecks: number;
-  isIn: boolean;
+  isInRotation: boolean;
   /** Time that the reducer has taken, in ms. */
   reducerMs: number;
   /** The store as the process has it; undefined until it listens. */
@@ -58,7 +58,7 @@
 }
 
 /** Where a box stands. */
-export interface BoxPlace {
+export interface BoxSpec {
   id: string;
   host: string;
   zone: string;
@@ -66,11 +66,11 @@
 }
 
 /** Starts a box's process; it listens after the time that the scene gives. */
-export function startBox(world: World, place: BoxPlace, incarnation: number): VirtualBox {
-  const settings = settingsOf(world, place);
+export function startBox(world: World, spec: BoxSpec, incarnation: number): VirtualBox {
+  const settings = settingsOf(world, spec);
   const startedAtMs = nowMs(world);
   const box: VirtualBox = {
-    id: place.id,
+    id: spec.id,
     settings,
     state: createGatewayState({
       settings,
@@ -87,7 +87,7 @@
     sends: new Map(),
     nextExchangeId: 1,
     missedChecks: 0,
-    isIn: false,
+    isInRotation: false,
     reducerMs: 0,
     store: undefined,
     feeds: undefined,
@@ -138,11 +138,15 @@
 /** Takes the events of a process that lives. */
 function createEmit(world: World, box: VirtualBox): (body: EventBody) => void {
   const enqueue = handleInTurn((body) => {
-    const sinceMs = nowMs(world) - box.startedAtMs;
-    const wallMs = WALL_START_MS + nowMs(world);
-    const begunAtMs = performance.now();
-    const effects = reduce(box.state, { ...body, nowMs: sinceMs, wallClockMs: wallMs });
-    box.reducerMs += performance.now() - begunAtMs;
+    const sinceStartMs = nowMs(world) - box.startedAtMs;
+    const wallClockNowMs = WALL_CLOCK_START_MS + nowMs(world);
+    const reduceStartedAtMs = performance.now();
+    const effects = reduce(box.state, {
+      ...body,
+      nowMs: sinceStartMs,
+      wallClockMs: wallClockNowMs,
+    });
+    box.reducerMs += performance.now() - reduceStartedAtMs;
     for (const effect of effects) performEffect(world, box, effect);
   });
   return (body) => {
@@ -156,7 +160,7 @@
   box.isAlive = false;
   box.isListening = false;
   box.hasPower = hasPower;
-  box.isIn = false;
+  box.isInRotation = false;
   for (const attempt of box.exchanges.values()) attempt.onConnectionLost();
   box.exchanges.clear();
   for (const { serverId, runId } of box.sends.values()) {
@@ -167,7 +171,7 @@
 }
 
 /** Whether a box has run, and heard the others, for long enough to know what they know. */
-export function isInTouch(world: World, box: VirtualBox): boolean {
+export function isSynchronized(world: World, box: VirtualBox): boolean {
   const sinceMs = nowMs(world) - CONTACT_MS;
   return (
     box.startedAtMs <= sinceMs && world.cutZones.size === 0 && world.lastCutEndedAtMs <= sinceMs
@@ -183,8 +187,8 @@
   else server.work.server.stop(runId);
 }
 
-function settingsOf(world: World, place: BoxPlace): GatewaySettings {
-  const { id, host, zone, processorCores } = place;
+function settingsOf(world: World, spec: BoxSpec): GatewaySettings {
+  const { id, host, zone, processorCores } = spec;
   const { scene } = world;
   return {
     box: { id, ip: host, zone, processorCores },
--- a/packages/reedlug-simulator/src/callers/callers.ts
+++ b/packages/reedlug-simulator/src/callers/callers.ts
@@ -70,8 +70,8 @@
   for (const box of world.boxes.values()) {
     const isGood = box.isListening && isReady(box.state);
     box.missedChecks = isGood ? 0 : box.missedChecks + 1;
-    if (isGood) box.isIn = true;
-    else if (box.missedChecks >= MAX_MISSED_CHECKS) box.isIn = false;
+    if (isGood) box.isInRotation = true;
+    else if (box.missedChecks >= MAX_MISSED_CHECKS) box.isInRotation = false;
   }
   later(world, HEALTH_CHECK_INTERVAL_MS, () => checkBoxes(world));
 }
@@ -191,7 +191,7 @@
 function pickBox(world: World, zone: string): VirtualBox | undefined {
   const boxes = [...world.boxes.values()];
   const ofZone = boxes.filter((box) => box.settings.box.zone === zone);
-  const isInRotation = (box: VirtualBox): boolean => box.isIn;
+  const isInRotation = (box: VirtualBox): boolean => box.isInRotation;
   const candidates = ofZone.some(isInRotation)
     ? ofZone.filter(isInRotation)
     : boxes.filter(isInRotation);
--- a/packages/reedlug-simulator/src/faults/applyFaults.ts
+++ b/packages/reedlug-simulator/src/faults/applyFaults.ts
@@ -1,5 +1,5 @@
 /** What goes wrong in a scene, at its time. */
-import { killBox, startBox, type BoxPlace, type VirtualBox } from '../boxes/virtualBox.js';
+import { killBox, startBox, type BoxSpec, type VirtualBox } from '../boxes/virtualBox.js';
 import type { LoadChanges } from '../callers/callers.js';
 import type { SceneFaultSpec } from '../scene/scene.js';
 import {
@@ -10,7 +10,7 @@
   takesWork,
   type VirtualServer,
 } from '../servers/virtualServers.js';
-import { placesOf } from '../boxes/boxPlaces.js';
+import { boxSpecsOf } from '../boxes/boxPlaces.js';
 import { StoreOutage } from '../store/virtualStore.js';
 import { noteDutyTrouble } from '../report/dutyRecord.js';
 import { later, type World } from '../world.js';
@@ -29,7 +29,7 @@
 type FaultOf<K extends SceneFaultSpec['kind']> = Extract<SceneFaultSpec, { kind: K }>;
 
 /** Sets every fault of a scene to its time; gives what they change of the load. */
-export function scheduleFaults(world: World, places: readonly BoxPlace[]): LoadChanges {
+export function scheduleFaults(world: World, places: readonly BoxSpec[]): LoadChanges {
   const active = new Set<SceneFaultSpec>();
   const firstAtMs = world.scene.leadS * 1000;
   for (const fault of world.scene.faults) {
@@ -57,7 +57,7 @@
   };
 }
 
-function begin(world: World, fault: SceneFaultSpec, places: readonly BoxPlace[]): void {
+function begin(world: World, fault: SceneFaultSpec, places: readonly BoxSpec[]): void {
   switch (fault.kind) {
     case 'killBoxes':
       return killBoxes(world, fault, places);
@@ -121,7 +121,7 @@
 function addBoxes(world: World, perZone: number): void {
   const { zones, boxesPerZone } = world.scene;
   const known = new Set(world.boxIdByHost.values());
-  for (const place of placesOf(zones, boxesPerZone + perZone)) {
+  for (const place of boxSpecsOf(zones, boxesPerZone + perZone)) {
     if (known.has(place.id)) continue;
     world.boxIdByHost.set(place.host, place.id);
     startBox(world, place, 1);
@@ -150,7 +150,7 @@
   return drawn;
 }
 
-function killBoxes(world: World, fault: FaultOf<'killBoxes'>, places: readonly BoxPlace[]): void {
+function killBoxes(world: World, fault: FaultOf<'killBoxes'>, places: readonly BoxSpec[]): void {
   noteDutyTrouble(world, fault.downS * 1000 + world.scene.boxStartMs);
   for (const place of drawShare(world, places, fault.share)) {
     const box = world.boxes.get(place.id);
@@ -161,13 +161,13 @@
 }
 
 /** Two faults may have ended the same process: it has one next life. */
-function restart(world: World, place: BoxPlace, before: VirtualBox): void {
+function restart(world: World, place: BoxSpec, before: VirtualBox): void {
   if (world.boxes.get(place.id) !== before) return;
   startBox(world, place, before.incarnation + 1);
 }
 
 /** Stops and starts boxes in turn, as for a release of the boxes themselves. */
-function rollBoxes(world: World, fault: FaultOf<'rollBoxes'>, places: readonly BoxPlace[]): void {
+function rollBoxes(world: World, fault: FaultOf<'rollBoxes'>, places: readonly BoxSpec[]): void {
   const chosen = drawShare(world, places, fault.share);
   noteDutyTrouble(world, fault.gapS * 1000 + world.scene.bounds.graceMs);
   chosen.forEach((place, index) => {
--- a/packages/reedlug-simulator/src/faults/endingRequests.ts
+++ b/packages/reedlug-simulator/src/faults/endingRequests.ts
@@ -5,7 +5,7 @@
 import { endingOf, noteAsked } from '../report/sceneRecord.js';
 import type { SceneClass, SceneFaultSpec } from '../scene/scene.js';
 import { restartServer, type VirtualServer } from '../servers/virtualServers.js';
-import { isInTouch, type VirtualBox } from '../boxes/virtualBox.js';
+import { isSynchronized, type VirtualBox } from '../boxes/virtualBox.js';
 import { CONTACT_MS, later, nowMs, takeNumber, type World } from '../world.js';
 
 /** Servers that may end under one before the promise begins. */
@@ -68,7 +68,7 @@
 
 /** Notes that such a request reached a server, where its box is bound by the promise. */
 export function noteEndingSend(world: World, box: VirtualBox, digest: string): void {
-  if (isInTouch(world, box)) endingOf(world, digest).sentAtMs.push(nowMs(world));
+  if (isSynchronized(world, box)) endingOf(world, digest).sentAtMs.push(nowMs(world));
 }
 
 /** What became of one such request. */
--- a/packages/reedlug-simulator/src/faults/limitedServers.ts
+++ b/packages/reedlug-simulator/src/faults/limitedServers.ts
@@ -1,6 +1,6 @@
 /** Servers in need that name a limit in their answers, and what is promised of them. */
 import type { LimitStatement } from 'reedlug-gateway';
-import { isInTouch, type VirtualBox } from '../boxes/virtualBox.js';
+import { isSynchronized, type VirtualBox } from '../boxes/virtualBox.js';
 import type { LimitedServerRecord } from '../report/sceneRecord.js';
 import { greatestShare, type TimedAmount } from '../report/slidingSum.js';
 import type { SceneFaultSpec } from '../scene/scene.js';
@@ -92,7 +92,7 @@
   const record = world.record.limitedServers.findLast((known) => known.server === server);
   const atMs = nowMs(world);
   const isBound = (record?.toldAtMs.get(box) ?? Infinity) <= atMs - TOLD_MS;
-  record?.arrivals.push({ atMs, isBound: isBound && isInTouch(world, box) });
+  record?.arrivals.push({ atMs, isBound: isBound && isSynchronized(world, box) });
 }
 
 /** How a server's limit was kept. */
--- a/packages/reedlug-simulator/src/report/configurationRecord.ts
+++ b/packages/reedlug-simulator/src/report/configurationRecord.ts
@@ -1,5 +1,5 @@
 /** Whether each box has a configuration in time. */
-import { isInTouch } from '../boxes/virtualBox.js';
+import { isSynchronized } from '../boxes/virtualBox.js';
 import { later, nowMs, type World } from '../world.js';
 
 /** Time from a write until boxes in touch have what was written, in ms: the users' figure. */
@@ -13,7 +13,7 @@
   later(world, IN_FORCE_MS, () => {
     if (store.lastAwayAtMs >= writtenAtMs || store.outage !== undefined) return;
     for (const box of world.boxes.values()) {
-      if (!box.isListening || !isInTouch(world, box)) continue;
+      if (!box.isListening || !isSynchronized(world, box)) continue;
       const version = box.state.active?.configuration.version ?? 0;
       if (version >= configuration.version) continue;
       const detail = `${box.id} has version ${version} of ${configuration.version}`;
--- a/packages/reedlug-simulator/src/runScene.ts
+++ b/packages/reedlug-simulator/src/runScene.ts
@@ -8,7 +8,7 @@
   type WorkspaceSpec,
 } from 'reedlug-gateway';
 import { createEventQueue, createRandom } from 'reedlug-standins';
-import { placesOf } from './boxes/boxPlaces.js';
+import { boxSpecsOf } from './boxes/boxPlaces.js';
 import { startBox } from './boxes/virtualBox.js';
 import { startCallers } from './callers/callers.js';
 import {
@@ -41,7 +41,7 @@
 ): Promise<SceneReport> {
   const world = createWorld(scene, seed);
   world.record.onLog = onLog;
-  const places = placesOf(scene.zones, scene.boxesPerZone, scene.largerBoxesPerZone);
+  const places = boxSpecsOf(scene.zones, scene.boxesPerZone, scene.largerBoxesPerZone);
   for (const { id, host } of places) world.boxIdByHost.set(host, id);
   world.store.putConfiguration(world.configuration);
   startServers(world);
