--- a/packages/reedlug-simulator/src/faults/copyStore.ts
+++ b/packages/reedlug-simulator/src/faults/copyStore.ts
@@ -21,7 +21,7 @@
   noteDutyTrouble(world, fault.awayS * 1000);
   later(world, fault.awayS * 1000, () => {
     world.store.setOutage(undefined);
-    const lost = world.store.comeBackAsOf(lostFromMs);
+    const lost = world.store.restoreTo(lostFromMs);
     for (const change of newestOfEach(lost)) writeAgain(world, change, fault.againWithinS * 1000);
     later(world, OTHER_WRITES_AFTER_MS, () => world.store.skipVersions(fault.otherWrites));
   });
--- a/packages/reedlug-simulator/src/report/configurationRecord.ts
+++ b/packages/reedlug-simulator/src/report/configurationRecord.ts
@@ -11,7 +11,7 @@
   const writtenAtMs = nowMs(world);
   store.putConfiguration(configuration);
   later(world, IN_FORCE_MS, () => {
-    if (store.lastAwayAtMs >= writtenAtMs || store.outage !== undefined) return;
+    if (store.lastOutageChangeAtMs >= writtenAtMs || store.outage !== undefined) return;
     for (const box of world.boxes.values()) {
       if (!box.isListening || !isSynchronized(world, box)) continue;
       const version = box.state.active?.configuration.version ?? 0;
--- a/packages/reedlug-simulator/src/store/storeCollection.ts
+++ b/packages/reedlug-simulator/src/store/storeCollection.ts
@@ -32,12 +32,12 @@
 }
 
 /** Lets all calls that wait look whether there is something for them. */
-export function wake<T>(collection: Collection<T>): void {
+export function wakeWaiting<T>(collection: Collection<T>): void {
   for (const check of [...collection.waiting]) check();
 }
 
 /** How far the store's counter is, and in which era. */
-export interface StoreMoment {
+export interface StorePosition {
   era: number;
   version: number;
 }
@@ -45,7 +45,7 @@
 function pageOf<T>(
   world: World,
   rows: readonly StoredItem<T>[],
-  { era, version }: StoreMoment,
+  { era, version }: StorePosition,
 ): FeedAnswer<T> {
   const sorted = [...rows].sort((a, b) => a.version - b.version);
   const revisionOf = (row: StoredItem<T>): number => storeRevision({ era, version: row.version });
@@ -57,12 +57,12 @@
 }
 
 /** The whole as one page. */
-export function wholeOf<T>(
+export function fullPageOf<T>(
   world: World,
   collection: Collection<T>,
-  moment: StoreMoment,
+  position: StorePosition,
 ): FeedAnswer<T> {
-  return pageOf(world, [...collection.items.values()], moment);
+  return pageOf(world, [...collection.items.values()], position);
 }
 
 /** What was written or removed after a version. */
@@ -70,12 +70,12 @@
   world: World,
   { items, removed }: Collection<T>,
   afterVersion: number,
-  moment: StoreMoment,
+  position: StorePosition,
 ): FeedAnswer<T> {
   const rows = [...items.values(), ...removed.values()];
   return pageOf(
     world,
     rows.filter(({ version }) => version > afterVersion),
-    moment,
+    position,
   );
 }
--- a/packages/reedlug-simulator/src/store/storeHistory.ts
+++ b/packages/reedlug-simulator/src/store/storeHistory.ts
@@ -1,7 +1,7 @@
 /** Changes of the store's rows of the last seconds, so that the store can come back as it was. */
 
 /** Time for which changes are kept, in ms: longer than any copy is old. */
-const KEPT_MS = 15_000;
+const RETENTION_MS = 15_000;
 
 /** A change that was made. */
 export interface StoreChange {
@@ -21,22 +21,22 @@
 
 /** Changes in the order in which they were made. */
 export interface StoreHistory {
-  note: (change: StoreChange) => void;
+  recordChange: (change: StoreChange) => void;
   /** Takes back all changes after a time; gives them, the newest first. */
-  takeBack: (afterMs: number) => StoreChange[];
+  revertAfter: (afterMs: number) => StoreChange[];
 }
 
 /** Returns an empty history. */
 export function createStoreHistory(): StoreHistory {
   let changes: StoreChange[] = [];
   return {
-    note(change) {
+    recordChange(change) {
       changes.push(change);
       const [oldest] = changes;
-      if (oldest === undefined || change.atMs - oldest.atMs < 2 * KEPT_MS) return;
-      changes = changes.filter(({ atMs }) => change.atMs - atMs < KEPT_MS);
+      if (oldest === undefined || change.atMs - oldest.atMs < 2 * RETENTION_MS) return;
+      changes = changes.filter(({ atMs }) => change.atMs - atMs < RETENTION_MS);
     },
-    takeBack(afterMs) {
+    revertAfter(afterMs) {
       const lost = changes.filter(({ atMs }) => atMs > afterMs).reverse();
       changes = changes.filter(({ atMs }) => atMs <= afterMs);
       for (const { undo } of lost) undo();
--- a/packages/reedlug-simulator/src/store/virtualStore.ts
+++ b/packages/reedlug-simulator/src/store/virtualStore.ts
@@ -33,10 +33,10 @@
   changesOf,
   createCollection,
   setOrDelete,
-  wake,
-  wholeOf,
+  wakeWaiting,
+  fullPageOf,
   type Collection,
-  type StoreMoment,
+  type StorePosition,
 } from './storeCollection.js';
 import { createStoreHistory, StoreWriter, type StoreChange } from './storeHistory.js';
 
@@ -45,7 +45,7 @@
 /** The era of a store that never came back from a copy. */
 const FIRST_ERA = 1;
 /** Rows of one answer at most, as the users' store gives them. */
-const ROWS_OF_A_PAGE = 500;
+const MAX_ROWS_PER_PAGE = 500;
 
 /** What calls are for. */
 export const StoreCall = {
@@ -64,7 +64,7 @@
 export type StoreOutage = (typeof StoreOutage)[keyof typeof StoreOutage];
 
 /** A change of one item. */
-interface Put<T> {
+interface ItemWrite<T> {
   key: string;
   itemOf: (revision: number) => T;
   writer: StoreWriter;
@@ -84,11 +84,11 @@
   /** Begins or ends an outage. */
   setOutage: (outage: StoreOutage | undefined) => void;
   /** When it last did not answer, or came back; before the start of the clock if never. */
-  lastAwayAtMs: number;
+  lastOutageChangeAtMs: number;
   /** How often it has come back from a copy. */
   copies: number;
   /** Comes back as it was at a time; versions since then are given out again. Gives what is lost, the newest first. */
-  comeBackAsOf: (atMs: number) => StoreChange[];
+  restoreTo: (atMs: number) => StoreChange[];
   /** Writes of others: versions rise, nothing else changes. */
   skipVersions: (count: number) => void;
   calls: Map<StoreCall, number>;
@@ -117,25 +117,25 @@
   const history = createStoreHistory();
 
   /** Notes what stands before a change, so that it can be taken back. */
-  const noteChange = (
+  const recordChange = (
     change: Pick<StoreChange, 'writer' | 'key' | 'redo'>,
-    restore: () => void,
+    revert: () => void,
   ): void => {
     const versionBefore = version;
     const undo = (): void => {
-      restore();
+      revert();
       version = versionBefore;
     };
-    history.note({ ...change, atMs: nowMs(worldOf()), undo });
+    history.recordChange({ ...change, atMs: nowMs(worldOf()), undo });
   };
   /** Puts an item, or removes it where `isRemoval` says so. */
   const put = <T>(
     collection: Collection<T>,
-    { key, itemOf, writer, isRemoval = false, redo }: Put<T>,
+    { key, itemOf, writer, isRemoval = false, redo }: ItemWrite<T>,
   ): void => {
     const { items, removed, newestVersion } = collection;
     const [itemBefore, removedBefore] = [items.get(key), removed.get(key)];
-    noteChange({ writer, key, redo }, () => {
+    recordChange({ writer, key, redo }, () => {
       setOrDelete(items, key, itemBefore);
       setOrDelete(removed, key, removedBefore);
       collection.newestVersion = newestVersion;
@@ -144,13 +144,13 @@
     setOrDelete(items, key, isRemoval ? undefined : row);
     setOrDelete(removed, key, isRemoval ? row : undefined);
     collection.newestVersion = row.version;
-    wake(collection);
+    wakeWaiting(collection);
   };
   const changeTable = (given: Extract<TableOp, { kind: 'transact' }>): TableAnswer => {
     const op = withStoreVersions(given);
     const before = op.writes.map(({ key }) => ({ key, row: table.rows.get(key) }));
     const key = op.writes[0]?.key ?? '';
-    noteChange({ writer: StoreWriter.box, key, redo: undefined }, () => {
+    recordChange({ writer: StoreWriter.box, key, redo: undefined }, () => {
       for (const { key, row } of before) setOrDelete(table.rows, key, row);
       table.sortedIsStale = true;
     });
@@ -160,11 +160,11 @@
     calls.set(call, (calls.get(call) ?? 0) + times);
   };
 
-  const isSilentTo = (zone: string): boolean =>
+  const isUnreachableFrom = (zone: string): boolean =>
     store.outage === StoreOutage.silent || areCut(worldOf(), zone, STORE_ZONE);
 
-  const eraOfStore = (): number => FIRST_ERA + store.copies;
-  const storeNow = (): StoreMoment => ({ era: eraOfStore(), version });
+  const currentEra = (): number => FIRST_ERA + store.copies;
+  const currentPosition = (): StorePosition => ({ era: currentEra(), version });
 
   /** Answers a call after the store's time, or never within its limit. */
   const answer = <R>(
@@ -177,11 +177,11 @@
     return new Promise((resolve) => {
       const settle = (value: R): void => {
         if (!caller.isAlive()) return;
-        if (!isSilentTo(caller.zone)) caller.onEra(eraOfStore());
+        if (!isUnreachableFrom(caller.zone)) caller.onEra(currentEra());
         world.hasSettled = true;
         resolve(value);
       };
-      if (isSilentTo(caller.zone)) return later(world, timeoutMs, () => settle(silent));
+      if (isUnreachableFrom(caller.zone)) return later(world, timeoutMs, () => settle(silent));
       later(world, world.scene.storeAnswerMs, () =>
         settle(store.outage === undefined ? make() : silent),
       );
@@ -196,11 +196,11 @@
     const unavailable: FeedAnswer<T> = { kind: 'unavailable', reason: 'silent' };
     return {
       readAll(timeoutMs) {
-        count(call, Math.max(1, Math.ceil(collection.items.size / ROWS_OF_A_PAGE)));
+        count(call, Math.max(1, Math.ceil(collection.items.size / MAX_ROWS_PER_PAGE)));
         return answer(
           caller,
           timeoutMs,
-          () => wholeOf(worldOf(), collection, storeNow()),
+          () => fullPageOf(worldOf(), collection, currentPosition()),
           unavailable,
         );
       },
@@ -212,16 +212,16 @@
           let isDone = false;
           const finish = (): void => {
             if (isDone) return;
-            if (isSilentTo(caller.zone)) return;
+            if (isUnreachableFrom(caller.zone)) return;
             isDone = true;
             collection.waiting.delete(check);
             later(world, world.scene.storeAnswerMs, () => {
               if (!caller.isAlive()) return;
-              caller.onEra(eraOfStore());
+              caller.onEra(currentEra());
               world.hasSettled = true;
               if (store.outage !== undefined) return resolve(unavailable);
               if (afterVersion > version) return resolve({ kind: 'historyGone' });
-              resolve(changesOf(world, collection, afterVersion, storeNow()));
+              resolve(changesOf(world, collection, afterVersion, currentPosition()));
             });
           };
           const check = (): void => {
@@ -250,17 +250,17 @@
     outage: undefined,
     setOutage(outage) {
       store.outage = outage;
-      store.lastAwayAtMs = nowMs(worldOf());
+      store.lastOutageChangeAtMs = nowMs(worldOf());
       if (outage === undefined) return;
-      wake(operators);
-      wake(servers);
-      wake(boxes);
+      wakeWaiting(operators);
+      wakeWaiting(servers);
+      wakeWaiting(boxes);
     },
-    lastAwayAtMs: Number.NEGATIVE_INFINITY,
+    lastOutageChangeAtMs: Number.NEGATIVE_INFINITY,
     copies: 0,
-    comeBackAsOf(atMs) {
+    restoreTo(atMs) {
       store.copies += 1;
-      return history.takeBack(atMs);
+      return history.revertAfter(atMs);
     },
     skipVersions(count) {
       version += count;
@@ -304,7 +304,7 @@
         boxes: openFeed(boxes, StoreCall.boxes, caller),
         announceBox(boxId, address, holdsPart) {
           count(StoreCall.announce);
-          const enter = (): boolean => {
+          const register = (): boolean => {
             const itemOf = (revision: number): PeerChange => ({
               boxId,
               address,
@@ -314,14 +314,14 @@
             put(boxes, { key: boxId, itemOf, writer: StoreWriter.box });
             return true;
           };
-          return answer(caller, ANNOUNCE_TIMEOUT_MS, enter, false);
+          return answer(caller, ANNOUNCE_TIMEOUT_MS, register, false);
         },
         table(op, timeoutMs) {
           const key = op.kind === 'transact' ? op.writes[0]?.key : undefined;
           count(purposeOf(key ?? (op.kind === 'read' ? op.keys[0] : undefined)));
           const done = (): StoreTableReply => {
             const found = op.kind === 'transact' ? changeTable(op) : applyTableOp(table, op);
-            const era = eraOfStore();
+            const era = currentEra();
             return {
               answer: answerWithRevisions(op, found, era),
               storeNowMs: nowMs(worldOf()),
