--- a/packages/reedlug-simulator/src/boxes/performEffect.ts
+++ b/packages/reedlug-simulator/src/boxes/performEffect.ts
@@ -18,15 +18,15 @@
 } from '../servers/virtualServers.js';
 import { noteArrival, noteLog, noteRun } from '../report/sceneRecord.js';
 import { areCut, boxAt, later, nowMs, takeNumber, wayMs, type World } from '../world.js';
-import { endUnder, noteEndingSend } from '../faults/endingRequests.js';
-import { isTurnedDown, noteLimitedArrival } from '../faults/limitedServers.js';
+import { crashUnder, recordCrashingSend } from '../faults/endingRequests.js';
+import { exceedsStatedLimit, recordLimitedArrival } from '../faults/limitedServers.js';
 import {
-  isRefused,
-  noteArrivalAtStating,
-  noteStated,
+  refusesRequest,
+  recordStatementArrival,
+  recordStatements,
   statementsOf,
 } from '../faults/statingServers.js';
-import { faultOfVersion, noteRolloutArrival } from '../faults/rollouts.js';
+import { faultOfVersion, recordRolloutArrival } from '../faults/rollouts.js';
 import { slowDown } from '../servers/batchEngine.js';
 import { killBox, stopRunAt, type VirtualBox } from './virtualBox.js';
 
@@ -117,13 +117,13 @@
   if (caller === undefined) return;
   const { request } = caller;
   noteArrival(world, request, server.entry.service);
-  noteRolloutArrival(world, server);
-  noteLimitedArrival(world, server, box);
+  recordRolloutArrival(world, server);
+  recordLimitedArrival(world, server, box);
   const callerSentAtMs = request.reachedBoxAtMs ?? nowMs(world);
-  noteArrivalAtStating(world, { server, box, callerSentAtMs });
+  recordStatementArrival(world, { server, box, callerSentAtMs });
   if (request.crashesServer !== undefined) {
-    noteEndingSend(world, box, request.facts.digest);
-    return endUnder(world, server, request.facts.digest, request.crashesServer);
+    recordCrashingSend(world, box, request.facts.digest);
+    return crashUnder(world, server, request.facts.digest, request.crashesServer);
   }
   const versionFault = faultOfVersion(world, server, request.spec.name);
   const tryNumber = request.tries;
@@ -149,12 +149,12 @@
       const isOpen = verdict === 'success' && effect.streaming;
       if (!isOpen) endSend(box, server, attemptId, runId);
       box.emit({ type: 'answerBegun', ...ids, statements });
-      noteStated(world, { server, box, statements });
+      recordStatements(world, { server, box, statements });
       box.emit({ type: 'attemptAnswered', ...ids, verdict, status });
     });
   };
   const onRejected = (): void => answer('notRun', 503);
-  if (isTurnedDown(world, server) || isRefused(world, server)) return onRejected();
+  if (exceedsStatedLimit(world, server) || refusesRequest(world, server)) return onRejected();
   if (server.work.kind === 'plain') {
     const onAnswered = (): void => {
       recordStart();
--- a/packages/reedlug-simulator/src/faults/applyFaults.ts
+++ b/packages/reedlug-simulator/src/faults/applyFaults.ts
@@ -15,28 +15,28 @@
 import { noteDutyTrouble } from '../report/dutyRecord.js';
 import { later, type World } from '../world.js';
 import { changeLimits } from './changeLimits.js';
-import { copyStore } from './copyStore.js';
-import { sendEndingRequests } from './endingRequests.js';
+import { restoreStore } from './copyStore.js';
+import { sendCrashingRequests } from './endingRequests.js';
 import { limitServers } from './limitedServers.js';
-import { leaveServers, restServers } from './statingServers.js';
-import { beginRollout } from './rollouts.js';
+import { announceDraining, refuseRequests } from './statingServers.js';
+import { startRollout } from './rollouts.js';
 
 /** Time until a process that ended is started again, in ms. */
-const RESTART_MS = 100;
+const RESTART_DELAY_MS = 100;
 /** Pause between looks whether a box has stopped as planned, in ms. */
-const STOP_CHECK_MS = 100;
+const STOP_POLL_INTERVAL_MS = 100;
 
 type FaultOf<K extends SceneFaultSpec['kind']> = Extract<SceneFaultSpec, { kind: K }>;
 
 /** Sets every fault of a scene to its time; gives what they change of the load. */
-export function scheduleFaults(world: World, places: readonly BoxSpec[]): LoadChanges {
+export function scheduleFaults(world: World, specs: readonly BoxSpec[]): LoadChanges {
   const active = new Set<SceneFaultSpec>();
   const firstAtMs = world.scene.leadS * 1000;
   for (const fault of world.scene.faults) {
     world.queue.at(firstAtMs + fault.atS * 1000, () => {
       active.add(fault);
       if ('forS' in fault) later(world, fault.forS * 1000, () => active.delete(fault));
-      begin(world, fault, places);
+      applyFault(world, fault, specs);
     });
   }
   const ofKind = <K extends SceneFaultSpec['kind']>(kind: K): FaultOf<K>[] =>
@@ -57,20 +57,20 @@
   };
 }
 
-function begin(world: World, fault: SceneFaultSpec, places: readonly BoxSpec[]): void {
+function applyFault(world: World, fault: SceneFaultSpec, specs: readonly BoxSpec[]): void {
   switch (fault.kind) {
     case 'killBoxes':
-      return killBoxes(world, fault, places);
+      return killBoxes(world, fault, specs);
     case 'rollBoxes':
-      return rollBoxes(world, fault, places);
+      return rollBoxes(world, fault, specs);
     case 'cutZone': {
       world.cutZones.add(fault.zone);
       noteDutyTrouble(world, fault.forS * 1000);
-      const cut: World['cuts'][number] = { fromMs: world.queue.nowMs(), toMs: undefined };
-      world.cuts.push(cut);
+      const partition: World['cuts'][number] = { fromMs: world.queue.nowMs(), toMs: undefined };
+      world.cuts.push(partition);
       return later(world, fault.forS * 1000, () => {
         world.cutZones.delete(fault.zone);
-        cut.toMs = world.queue.nowMs();
+        partition.toMs = world.queue.nowMs();
         world.lastCutEndedAtMs = world.queue.nowMs();
       });
     }
@@ -81,13 +81,13 @@
     case 'restartEngines':
       return restartEngines(world, fault);
     case 'endingRequests':
-      return sendEndingRequests(world, fault);
+      return sendCrashingRequests(world, fault);
     case 'limitServers':
-      return limitServers(world, fault, drawReady(world, fault));
+      return limitServers(world, fault, pickReadyServers(world, fault));
     case 'leaveServers':
-      return leaveServers(world, fault, drawReady(world, fault));
+      return announceDraining(world, fault, pickReadyServers(world, fault));
     case 'restServers':
-      return restServers(world, fault, drawReady(world, fault));
+      return refuseRequests(world, fault, pickReadyServers(world, fault));
     case 'failRequests': {
       world.failShare = fault.share;
       return later(world, fault.forS * 1000, () => {
@@ -102,9 +102,9 @@
       });
     }
     case 'copyStore':
-      return copyStore(world, fault);
+      return restoreStore(world, fault);
     case 'rollout':
-      return beginRollout(world, fault);
+      return startRollout(world, fault);
     case 'changeLimits':
       return changeLimits(world, fault.factor);
     case 'addBoxes':
@@ -121,68 +121,68 @@
 function addBoxes(world: World, perZone: number): void {
   const { zones, boxesPerZone } = world.scene;
   const known = new Set(world.boxIdByHost.values());
-  for (const place of boxSpecsOf(zones, boxesPerZone + perZone)) {
-    if (known.has(place.id)) continue;
-    world.boxIdByHost.set(place.host, place.id);
-    startBox(world, place, 1);
+  for (const spec of boxSpecsOf(zones, boxesPerZone + perZone)) {
+    if (known.has(spec.id)) continue;
+    world.boxIdByHost.set(spec.host, spec.id);
+    startBox(world, spec, 1);
   }
 }
 
 /** Draws a share of a service's servers that do not leave. */
-function drawReady(
+function pickReadyServers(
   world: World,
   { service, share }: { service: string; share: number },
 ): VirtualServer[] {
   const ready = [...world.servers.values()].filter(
     (server) => server.entry.service === service && takesWork(server),
   );
-  return drawShare(world, ready, share);
+  return pickShare(world, ready, share);
 }
 
 /** Draws a share of things, in an order of the seed. */
-function drawShare<T>(world: World, things: readonly T[], share: number): T[] {
-  const left = [...things];
-  const drawn: T[] = [];
-  const wanted = Math.round(things.length * share);
-  while (drawn.length < wanted) {
-    drawn.push(...left.splice(world.random.whole(0, left.length - 1), 1));
+function pickShare<T>(world: World, items: readonly T[], share: number): T[] {
+  const left = [...items];
+  const picked: T[] = [];
+  const wanted = Math.round(items.length * share);
+  while (picked.length < wanted) {
+    picked.push(...left.splice(world.random.whole(0, left.length - 1), 1));
   }
-  return drawn;
+  return picked;
 }
 
-function killBoxes(world: World, fault: FaultOf<'killBoxes'>, places: readonly BoxSpec[]): void {
+function killBoxes(world: World, fault: FaultOf<'killBoxes'>, specs: readonly BoxSpec[]): void {
   noteDutyTrouble(world, fault.downS * 1000 + world.scene.boxStartMs);
-  for (const place of drawShare(world, places, fault.share)) {
-    const box = world.boxes.get(place.id);
+  for (const spec of pickShare(world, specs, fault.share)) {
+    const box = world.boxes.get(spec.id);
     if (box === undefined) continue;
     killBox(world, box, false);
-    later(world, fault.downS * 1000, () => restart(world, place, box));
+    later(world, fault.downS * 1000, () => restartBox(world, spec, box));
   }
 }
 
 /** Two faults may have ended the same process: it has one next life. */
-function restart(world: World, place: BoxSpec, before: VirtualBox): void {
-  if (world.boxes.get(place.id) !== before) return;
-  startBox(world, place, before.incarnation + 1);
+function restartBox(world: World, spec: BoxSpec, before: VirtualBox): void {
+  if (world.boxes.get(spec.id) !== before) return;
+  startBox(world, spec, before.incarnation + 1);
 }
 
 /** Stops and starts boxes in turn, as for a release of the boxes themselves. */
-function rollBoxes(world: World, fault: FaultOf<'rollBoxes'>, places: readonly BoxSpec[]): void {
-  const chosen = drawShare(world, places, fault.share);
+function rollBoxes(world: World, fault: FaultOf<'rollBoxes'>, specs: readonly BoxSpec[]): void {
+  const chosen = pickShare(world, specs, fault.share);
   noteDutyTrouble(world, fault.gapS * 1000 + world.scene.bounds.graceMs);
-  chosen.forEach((place, index) => {
+  chosen.forEach((spec, index) => {
     later(world, (index * fault.gapS * 1000) / chosen.length, () => {
-      const box = world.boxes.get(place.id);
+      const box = world.boxes.get(spec.id);
       if (box?.isAlive !== true) return;
       box.emit({ type: 'stopAsked' });
-      awaitStop(world, box, () => restart(world, place, box));
+      awaitStop(world, box, () => restartBox(world, spec, box));
     });
   });
 }
 
 function awaitStop(world: World, box: VirtualBox, then: () => void): void {
-  if (!box.isAlive) return later(world, RESTART_MS, then);
-  later(world, STOP_CHECK_MS, () => awaitStop(world, box, then));
+  if (!box.isAlive) return later(world, RESTART_DELAY_MS, then);
+  later(world, STOP_POLL_INTERVAL_MS, () => awaitStop(world, box, then));
 }
 
 function enginesWhere(world: World, matches: (server: VirtualServer) => boolean): VirtualServer[] {
@@ -204,20 +204,20 @@
   for (const server of reclaimable) {
     if (server.entry.zone === zone) drainServer(world, server, fault.noticeS * 1000);
   }
-  const dryUntilMs = world.queue.nowMs() + fault.dryS * 1000;
-  world.dryUntilMs = Math.max(world.dryUntilMs, dryUntilMs);
+  const outOfCapacityUntilMs = world.queue.nowMs() + fault.dryS * 1000;
+  world.dryUntilMs = Math.max(world.dryUntilMs, outOfCapacityUntilMs);
 }
 
 function restartEngines(world: World, fault: FaultOf<'restartEngines'>): void {
   const engines = enginesWhere(world, takesWork);
-  for (const server of drawShare(world, engines, fault.share)) {
+  for (const server of pickShare(world, engines, fault.share)) {
     restartServer(world, server, fault.downS * 1000, fault.tellsBirth);
   }
 }
 
 function crashEngines(world: World, fault: FaultOf<'crashEngines'>): void {
   const engines = enginesWhere(world, takesWork);
-  for (const server of drawShare(world, engines, fault.share)) {
+  for (const server of pickShare(world, engines, fault.share)) {
     if (fault.silent) silenceServer(world, server);
     else endServer(world, server);
   }
--- a/packages/reedlug-simulator/src/faults/copyStore.ts
+++ b/packages/reedlug-simulator/src/faults/copyStore.ts
@@ -7,12 +7,12 @@
 import { noteDutyTrouble } from '../report/dutyRecord.js';
 
 /** Time from the store's return until others have written as well, in ms: less than a box's pause after a failed call. */
-const OTHER_WRITES_AFTER_MS = 40;
+const OTHER_WRITES_DELAY_MS = 40;
 /** Time after which an entry goes whose server writes it no more, in ms: three heartbeats. */
-const ENTRY_LAPSES_MS = 3600;
+const ENTRY_EXPIRY_MS = 3600;
 
 /** Takes the store away and brings it back from a copy. */
-export function copyStore(
+export function restoreStore(
   world: World,
   fault: Extract<SceneFaultSpec, { kind: 'copyStore' }>,
 ): void {
@@ -22,13 +22,14 @@
   later(world, fault.awayS * 1000, () => {
     world.store.setOutage(undefined);
     const lost = world.store.restoreTo(lostFromMs);
-    for (const change of newestOfEach(lost)) writeAgain(world, change, fault.againWithinS * 1000);
-    later(world, OTHER_WRITES_AFTER_MS, () => world.store.skipVersions(fault.otherWrites));
+    for (const change of newestPerKey(lost))
+      rewriteChange(world, change, fault.againWithinS * 1000);
+    later(world, OTHER_WRITES_DELAY_MS, () => world.store.skipVersions(fault.otherWrites));
   });
 }
 
 /** The last change of each key that others than boxes wrote. */
-function newestOfEach(lost: readonly StoreChange[]): StoreChange[] {
+function newestPerKey(lost: readonly StoreChange[]): StoreChange[] {
   const seen = new Set<string>();
   return lost.filter(({ writer, key }) => {
     if (writer === StoreWriter.box || seen.has(key)) return false;
@@ -37,7 +38,7 @@
   });
 }
 
-function writeAgain(world: World, { writer, key, redo }: StoreChange, withinMs: number): void {
+function rewriteChange(world: World, { writer, key, redo }: StoreChange, withinMs: number): void {
   const write = (): void => {
     if (writer === StoreWriter.operator)
       return redo === undefined ? putConfiguration(world) : redo();
@@ -47,7 +48,7 @@
   if (withinMs === 0) write();
   else later(world, world.random.unit() * withinMs, write);
   if (writer !== StoreWriter.server) return;
-  later(world, ENTRY_LAPSES_MS, () => {
+  later(world, ENTRY_EXPIRY_MS, () => {
     if (!world.servers.has(key)) world.store.removeServer(key);
   });
 }
--- a/packages/reedlug-simulator/src/faults/endingRequests.ts
+++ b/packages/reedlug-simulator/src/faults/endingRequests.ts
@@ -9,42 +9,47 @@
 import { CONTACT_MS, later, nowMs, takeNumber, type World } from '../world.js';
 
 /** Servers that may end under one before the promise begins. */
-const ENDS_BEFORE = 3;
+const MIN_CRASHES = 3;
 /** Sends that may be made after that, by all boxes in touch: the users' figure. */
-export const MOST_FURTHER_SENDS = 3;
+export const MAX_FURTHER_SENDS = 3;
 
-type EndingFault = Extract<SceneFaultSpec, { kind: 'endingRequests' }>;
+type CrashingRequestsFault = Extract<SceneFaultSpec, { kind: 'endingRequests' }>;
 
 /** Sends requests under which servers end, each again and again. */
-export function sendEndingRequests(world: World, fault: EndingFault): void {
+export function sendCrashingRequests(world: World, fault: CrashingRequestsFault): void {
   const spec = world.scene.classes.find(({ name }) => name === fault.class);
   if (spec === undefined) return;
   const untilMs = nowMs(world) + fault.forS * 1000;
   for (let index = 0; index < fault.count; index += 1) {
     const digest = `ending-${takeNumber(world, 'requests')}`;
     const firstInMs = world.random.unit() * fault.everyMs;
-    later(world, firstInMs, () => comeAgain(world, { fault, spec, digest, untilMs }));
+    later(world, firstInMs, () => sendRepeatedly(world, { fault, spec, digest, untilMs }));
   }
 }
 
-function comeAgain(
+function sendRepeatedly(
   world: World,
-  ending: { fault: EndingFault; spec: SceneClass; digest: string; untilMs: number },
+  series: { fault: CrashingRequestsFault; spec: SceneClass; digest: string; untilMs: number },
 ): void {
-  const { fault, spec, digest, untilMs } = ending;
+  const { fault, spec, digest, untilMs } = series;
   if (nowMs(world) >= untilMs) return;
   for (let copy = 0; copy < fault.copies; copy += 1) sendOne(world, fault, spec, digest);
-  later(world, fault.everyMs * (0.5 + world.random.unit()), () => comeAgain(world, ending));
+  later(world, fault.everyMs * (0.5 + world.random.unit()), () => sendRepeatedly(world, series));
 }
 
-function sendOne(world: World, fault: EndingFault, spec: SceneClass, digest: string): void {
+function sendOne(
+  world: World,
+  fault: CrashingRequestsFault,
+  spec: SceneClass,
+  digest: string,
+): void {
   const { scene, random } = world;
   const workspace = workspaceName(0);
   const number = takeNumber(world, 'requests');
   const shared = generateSharedParts(scene, random);
-  const drawn = generateRequest(scene, random, { spec, shared, workspace, number });
+  const generated = generateRequest(scene, random, { spec, shared, workspace, number });
   const zone = random.pick(scene.zones);
-  const request = createRequest(world, { ...drawn, spec, zone, workspace });
+  const request = createRequest(world, { ...generated, spec, zone, workspace });
   request.facts = { ...request.facts, digest };
   const { runMs, downS, tellsBirth } = fault;
   request.crashesServer = { runMs, downMs: downS * 1000, tellsBirth };
@@ -53,7 +58,7 @@
 }
 
 /** A server begins to run such a request, and ends a moment later. */
-export function endUnder(
+export function crashUnder(
   world: World,
   server: VirtualServer,
   digest: string,
@@ -67,21 +72,21 @@
 }
 
 /** Notes that such a request reached a server, where its box is bound by the promise. */
-export function noteEndingSend(world: World, box: VirtualBox, digest: string): void {
+export function recordCrashingSend(world: World, box: VirtualBox, digest: string): void {
   if (isSynchronized(world, box)) endingOf(world, digest).sentAtMs.push(nowMs(world));
 }
 
 /** What became of one such request. */
-export interface EndingRow {
+export interface CrashingRequestRow {
   digest: string;
   ended: number;
   furtherSends: number;
 }
 
 /** What became of each such request. */
-export function endingRows(world: World): EndingRow[] {
+export function crashingRequestRows(world: World): CrashingRequestRow[] {
   return [...world.record.endings].map(([digest, { endedAtMs, sentAtMs }]) => {
-    const thirdAtMs = endedAtMs[ENDS_BEFORE - 1] ?? Number.POSITIVE_INFINITY;
+    const thirdAtMs = endedAtMs[MIN_CRASHES - 1] ?? Number.POSITIVE_INFINITY;
     const furtherSends = sentAtMs.filter((atMs) => atMs > thirdAtMs + CONTACT_MS).length;
     return { digest, ended: endedAtMs.length, furtherSends };
   });
--- a/packages/reedlug-simulator/src/faults/limitedServers.ts
+++ b/packages/reedlug-simulator/src/faults/limitedServers.ts
@@ -8,11 +8,11 @@
 import { CONTACT_MS, later, nowMs, type World } from '../world.js';
 
 /** Time since a box passed such an answer on from which its sends count, in ms: the users' figure. */
-const TOLD_MS = 500;
+const STATEMENT_GRACE_MS = 500;
 /** Length of the windows in which requests are counted, in ms, and what is allowed in each beside the limit: the users' figures. */
 const WINDOW_MS = 4000;
 const ALLOWED_FACTOR = 1.5;
-const ALLOWED_ON_TOP = 5;
+const ALLOWED_SLACK = 5;
 
 type LimitFault = Extract<SceneFaultSpec, { kind: 'limitServers' }>;
 
@@ -73,7 +73,7 @@
 }
 
 /** Whether a server turns a request down that is the last to have reached it. */
-export function isTurnedDown(world: World, server: VirtualServer): boolean {
+export function exceedsStatedLimit(world: World, server: VirtualServer): boolean {
   const { limit } = server;
   if (limit?.turnsDown !== true) return false;
   const sinceMs = nowMs(world) - 1000;
@@ -82,16 +82,16 @@
 }
 
 /** Notes that a box has passed an answer on that names a limit. */
-export function noteLimitTold(world: World, server: VirtualServer, box: VirtualBox): void {
-  const told = currentRecord(world, server)?.toldAtMs;
-  if (told !== undefined && !told.has(box)) told.set(box, nowMs(world));
+export function recordLimitForwarded(world: World, server: VirtualServer, box: VirtualBox): void {
+  const forwarded = currentRecord(world, server)?.toldAtMs;
+  if (forwarded !== undefined && !forwarded.has(box)) forwarded.set(box, nowMs(world));
 }
 
 /** Notes a request that reached a server. */
-export function noteLimitedArrival(world: World, server: VirtualServer, box: VirtualBox): void {
+export function recordLimitedArrival(world: World, server: VirtualServer, box: VirtualBox): void {
   const record = world.record.limitedServers.findLast((known) => known.server === server);
   const atMs = nowMs(world);
-  const isBound = (record?.toldAtMs.get(box) ?? Infinity) <= atMs - TOLD_MS;
+  const isBound = (record?.toldAtMs.get(box) ?? Infinity) <= atMs - STATEMENT_GRACE_MS;
   record?.arrivals.push({ atMs, isBound: isBound && isSynchronized(world, box) });
 }
 
@@ -123,12 +123,12 @@
   const fromMs = namedAtMs + CONTACT_MS;
   const untilMs = Math.min(endedAtMs ?? Infinity, nowMs(world));
   const counted = arrivals.filter(({ atMs }) => atMs >= fromMs && atMs < untilMs);
-  const bound = mostOf(
+  const bound = greatestWindow(
     record,
     counted.filter(({ isBound }) => isBound),
   );
-  const all = mostOf(record, counted);
-  const granted = grantedBetween(record, fromMs, untilMs);
+  const all = greatestWindow(record, counted);
+  const allowedByLimits = allowedBetween(record, fromMs, untilMs);
   return {
     server: server.entry.id,
     perSecond: periods.at(-1)?.perSecond ?? 0,
@@ -136,29 +136,29 @@
     allowed: bound.allowed,
     mostOfAll: all.most,
     allowedOfAll: all.allowed,
-    usedShare: granted === 0 ? 0 : counted.length / granted,
+    usedShare: allowedByLimits === 0 ? 0 : counted.length / allowedByLimits,
     afterEnd: endedAtMs === undefined ? undefined : arrivalsAfter(record, endedAtMs),
   };
 }
 
 /** Requests of the window that is the greatest share of what is allowed. */
-function mostOf(
+function greatestWindow(
   record: LimitedServerRecord,
   arrivals: LimitedServerRecord['arrivals'],
 ): { most: number; allowed: number } {
   const amounts = arrivals.map(({ atMs }): TimedAmount => ({ atMs, amount: 1 }));
   return greatestShare(amounts, WINDOW_MS, (atMs) => {
-    return (highestLimit(record, atMs) * ALLOWED_FACTOR * WINDOW_MS) / 1000 + ALLOWED_ON_TOP;
+    return (highestLimit(record, atMs) * ALLOWED_FACTOR * WINDOW_MS) / 1000 + ALLOWED_SLACK;
   });
 }
 
 /** Requests that the limits named in a span of time let through. */
-function grantedBetween({ periods }: LimitedServerRecord, fromMs: number, untilMs: number): number {
-  const parts = periods.map(({ fromMs: beginMs, perSecond }, index) => {
+function allowedBetween({ periods }: LimitedServerRecord, fromMs: number, untilMs: number): number {
+  const amounts = periods.map(({ fromMs: beginMs, perSecond }, index) => {
     const endMs = Math.min(untilMs, periods[index + 1]?.fromMs ?? Infinity);
     return (Math.max(0, endMs - Math.max(fromMs, beginMs)) * perSecond) / 1000;
   });
-  return parts.reduce((sum, part) => sum + part, 0);
+  return amounts.reduce((sum, amount) => sum + amount, 0);
 }
 
 /** Requests of a span as long as the one in which all learn of the end, after it. */
--- a/packages/reedlug-simulator/src/faults/statingServers.ts
+++ b/packages/reedlug-simulator/src/faults/statingServers.ts
@@ -5,19 +5,19 @@
 import type { SceneFaultSpec } from '../scene/scene.js';
 import { endServer, restartServer, type VirtualServer } from '../servers/virtualServers.js';
 import { CONTACT_MS, later, nowMs, type World } from '../world.js';
-import { limitStatementOf, noteLimitTold } from './limitedServers.js';
+import { limitStatementOf, recordLimitForwarded } from './limitedServers.js';
 
 /** Time after a box was asked for rest from which requests count, in ms, and how many are allowed then: the users' figures. */
-const ASKED_MS = 500;
-const ALLOWED_IN_REST = 2;
+const PAUSE_GRACE_MS = 500;
+const MAX_REQUESTS_PER_PAUSE = 2;
 
-type LeaveFault = Extract<SceneFaultSpec, { kind: 'leaveServers' }>;
-type RestFault = Extract<SceneFaultSpec, { kind: 'restServers' }>;
+type DrainFault = Extract<SceneFaultSpec, { kind: 'leaveServers' }>;
+type RefuseFault = Extract<SceneFaultSpec, { kind: 'restServers' }>;
 
 /** Servers say from now on that they leave; their entries say nothing of it. */
-export function leaveServers(
+export function announceDraining(
   world: World,
-  fault: LeaveFault,
+  fault: DrainFault,
   servers: readonly VirtualServer[],
 ): void {
   for (const server of servers) {
@@ -32,9 +32,9 @@
 }
 
 /** Servers refuse a share of their requests for a while and may ask for rest. */
-export function restServers(
+export function refuseRequests(
   world: World,
-  fault: RestFault,
+  fault: RefuseFault,
   servers: readonly VirtualServer[],
 ): void {
   for (const server of servers) {
@@ -49,7 +49,7 @@
 }
 
 /** Whether a server refuses the request that has just reached it. */
-export function isRefused(world: World, { refusing }: VirtualServer): boolean {
+export function refusesRequest(world: World, { refusing }: VirtualServer): boolean {
   return refusing !== undefined && world.random.chance(refusing.share);
 }
 
@@ -67,13 +67,13 @@
 }
 
 /** Notes that a box has taken an answer that says something of its server. */
-export function noteStated(
+export function recordStatements(
   world: World,
   params: { server: VirtualServer; box: VirtualBox; statements: AnswerStatements },
 ): void {
   const { server, box, statements } = params;
   const { limit, isDraining, pauseMs } = statements;
-  if (limit.kind === 'limit') noteLimitTold(world, server, box);
+  if (limit.kind === 'limit') recordLimitForwarded(world, server, box);
   if (isDraining) {
     const { leavingToldAtMs } = recordOf(world, server);
     if (!leavingToldAtMs.has(box)) leavingToldAtMs.set(box, nowMs(world));
@@ -83,7 +83,7 @@
 }
 
 /** Notes a request that reached a server which has said something. */
-export function noteArrivalAtStating(
+export function recordStatementArrival(
   world: World,
   params: { server: VirtualServer; box: VirtualBox; callerSentAtMs: number },
 ): void {
@@ -101,7 +101,7 @@
 }
 
 /** What a server got after its words. */
-export interface StatingServerRow {
+export interface ServerStatementRow {
   server: string;
   /** Requests that count against the users' rule on servers that leave; none is allowed. */
   afterLeaving: number;
@@ -115,26 +115,28 @@
 }
 
 /** What servers got after their words. */
-export function statingServerRows(world: World): StatingServerRow[] {
+export function serverStatementRows(world: World): ServerStatementRow[] {
   return [...world.record.statingServers.values()].map((record) => rowOf(world, record));
 }
 
-function rowOf(world: World, record: StatingServerRecord): StatingServerRow {
+function rowOf(world: World, record: StatingServerRecord): ServerStatementRow {
   const { server, leavingToldAtMs, rests, arrivals } = record;
   const { drainMs } = world.scene.bounds;
-  const firstToldAtMs = Math.min(Infinity, ...leavingToldAtMs.values());
-  const isLate = (sentAtMs: number, toldAtMs: number): boolean => sentAtMs > toldAtMs + drainMs;
+  const firstStatedAtMs = Math.min(Infinity, ...leavingToldAtMs.values());
+  const isLate = (sentAtMs: number, statedAtMs: number): boolean => sentAtMs > statedAtMs + drainMs;
   const late = arrivals.filter(({ callerSentAtMs, box }) =>
     isLate(callerSentAtMs, leavingToldAtMs.get(box) ?? Infinity),
   );
-  const lateOfAll = arrivals.filter(({ callerSentAtMs }) => isLate(callerSentAtMs, firstToldAtMs));
-  const inRests = rests.map((rest) => {
+  const lateOfAll = arrivals.filter(({ callerSentAtMs }) =>
+    isLate(callerSentAtMs, firstStatedAtMs),
+  );
+  const pauseCounts = rests.map((pause) => {
     const inRest = arrivals.filter(
-      ({ atMs }) => atMs > rest.atMs + ASKED_MS && atMs < rest.atMs + rest.restMs,
+      ({ atMs }) => atMs > pause.atMs + PAUSE_GRACE_MS && atMs < pause.atMs + pause.restMs,
     );
-    const ofBox = inRest.filter(({ box }) => box === rest.box);
+    const ofBox = inRest.filter(({ box }) => box === pause.box);
     return {
-      ofBox: isExcused(world, rest.atMs, rest.restMs) ? 0 : ofBox.length,
+      ofBox: isExcused(world, pause.atMs, pause.restMs) ? 0 : ofBox.length,
       all: inRest.length,
     };
   });
@@ -142,16 +144,16 @@
     server: server.entry.id,
     afterLeaving: late.length,
     afterLeavingOfAll: lateOfAll.length,
-    inRest: Math.max(0, ...inRests.map(({ ofBox }) => ofBox)),
-    allowedInRest: ALLOWED_IN_REST,
-    inRestOfAll: Math.max(0, ...inRests.map(({ all }) => all)),
+    inRest: Math.max(0, ...pauseCounts.map(({ ofBox }) => ofBox)),
+    allowedInRest: MAX_REQUESTS_PER_PAUSE,
+    inRestOfAll: Math.max(0, ...pauseCounts.map(({ all }) => all)),
   };
 }
 
 /** A cut excuses a rest that it falls into; a box that starts anew is another one here. */
-function isExcused(world: World, fromMs: number, restMs: number): boolean {
+function isExcused(world: World, fromMs: number, pauseMs: number): boolean {
   return world.cuts.some(
-    ({ fromMs: cutAtMs, toMs = Infinity }) =>
-      cutAtMs < fromMs + restMs && toMs > fromMs - CONTACT_MS,
+    ({ fromMs: partitionedAtMs, toMs = Infinity }) =>
+      partitionedAtMs < fromMs + pauseMs && toMs > fromMs - CONTACT_MS,
   );
 }
--- a/packages/reedlug-simulator/src/report/sceneReport.ts
+++ b/packages/reedlug-simulator/src/report/sceneReport.ts
@@ -1,9 +1,13 @@
 /** The report of a run: what callers got, what it cost, what was broken. */
 import { factorInForce } from '../faults/changeLimits.js';
-import { endingRows, MOST_FURTHER_SENDS, type EndingRow } from '../faults/endingRequests.js';
+import {
+  crashingRequestRows,
+  MAX_FURTHER_SENDS,
+  type CrashingRequestRow,
+} from '../faults/endingRequests.js';
 import { limitedServerRows, type LimitedServerRow } from '../faults/limitedServers.js';
-import { statingServerRows, type StatingServerRow } from '../faults/statingServers.js';
-import { rolloutFaults } from '../faults/rollouts.js';
+import { serverStatementRows, type ServerStatementRow } from '../faults/statingServers.js';
+import { brokenRolloutGuarantees } from '../faults/rollouts.js';
 import type { World } from '../world.js';
 import { earnedShare, type Outcomes } from './outcomes.js';
 import type { BrokenPromise } from './sceneRecord.js';
@@ -58,9 +62,9 @@
   /** Servers that named a limit, and how it was kept. */
   limitedServers: LimitedServerRow[];
   /** Servers that said they leave, or asked for rest, and what they got after it. */
-  statingServers: StatingServerRow[];
+  statingServers: ServerStatementRow[];
   /** Requests under which servers end: how many ended, and sends later than allowed after the third. */
-  endings: EndingRow[];
+  endings: CrashingRequestRow[];
 }
 
 /** How a roll-out went. */
@@ -129,8 +133,8 @@
     broken: record.broken,
     logs: Object.fromEntries(record.logs),
     limitedServers: limitedServerRows(world),
-    statingServers: statingServerRows(world),
-    endings: endingRows(world),
+    statingServers: serverStatementRows(world),
+    endings: crashingRequestRows(world),
     rollouts: world.rollouts.map((watch) => ({
       version: watch.version,
       end: watch.end ?? 'none',
@@ -174,13 +178,14 @@
     if (most <= allowed) continue;
     breakBound(world, 'serverLimit', `${server}, ${perSecond} a second: ${most} of ${allowed}`);
   }
-  for (const { server, afterLeaving, inRest, allowedInRest } of statingServerRows(world)) {
+  for (const { server, afterLeaving, inRest, allowedInRest } of serverStatementRows(world)) {
     if (afterLeaving > 0) breakBound(world, 'serverLeaving', `${server}: ${afterLeaving}`);
     if (inRest > allowedInRest) breakBound(world, 'serverRest', `${server}: ${inRest} in one rest`);
   }
-  for (const { promise, detail } of rolloutFaults(world)) breakBound(world, promise, detail);
-  for (const { digest, ended, furtherSends } of endingRows(world)) {
-    if (furtherSends <= MOST_FURTHER_SENDS) continue;
+  for (const { promise, detail } of brokenRolloutGuarantees(world))
+    breakBound(world, promise, detail);
+  for (const { digest, ended, furtherSends } of crashingRequestRows(world)) {
+    if (furtherSends <= MAX_FURTHER_SENDS) continue;
     breakBound(world, 'endingRequest', `${digest}: ${furtherSends} more, ${ended} servers ended`);
   }
 }
--- a/packages/reedlug-simulator/src/world.ts
+++ b/packages/reedlug-simulator/src/world.ts
@@ -5,7 +5,7 @@
 import type { SceneRecord } from './report/sceneRecord.js';
 import type { VirtualBox } from './boxes/virtualBox.js';
 import type { LimitPeriod } from './faults/changeLimits.js';
-import type { RolloutWatch } from './faults/rollouts.js';
+import type { RolloutState } from './faults/rollouts.js';
 import type { VirtualServer } from './servers/virtualServers.js';
 import type { VirtualStore } from './store/virtualStore.js';
 
@@ -30,7 +30,7 @@
   /** Share of requests that engines fail now. */
   failShare: number;
   /** Roll-outs ordered so far. */
-  rollouts: RolloutWatch[];
+  rollouts: RolloutState[];
   /** Until when no reclaimable engines are to be had. */
   dryUntilMs: number;
   workspaces: readonly WorkspaceSpec[];
