--- a/packages/reedlug-simulator/src/boxes/performEffect.ts
+++ b/packages/reedlug-simulator/src/boxes/performEffect.ts
@@ -11,9 +11,9 @@
   type Effect,
 } from 'reedlug-gateway';
 import {
-  reaches,
+  isReachableFrom,
   submitToEngine,
-  takeCloudCall,
+  handleCloudCall,
   type VirtualServer,
 } from '../servers/virtualServers.js';
 import { noteArrival, noteLog, noteRun } from '../report/sceneRecord.js';
@@ -27,7 +27,7 @@
   statementsOf,
 } from '../faults/statingServers.js';
 import { faultOfVersion, recordRolloutArrival } from '../faults/rollouts.js';
-import { slowDown } from '../servers/batchEngine.js';
+import { setSlowFactor } from '../servers/batchEngine.js';
 import { killBox, stopRunAt, type VirtualBox } from './virtualBox.js';
 
 /** Zone of the cloud; nothing else is in it. */
@@ -83,7 +83,7 @@
   const server = world.servers.get(order.serverId);
   const caller = box.exchanges.get(exchangeId);
   if (caller === undefined) return;
-  if (server === undefined || !reaches(world, box.settings.box.zone, server)) {
+  if (server === undefined || !isReachableFrom(world, box.settings.box.zone, server)) {
     // A dead port answers at once, a silent one not at all.
     const isGone = server === undefined;
     return later(world, isGone ? 1 : CONNECT_TIMEOUT_MS, () => {
@@ -136,7 +136,7 @@
   let isBroken = false;
   /** What the server says, unless it has gone silent or the box has left it. */
   const respond = (deliver: () => void): void => {
-    isBroken ||= !reaches(world, box.settings.box.zone, server);
+    isBroken ||= !isReachableFrom(world, box.settings.box.zone, server);
     if (isBroken) return;
     const ms = wayMs(world, box.settings.box.zone, server.entry.zone);
     later(world, ms, () => {
@@ -164,7 +164,7 @@
     const workMs = request.workMs * versionFault.slowFactor;
     return server.work.server.submit({ runId, workMs, onAnswered, onRejected });
   }
-  slowDown(server.work.engine, versionFault.slowFactor);
+  setSlowFactor(server.work.engine, versionFault.slowFactor);
   if (versionFault.fails || world.random.chance(world.failShare)) {
     recordStart();
     return later(world, FAILURE_MS, () => answer('failure', 500));
@@ -234,7 +234,7 @@
   if (server === undefined) {
     return later(world, ms, () => box.emit({ type: 'serverProbed', life, outcome: 'refused' }));
   }
-  const isReached = reaches(world, box.settings.box.zone, server);
+  const isReached = isReachableFrom(world, box.settings.box.zone, server);
   const outcome = isReached ? 'accepted' : 'silent';
   later(world, isReached ? ms : CONNECT_TIMEOUT_MS, () => {
     box.emit({ type: 'serverProbed', life, outcome });
@@ -256,7 +256,7 @@
     );
   }
   later(world, world.scene.storeAnswerMs, () => {
-    const outcome = takeCloudCall(world, { call, holder: box.id, fence });
+    const outcome = handleCloudCall(world, { call, holder: box.id, fence });
     box.emit({ type: 'cloudAnswered', callId, outcome });
   });
 }
--- a/packages/reedlug-simulator/src/faults/applyFaults.ts
+++ b/packages/reedlug-simulator/src/faults/applyFaults.ts
@@ -7,7 +7,7 @@
   endServer,
   restartServer,
   silenceServer,
-  takesWork,
+  acceptsNewWork,
   type VirtualServer,
 } from '../servers/virtualServers.js';
 import { boxSpecsOf } from '../boxes/boxPlaces.js';
@@ -134,7 +134,7 @@
   { service, share }: { service: string; share: number },
 ): VirtualServer[] {
   const ready = [...world.servers.values()].filter(
-    (server) => server.entry.service === service && takesWork(server),
+    (server) => server.entry.service === service && acceptsNewWork(server),
   );
   return pickShare(world, ready, share);
 }
@@ -195,7 +195,7 @@
 function reclaimZone(world: World, fault: FaultOf<'reclaimZone'>): void {
   const reclaimable = enginesWhere(
     world,
-    (server) => server.entry.reclaimable && takesWork(server),
+    (server) => server.entry.reclaimable && acceptsNewWork(server),
   );
   const countOf = (zone: string): number =>
     reclaimable.filter(({ entry }) => entry.zone === zone).length;
@@ -209,14 +209,14 @@
 }
 
 function restartEngines(world: World, fault: FaultOf<'restartEngines'>): void {
-  const engines = enginesWhere(world, takesWork);
+  const engines = enginesWhere(world, acceptsNewWork);
   for (const server of pickShare(world, engines, fault.share)) {
     restartServer(world, server, fault.downS * 1000, fault.tellsBirth);
   }
 }
 
 function crashEngines(world: World, fault: FaultOf<'crashEngines'>): void {
-  const engines = enginesWhere(world, takesWork);
+  const engines = enginesWhere(world, acceptsNewWork);
   for (const server of pickShare(world, engines, fault.share)) {
     if (fault.silent) silenceServer(world, server);
     else endServer(world, server);
--- a/packages/reedlug-simulator/src/faults/rollouts.ts
+++ b/packages/reedlug-simulator/src/faults/rollouts.ts
@@ -7,7 +7,7 @@
 import {
   drainServer,
   endServer,
-  startBeside,
+  startAlongside,
   type VirtualServer,
 } from '../servers/virtualServers.js';
 import { later, nowMs, type World } from '../world.js';
@@ -56,7 +56,7 @@
   const { service, durationS, startS } = spec;
   const durationMs = durationS * 1000;
   world.store.orderRollout({ service, targetVersion: rollout.version, durationMs });
-  later(world, startS * 1000, () => startBeside(world, service, rollout.version));
+  later(world, startS * 1000, () => startAlongside(world, service, rollout.version));
   pollRecord(world, rollout);
 }
 
--- a/packages/reedlug-simulator/src/faults/statingServers.ts
+++ b/packages/reedlug-simulator/src/faults/statingServers.ts
@@ -21,7 +21,7 @@
   servers: readonly VirtualServer[],
 ): void {
   for (const server of servers) {
-    server.isLeaving = true;
+    server.isDraining = true;
     recordOf(world, server);
     later(world, fault.endAfterS * 1000, () => {
       if (world.servers.get(server.entry.id) !== server) return;
@@ -61,7 +61,7 @@
 ): AnswerStatements {
   return {
     limit: limitStatementOf(world, server),
-    isDraining: server.isLeaving,
+    isDraining: server.isDraining,
     pauseMs: isRefusal ? server.refusing?.restMs : undefined,
   };
 }
--- a/packages/reedlug-simulator/src/runScene.ts
+++ b/packages/reedlug-simulator/src/runScene.ts
@@ -24,7 +24,7 @@
 import { createSceneRecord, type LogLine } from './report/sceneRecord.js';
 import { reportOf, type SceneReport } from './report/sceneReport.js';
 import type { Scene, SceneService } from './scene/scene.js';
-import { noteStanding, startServers } from './servers/virtualServers.js';
+import { recordRunningServers, startServers } from './servers/virtualServers.js';
 import { createVirtualStore } from './store/virtualStore.js';
 import type { World } from './world.js';
 
@@ -52,7 +52,7 @@
   watchDuties(world);
   const endsAtMs = (scene.leadS + scene.lengthS) * 1000;
   await runUntil(world, endsAtMs);
-  noteStanding(world);
+  recordRunningServers(world);
   const { engineSeconds } = world.record;
   const cost = { ...engineSeconds };
   await runUntil(world, endsAtMs + TAIL_S * 1000);
--- a/packages/reedlug-simulator/src/servers/batchEngine.ts
+++ b/packages/reedlug-simulator/src/servers/batchEngine.ts
@@ -7,9 +7,9 @@
 import type { EngineParameters } from '../scene/scene.js';
 import {
   createPromptCache,
-  keepParts,
-  keptTokens,
-  makeRoom,
+  cacheParts,
+  cachedPrefixTokens,
+  evictParts,
   type PromptCache,
 } from './promptCache.js';
 
@@ -33,15 +33,15 @@
   order: number;
   promptTokens: number;
   /** Prompt tokens still to be read, once it is admitted. */
-  readLeft: number;
+  prefillLeft: number;
   /** Tokens made, those of events that the caller has included. */
-  made: number;
+  generatedTokens: number;
   notBeforeMs: number;
 }
 
 /** One engine's work. */
 export interface BatchEngine {
-  figures: EngineParameters;
+  parameters: EngineParameters;
   /** How many times longer its steps take than the figures say. */
   slowFactor: number;
   waiting: LiveRun[];
@@ -56,9 +56,9 @@
 }
 
 /** Returns an idle engine. */
-export function createBatchEngine(figures: EngineParameters): BatchEngine {
+export function createBatchEngine(parameters: EngineParameters): BatchEngine {
   return {
-    figures,
+    parameters: parameters,
     slowFactor: 1,
     waiting: [],
     running: [],
@@ -71,22 +71,22 @@
 }
 
 /** Sets how many times longer its steps take from now on. */
-export function slowDown(engine: BatchEngine, factor: number): void {
+export function setSlowFactor(engine: BatchEngine, factor: number): void {
   engine.slowFactor = factor;
 }
 
 /** Takes a request; the engine's next step may have to be scheduled after it. */
 export function submitRun(engine: BatchEngine, run: EngineRun, nowMs: number): void {
-  if (engine.waiting.length >= engine.figures.queue) return run.onRejected();
+  if (engine.waiting.length >= engine.parameters.queue) return run.onRejected();
   const promptTokens = run.parts.reduce((sum, { tokens }) => sum + tokens, 0);
-  const made = run.fromEvent * engine.figures.tokensPerEvent;
+  const made = run.fromEvent * engine.parameters.tokensPerEvent;
   const live: LiveRun = {
     run,
     order: engine.nextOrder,
     promptTokens,
-    readLeft: 0,
-    made,
-    notBeforeMs: nowMs + engine.figures.firstMs,
+    prefillLeft: 0,
+    generatedTokens: made,
+    notBeforeMs: nowMs + engine.parameters.firstMs,
   };
   engine.nextOrder += 1;
   insertByUrgency(engine.waiting, live);
@@ -116,16 +116,18 @@
 
 /** Ends the step that is due and starts the next one. */
 export function finishStep(engine: BatchEngine, nowMs: number): void {
-  const ready = engine.running.filter((live) => live.readLeft === 0 && live.notBeforeMs <= nowMs);
+  const ready = engine.running.filter(
+    (live) => live.prefillLeft === 0 && live.notBeforeMs <= nowMs,
+  );
   for (const live of ready) makeToken(engine, live);
   startStep(engine, nowMs);
 }
 
 function makeToken(engine: BatchEngine, live: LiveRun): void {
-  const { tokensPerEvent } = engine.figures;
-  live.made += 1;
-  if (live.made % tokensPerEvent !== 0) return;
-  const event = live.made / tokensPerEvent;
+  const { tokensPerEvent } = engine.parameters;
+  live.generatedTokens += 1;
+  if (live.generatedTokens % tokensPerEvent !== 0) return;
+  const event = live.generatedTokens / tokensPerEvent;
   const isLast = event >= live.run.events;
   if (isLast) stopRun(engine, live.run.runId);
   live.run.onEvent(event, isLast);
@@ -138,47 +140,47 @@
     engine.stepEndsAtMs = undefined;
     return;
   }
-  engine.stepEndsAtMs = nowMs + stepMs(engine);
+  engine.stepEndsAtMs = nowMs + prefillChunk(engine);
 }
 
 function admit(engine: BatchEngine): void {
-  const { slots, kvTokens } = engine.figures;
+  const { slots, kvTokens } = engine.parameters;
   while (engine.running.length < slots) {
     const next = engine.waiting[0];
     if (next === undefined) return;
-    const needed = next.promptTokens + next.made;
+    const needed = next.promptTokens + next.generatedTokens;
     if (engine.running.length > 0 && usedTokens(engine) + needed > kvTokens) return;
     engine.waiting.shift();
-    const kept = keptTokens(engine.cache, next.run.parts.slice(0, -1));
-    next.readLeft = Math.max(1, needed - kept);
+    const kept = cachedPrefixTokens(engine.cache, next.run.parts.slice(0, -1));
+    next.prefillLeft = Math.max(1, needed - kept);
     const shared = next.promptTokens - (next.run.parts.at(-1)?.tokens ?? 0);
     engine.readSharedTokens += Math.max(0, shared - kept);
     insertByUrgency(engine.running, next);
-    makeRoom(engine.cache, Math.max(0, kvTokens - usedTokens(engine)));
+    evictParts(engine.cache, Math.max(0, kvTokens - usedTokens(engine)));
   }
 }
 
 /** Memory of the requests that run, without the parts that others share. */
 function usedTokens(engine: BatchEngine): number {
   return engine.running.reduce(
-    (sum, { run, made }) => sum + (run.parts.at(-1)?.tokens ?? 0) + made,
+    (sum, { run, generatedTokens: made }) => sum + (run.parts.at(-1)?.tokens ?? 0) + made,
     0,
   );
 }
 
 /** Reads a chunk, the most urgent prompts first; gives the time that the step takes. */
-function stepMs(engine: BatchEngine): number {
-  const { figures, running } = engine;
+function prefillChunk(engine: BatchEngine): number {
+  const { parameters: figures, running } = engine;
   let left = figures.chunkTokens;
   let pairs = 0;
   for (const live of running) {
     if (left === 0) break;
-    if (live.readLeft === 0) continue;
-    const tokens = Math.min(left, live.readLeft);
-    pairs += tokens * (live.promptTokens - live.readLeft + tokens / 2);
-    live.readLeft -= tokens;
+    if (live.prefillLeft === 0) continue;
+    const tokens = Math.min(left, live.prefillLeft);
+    pairs += tokens * (live.promptTokens - live.prefillLeft + tokens / 2);
+    live.prefillLeft -= tokens;
     left -= tokens;
-    if (live.readLeft === 0) keepRead(engine, live);
+    if (live.prefillLeft === 0) cachePrompt(engine, live);
   }
   const tokens = figures.chunkTokens - left;
   engine.readTokens += tokens;
@@ -190,7 +192,7 @@
   return usualMs * engine.slowFactor;
 }
 
-function keepRead(engine: BatchEngine, live: LiveRun): void {
-  const room = Math.max(0, engine.figures.kvTokens - usedTokens(engine));
-  keepParts(engine.cache, live.run.parts.slice(0, -1), room);
+function cachePrompt(engine: BatchEngine, live: LiveRun): void {
+  const spareTokens = Math.max(0, engine.parameters.kvTokens - usedTokens(engine));
+  cacheParts(engine.cache, live.run.parts.slice(0, -1), spareTokens);
 }
--- a/packages/reedlug-simulator/src/servers/promptCache.ts
+++ b/packages/reedlug-simulator/src/servers/promptCache.ts
@@ -14,20 +14,20 @@
 }
 
 /** Tokens of a prompt that need not be read: parts count only if all before them are kept too. */
-export function keptTokens(cache: PromptCache, parts: readonly PromptPart[]): number {
-  let kept = 0;
+export function cachedPrefixTokens(cache: PromptCache, parts: readonly PromptPart[]): number {
+  let cached = 0;
   for (const { id, tokens } of parts) {
     if (!cache.parts.has(id)) break;
-    kept += tokens;
+    cached += tokens;
   }
-  return kept;
+  return cached;
 }
 
 /** Keeps a prompt's parts, and lets the oldest go until the room suffices. */
-export function keepParts(
+export function cacheParts(
   cache: PromptCache,
   parts: readonly PromptPart[],
-  roomTokens: number,
+  capacityTokens: number,
 ): void {
   for (const { id, tokens } of parts) {
     cache.tokens -= cache.parts.get(id) ?? 0;
@@ -35,13 +35,13 @@
     cache.parts.set(id, tokens);
     cache.tokens += tokens;
   }
-  makeRoom(cache, roomTokens);
+  evictParts(cache, capacityTokens);
 }
 
 /** Lets the oldest parts go until no more than so many tokens are kept. */
-export function makeRoom(cache: PromptCache, roomTokens: number): void {
+export function evictParts(cache: PromptCache, capacityTokens: number): void {
   for (const [id, tokens] of cache.parts) {
-    if (cache.tokens <= roomTokens) return;
+    if (cache.tokens <= capacityTokens) return;
     cache.parts.delete(id);
     cache.tokens -= tokens;
   }
--- a/packages/reedlug-simulator/src/servers/virtualServers.ts
+++ b/packages/reedlug-simulator/src/servers/virtualServers.ts
@@ -17,9 +17,9 @@
 import { createPlainServer, type PlainServer } from './plainServer.js';
 
 /** Pause between looks whether a leaving server is idle, in ms. */
-const IDLE_CHECK_MS = 200;
+const IDLE_POLL_INTERVAL_MS = 200;
 /** Heartbeats without which an entry of the registry goes. */
-const LAPSE_HEARTBEATS = 3;
+const EXPIRY_HEARTBEATS = 3;
 /** Pause between heartbeats of a plain server, in ms. */
 const PLAIN_HEARTBEAT_MS = 1200;
 /** Version of the servers that stand at the start. */
@@ -41,7 +41,7 @@
   /** The limit that its answers name, and whether it turns down what comes beyond it. */
   limit: { perSecond: number; turnsDown: boolean } | undefined;
   /** Says in its answers that it leaves. */
-  isLeaving: boolean;
+  isDraining: boolean;
   /** The share of requests that it refuses, and the rest that it asks for as it does, if any. */
   refusing: { share: number; restMs: number | undefined } | undefined;
   /** Told when it ends while requests are open, by run. */
@@ -90,19 +90,19 @@
 }
 
 /** Starts servers of another version, one beside each that stands. */
-export function startBeside(world: World, service: string, version: string): void {
+export function startAlongside(world: World, service: string, version: string): void {
   const spec = world.scene.services.find(({ name }) => name === service);
-  const standing = [...world.servers.values()].filter(
-    (server) => server.entry.service === service && takesWork(server),
+  const existing = [...world.servers.values()].filter(
+    (server) => server.entry.service === service && acceptsNewWork(server),
   );
-  for (const { entry } of standing) {
+  for (const { entry } of existing) {
     if (spec?.kind === 'plain') startPlain(world, spec, entry.zone, version);
     if (spec?.kind === 'engines') startEngine(world, spec, entry.zone, entry.reclaimable, version);
   }
 }
 
 /** The version that servers have when nothing else is said. */
-function versionInService(world: World, service: string): string {
+function currentVersion(world: World, service: string): string {
   const done = world.rollouts.filter(
     ({ spec, end }) => spec.service === service && end === RolloutPhase.completed,
   );
@@ -121,7 +121,7 @@
   },
 ): void {
   const { service, zone, slots, reclaimable, work } = params;
-  const { version = versionInService(world, service) } = params;
+  const { version = currentVersion(world, service) } = params;
   const number = takeNumber(world, 'servers');
   const entry: ServerEntry = {
     id: `server-${number}`,
@@ -138,8 +138,8 @@
   const server = createServer(world, entry, work);
   world.servers.set(entry.id, server);
   const spec = world.scene.services.find(({ name }) => name === service);
-  const isFirst = nowMs(world) === 0;
-  const spreadMs = spec?.kind === 'engines' ? spec[isFirst ? 'entrySpreadMs' : 'heartbeatMs'] : 0;
+  const isInitial = nowMs(world) === 0;
+  const spreadMs = spec?.kind === 'engines' ? spec[isInitial ? 'entrySpreadMs' : 'heartbeatMs'] : 0;
   later(world, world.random.unit() * spreadMs, () => {
     if (world.servers.has(entry.id)) world.store.putServer(server.entry);
   });
@@ -152,7 +152,7 @@
     startedAtMs: nowMs(world),
     isSilent: false,
     limit: undefined,
-    isLeaving: false,
+    isDraining: false,
     refusing: undefined,
     openRuns: new Map(),
   };
@@ -173,13 +173,13 @@
       server.entry.service === params.service &&
       server.entry.zone === params.zone &&
       server.entry.reclaimable === params.reclaimable &&
-      server.entry.version === versionInService(world, params.service) &&
-      takesWork(server),
+      server.entry.version === currentVersion(world, params.service) &&
+      acceptsNewWork(server),
   );
 }
 
 /** Whether a server takes new work, as the platform knows it: its entry may say so late. */
-export function takesWork({ entry, isLeaving }: VirtualServer): boolean {
+export function acceptsNewWork({ entry, isDraining: isLeaving }: VirtualServer): boolean {
   return entry.state === ServerState.ready && !isLeaving;
 }
 
@@ -195,7 +195,7 @@
 }
 
 /** Carries out an order of engines or takes a report. */
-export function takeCloudCall(
+export function handleCloudCall(
   world: World,
   made: { call: CloudCall; holder: string; fence: number },
 ): CloudOutcome {
@@ -206,11 +206,11 @@
   if (service?.kind !== 'engines') return 'refused';
   world.record.orders += 1;
   const ordered = bootingOf(world, call);
-  const there = enginesOf(world, call);
-  const missing = call.wanted - there.length - ordered.booting;
+  const existing = enginesOf(world, call);
+  const missing = call.wanted - existing.length - ordered.booting;
   if (missing <= 0) {
     // The ones that came last go first.
-    for (const server of there.slice(call.wanted)) drainServer(world, server, 0);
+    for (const server of existing.slice(call.wanted)) drainServer(world, server, 0);
     return 'done';
   }
   if (call.reclaimable && nowMs(world) < world.dryUntilMs) return 'refused';
@@ -230,7 +230,7 @@
 export function drainServer(world: World, server: VirtualServer, noticeMs: number): void {
   const leavesInMs = noticeMs > 0 ? noticeMs : undefined;
   server.entry = { ...server.entry, state: ServerState.leaving, leavesInMs };
-  server.isLeaving = true;
+  server.isDraining = true;
   world.store.putServer(server.entry);
   const { drainMs } = world.scene.bounds;
   const endsAtMs = nowMs(world) + (noticeMs > 0 ? noticeMs : drainMs);
@@ -239,15 +239,15 @@
 
 function endWhenIdle(world: World, server: VirtualServer, isForced: boolean): void {
   if (isForced || server.openRuns.size === 0) return endServer(world, server);
-  later(world, IDLE_CHECK_MS, () => endWhenIdle(world, server, false));
+  later(world, IDLE_POLL_INTERVAL_MS, () => endWhenIdle(world, server, false));
 }
 
 /** Ends a server; the boxes whose requests are open there see their connections reset. */
 export function endServer(world: World, server: VirtualServer): void {
   if (!world.servers.delete(server.entry.id)) return;
-  noteLife(world, server);
+  recordIncarnation(world, server);
   world.store.removeServer(server.entry.id);
-  for (const lose of [...server.openRuns.values()]) lose();
+  for (const loseRun of [...server.openRuns.values()]) loseRun();
   server.openRuns.clear();
 }
 
@@ -256,18 +256,18 @@
   world: World,
   server: VirtualServer,
   downMs: number,
-  tellsBirth: boolean,
+  reportsStartTime: boolean,
 ): void {
   const { entry } = server;
   const service = world.scene.services.find(({ name }) => name === entry.service);
   if (service === undefined || !world.servers.delete(entry.id)) return;
-  noteLife(world, server);
-  for (const lose of [...server.openRuns.values()]) lose();
+  recordIncarnation(world, server);
+  for (const loseRun of [...server.openRuns.values()]) loseRun();
   server.openRuns.clear();
-  const lapsesInMs = LAPSE_HEARTBEATS * heartbeatOf(world, entry.service);
-  if (downMs > lapsesInMs) later(world, lapsesInMs, () => world.store.removeServer(entry.id));
+  const expiresInMs = EXPIRY_HEARTBEATS * heartbeatOf(world, entry.service);
+  if (downMs > expiresInMs) later(world, expiresInMs, () => world.store.removeServer(entry.id));
   later(world, downMs, () => {
-    const bornAtMs = tellsBirth ? Math.round(nowMs(world)) : undefined;
+    const bornAtMs = reportsStartTime ? Math.round(nowMs(world)) : undefined;
     const work = createWork(world, service);
     const next = { ...entry, state: ServerState.ready, leavesInMs: undefined, bornAtMs };
     world.servers.set(entry.id, createServer(world, next, work));
@@ -278,20 +278,20 @@
 /** A server goes without a word: its entry lapses after three heartbeats, and connections to it hang. */
 export function silenceServer(world: World, server: VirtualServer): void {
   server.isSilent = true;
-  const lapsesInMs = LAPSE_HEARTBEATS * heartbeatOf(world, server.entry.service);
-  later(world, lapsesInMs, () => {
+  const expiresInMs = EXPIRY_HEARTBEATS * heartbeatOf(world, server.entry.service);
+  later(world, expiresInMs, () => {
     if (!world.servers.delete(server.entry.id)) return;
-    noteLife(world, server);
+    recordIncarnation(world, server);
     world.store.removeServer(server.entry.id);
   });
 }
 
 /** Notes what the engines that still stand have cost. */
-export function noteStanding(world: World): void {
-  for (const server of world.servers.values()) noteLife(world, server);
+export function recordRunningServers(world: World): void {
+  for (const server of world.servers.values()) recordIncarnation(world, server);
 }
 
-function noteLife(world: World, { entry, work, startedAtMs }: VirtualServer): void {
+function recordIncarnation(world: World, { entry, work, startedAtMs }: VirtualServer): void {
   if (work.kind !== 'engine') return;
   const { service, zone, reclaimable } = entry;
   noteEngineTime(world, { service, zone, reclaimable }, nowMs(world) - startedAtMs);
@@ -299,7 +299,7 @@
 }
 
 /** Whether a box in a zone gets through to a server. */
-export function reaches(world: World, zone: string, server: VirtualServer): boolean {
+export function isReachableFrom(world: World, zone: string, server: VirtualServer): boolean {
   return !server.isSilent && !areCut(world, zone, server.entry.zone);
 }
 
