--- a/packages/reedlug-simulator/src/boxes/performEffect.ts
+++ b/packages/reedlug-simulator/src/boxes/performEffect.ts
@@ -17,7 +17,15 @@
   type VirtualServer,
 } from '../servers/virtualServers.js';
 import { recordArrival, recordLog, recordRun } from '../report/sceneRecord.js';
-import { areCut, boxAt, later, nowMs, takeNumber, wayMs, type World } from '../world.js';
+import {
+  arePartitioned,
+  boxAt,
+  later,
+  nowMs,
+  nextNumber,
+  latencyMs,
+  type World,
+} from '../world.js';
 import { crashUnder, recordCrashingSend } from '../faults/endingRequests.js';
 import { exceedsStatedLimit, recordLimitedArrival } from '../faults/limitedServers.js';
 import {
@@ -91,13 +99,13 @@
       box.emit({ type: 'attemptNotSent', ...ids, reason: isGone ? 'refused' : 'timeout' });
     });
   }
-  const runId = takeNumber(world, 'runs');
+  const runId = nextNumber(world, 'runs');
   box.sends.set(attemptId, { exchangeId, serverId: order.serverId, runId });
   server.openRuns.set(runId, () => {
     if (!box.sends.delete(attemptId)) return;
     box.emit({ type: 'attemptLost', ...ids, reason: 'connectionReset' });
   });
-  const ms = wayMs(world, box.settings.box.zone, server.entry.zone);
+  const ms = latencyMs(world, box.settings.box.zone, server.entry.zone);
   later(world, ms, () => {
     if (!box.sends.has(attemptId) || !world.servers.has(order.serverId)) return;
     arriveAtServer(world, box, { server, effect, runId });
@@ -138,7 +146,7 @@
   const respond = (deliver: () => void): void => {
     isBroken ||= !isReachableFrom(world, box.settings.box.zone, server);
     if (isBroken) return;
-    const ms = wayMs(world, box.settings.box.zone, server.entry.zone);
+    const ms = latencyMs(world, box.settings.box.zone, server.entry.zone);
     later(world, ms, () => {
       if (box.sends.has(attemptId)) deliver();
     });
@@ -207,7 +215,7 @@
   if (sent === undefined) return;
   box.sends.delete(attemptId);
   const zone = world.servers.get(sent.serverId)?.entry.zone ?? '';
-  later(world, wayMs(world, box.settings.box.zone, zone), () => {
+  later(world, latencyMs(world, box.settings.box.zone, zone), () => {
     stopRunAt(world, sent.serverId, sent.runId);
   });
 }
@@ -250,7 +258,7 @@
 
 function callCloud(world: World, box: VirtualBox, effect: EffectOf<'callCloud'>): void {
   const { callId, call, fence } = effect;
-  if (areCut(world, box.settings.box.zone, CLOUD_ZONE)) {
+  if (arePartitioned(world, box.settings.box.zone, CLOUD_ZONE)) {
     return later(world, CLOUD_TIMEOUT_MS, () =>
       box.emit({ type: 'cloudAnswered', callId, outcome: 'unknown' }),
     );
@@ -267,9 +275,9 @@
     if (peer === undefined) continue;
     world.record.datagrams += 1;
     const { zone } = peer.settings.box;
-    if (areCut(world, box.settings.box.zone, zone)) continue;
+    if (arePartitioned(world, box.settings.box.zone, zone)) continue;
     if (world.random.chance(world.scene.network.datagramLossShare)) continue;
-    later(world, wayMs(world, box.settings.box.zone, zone), () => {
+    later(world, latencyMs(world, box.settings.box.zone, zone), () => {
       if (peer.isListening) peer.emit(eventOfDatagram(effect.message));
     });
   }
@@ -279,9 +287,9 @@
   const peer = boxAt(world, effect.peer.host);
   if (peer === undefined) return;
   const { zone } = peer.settings.box;
-  const ms = wayMs(world, box.settings.box.zone, zone);
+  const ms = latencyMs(world, box.settings.box.zone, zone);
   later(world, ms, () => {
-    if (!peer.isListening || areCut(world, box.settings.box.zone, zone)) return;
+    if (!peer.isListening || arePartitioned(world, box.settings.box.zone, zone)) return;
     const events = eventsOfShared(sharedStateOf(peer.state, effect.withServers));
     later(world, Math.min(ms, ASK_TIMEOUT_MS), () => events.forEach((event) => box.emit(event)));
   });
--- a/packages/reedlug-simulator/src/boxes/virtualBox.ts
+++ b/packages/reedlug-simulator/src/boxes/virtualBox.ts
@@ -15,7 +15,7 @@
 } from 'reedlug-gateway';
 import type { CallerAttempt } from '../callers/callerAttempt.js';
 import { stopRun } from '../servers/batchEngine.js';
-import { CONTACT_MS, later, nowMs, type World } from '../world.js';
+import { PROPAGATION_MS, later, nowMs, type World } from '../world.js';
 import { performEffect } from './performEffect.js';
 
 /** Wall clock of the world's start, in ms; any time will do. */
@@ -111,7 +111,7 @@
       new Promise((resolve) =>
         later(world, ms, () => {
           if (!box.isAlive) return;
-          world.hasSettled = true;
+          world.hasResolvedPromise = true;
           resolve();
         }),
       ),
@@ -126,7 +126,7 @@
   const logger = (): void => undefined;
   const { settings, state, emit } = box;
   box.feeds = followPlatform({ settings, store, state, clock, logger, emit });
-  world.hasSettled = true;
+  world.hasResolvedPromise = true;
   const tick = (): void => {
     if (!box.isAlive) return;
     emit({ type: 'tick' });
@@ -172,9 +172,11 @@
 
 /** Whether a box has run, and heard the others, for long enough to know what they know. */
 export function isSynchronized(world: World, box: VirtualBox): boolean {
-  const sinceMs = nowMs(world) - CONTACT_MS;
+  const sinceMs = nowMs(world) - PROPAGATION_MS;
   return (
-    box.startedAtMs <= sinceMs && world.cutZones.size === 0 && world.lastCutEndedAtMs <= sinceMs
+    box.startedAtMs <= sinceMs &&
+    world.cutZones.size === 0 &&
+    world.lastPartitionEndedAtMs <= sinceMs
   );
 }
 
--- a/packages/reedlug-simulator/src/callers/callers.ts
+++ b/packages/reedlug-simulator/src/callers/callers.ts
@@ -13,7 +13,7 @@
   recordFailed,
   recordRefused,
 } from '../report/sceneRecord.js';
-import { later, nowMs, takeNumber, type World } from '../world.js';
+import { later, nowMs, nextNumber, type World } from '../world.js';
 import {
   isRepeatable,
   type CallerAttempt,
@@ -131,7 +131,7 @@
   shares[0] = (shares[0] ?? 0) * changes.hotFactor;
   const total = shares.reduce((sum, share) => sum + share, 0);
   const workspace = workspaceName(pickIndex(world, shares, total));
-  const number = takeNumber(world, 'requests');
+  const number = nextNumber(world, 'requests');
   const generated = generateRequest(world.scene, world.random, { spec, shared, workspace, number });
   const request = createRequest(world, { ...generated, spec, zone, workspace });
   request.leavesEarly = changes.leaveShare > 0 && world.random.chance(changes.leaveShare);
--- a/packages/reedlug-simulator/src/faults/applyFaults.ts
+++ b/packages/reedlug-simulator/src/faults/applyFaults.ts
@@ -66,12 +66,15 @@
     case 'cutZone': {
       world.cutZones.add(fault.zone);
       recordDutyOutage(world, fault.forS * 1000);
-      const partition: World['cuts'][number] = { fromMs: world.queue.nowMs(), toMs: undefined };
-      world.cuts.push(partition);
+      const partition: World['partitions'][number] = {
+        fromMs: world.queue.nowMs(),
+        toMs: undefined,
+      };
+      world.partitions.push(partition);
       return later(world, fault.forS * 1000, () => {
         world.cutZones.delete(fault.zone);
         partition.toMs = world.queue.nowMs();
-        world.lastCutEndedAtMs = world.queue.nowMs();
+        world.lastPartitionEndedAtMs = world.queue.nowMs();
       });
     }
     case 'reclaimZone':
@@ -205,7 +208,7 @@
     if (server.entry.zone === zone) drainServer(world, server, fault.noticeS * 1000);
   }
   const outOfCapacityUntilMs = world.queue.nowMs() + fault.dryS * 1000;
-  world.dryUntilMs = Math.max(world.dryUntilMs, outOfCapacityUntilMs);
+  world.outOfCapacityUntilMs = Math.max(world.outOfCapacityUntilMs, outOfCapacityUntilMs);
 }
 
 function restartEngines(world: World, fault: FaultOf<'restartEngines'>): void {
--- a/packages/reedlug-simulator/src/faults/endingRequests.ts
+++ b/packages/reedlug-simulator/src/faults/endingRequests.ts
@@ -6,7 +6,7 @@
 import type { SceneClass, SceneFaultSpec } from '../scene/scene.js';
 import { restartServer, type VirtualServer } from '../servers/virtualServers.js';
 import { isSynchronized, type VirtualBox } from '../boxes/virtualBox.js';
-import { CONTACT_MS, later, nowMs, takeNumber, type World } from '../world.js';
+import { PROPAGATION_MS, later, nowMs, nextNumber, type World } from '../world.js';
 
 /** Servers that may end under one before the promise begins. */
 const MIN_CRASHES = 3;
@@ -21,7 +21,7 @@
   if (spec === undefined) return;
   const untilMs = nowMs(world) + fault.forS * 1000;
   for (let index = 0; index < fault.count; index += 1) {
-    const digest = `ending-${takeNumber(world, 'requests')}`;
+    const digest = `ending-${nextNumber(world, 'requests')}`;
     const firstInMs = world.random.unit() * fault.everyMs;
     later(world, firstInMs, () => sendRepeatedly(world, { fault, spec, digest, untilMs }));
   }
@@ -45,7 +45,7 @@
 ): void {
   const { scene, random } = world;
   const workspace = workspaceName(0);
-  const number = takeNumber(world, 'requests');
+  const number = nextNumber(world, 'requests');
   const shared = generateSharedParts(scene, random);
   const generated = generateRequest(scene, random, { spec, shared, workspace, number });
   const zone = random.pick(scene.zones);
@@ -87,7 +87,7 @@
 export function crashingRequestRows(world: World): CrashingRequestRow[] {
   return [...world.record.endings].map(([digest, { endedAtMs, sentAtMs }]) => {
     const thirdAtMs = endedAtMs[MIN_CRASHES - 1] ?? Number.POSITIVE_INFINITY;
-    const furtherSends = sentAtMs.filter((atMs) => atMs > thirdAtMs + CONTACT_MS).length;
+    const furtherSends = sentAtMs.filter((atMs) => atMs > thirdAtMs + PROPAGATION_MS).length;
     return { digest, ended: endedAtMs.length, furtherSends };
   });
 }
--- a/packages/reedlug-simulator/src/faults/limitedServers.ts
+++ b/packages/reedlug-simulator/src/faults/limitedServers.ts
@@ -5,7 +5,7 @@
 import { greatestShare, type TimedAmount } from '../report/slidingSum.js';
 import type { SceneFaultSpec } from '../scene/scene.js';
 import type { VirtualServer } from '../servers/virtualServers.js';
-import { CONTACT_MS, later, nowMs, type World } from '../world.js';
+import { PROPAGATION_MS, later, nowMs, type World } from '../world.js';
 
 /** Time since a box passed such an answer on from which its sends count, in ms: the users' figure. */
 const STATEMENT_GRACE_MS = 500;
@@ -120,7 +120,7 @@
 
 function rowOf(world: World, record: LimitedServerRecord): LimitedServerRow {
   const { server, periods, firstStatedAtMs: namedAtMs = 0, endedAtMs, arrivals } = record;
-  const fromMs = namedAtMs + CONTACT_MS;
+  const fromMs = namedAtMs + PROPAGATION_MS;
   const untilMs = Math.min(endedAtMs ?? Infinity, nowMs(world));
   const counted = arrivals.filter(({ atMs }) => atMs >= fromMs && atMs < untilMs);
   const bound = greatestWindow(
@@ -163,13 +163,13 @@
 
 /** Requests of a span as long as the one in which all learn of the end, after it. */
 function arrivalsAfter({ arrivals }: LimitedServerRecord, endedAtMs: number): number {
-  const fromMs = endedAtMs + CONTACT_MS;
-  return arrivals.filter(({ atMs }) => atMs >= fromMs && atMs < fromMs + CONTACT_MS).length;
+  const fromMs = endedAtMs + PROPAGATION_MS;
+  return arrivals.filter(({ atMs }) => atMs >= fromMs && atMs < fromMs + PROPAGATION_MS).length;
 }
 
 /** The highest limit in force in the window before a time; of a lower one news are on their way for a while. */
 function highestLimit({ periods }: LimitedServerRecord, atMs: number): number {
-  const sinceMs = atMs - WINDOW_MS - CONTACT_MS;
+  const sinceMs = atMs - WINDOW_MS - PROPAGATION_MS;
   const inForce = periods.filter(({ fromMs }, index) => {
     const endMs = periods[index + 1]?.fromMs ?? Infinity;
     return fromMs <= atMs && endMs > sinceMs;
--- a/packages/reedlug-simulator/src/faults/statingServers.ts
+++ b/packages/reedlug-simulator/src/faults/statingServers.ts
@@ -4,7 +4,7 @@
 import type { ServerStatementRecord } from '../report/sceneRecord.js';
 import type { SceneFaultSpec } from '../scene/scene.js';
 import { endServer, restartServer, type VirtualServer } from '../servers/virtualServers.js';
-import { CONTACT_MS, later, nowMs, type World } from '../world.js';
+import { PROPAGATION_MS, later, nowMs, type World } from '../world.js';
 import { limitStatementOf, recordLimitForwarded } from './limitedServers.js';
 
 /** Time after a box was asked for rest from which requests count, in ms, and how many are allowed then: the users' figures. */
@@ -152,8 +152,8 @@
 
 /** A cut excuses a rest that it falls into; a box that starts anew is another one here. */
 function isExcused(world: World, fromMs: number, pauseMs: number): boolean {
-  return world.cuts.some(
+  return world.partitions.some(
     ({ fromMs: partitionedAtMs, toMs = Infinity }) =>
-      partitionedAtMs < fromMs + pauseMs && toMs > fromMs - CONTACT_MS,
+      partitionedAtMs < fromMs + pauseMs && toMs > fromMs - PROPAGATION_MS,
   );
 }
--- a/packages/reedlug-simulator/src/runScene.ts
+++ b/packages/reedlug-simulator/src/runScene.ts
@@ -29,7 +29,7 @@
 import type { World } from './world.js';
 
 /** Time after the last caller in which answers still come, in s: the longest deadline is near it. */
-const TAIL_S = 16;
+const ANSWER_TAIL_S = 16;
 /** Boxes start within this time, in ms. */
 const START_SPREAD_MS = 300;
 
@@ -41,21 +41,21 @@
 ): Promise<SceneReport> {
   const world = createWorld(scene, seed);
   world.record.onLog = onLog;
-  const places = boxSpecsOf(scene.zones, scene.boxesPerZone, scene.largerBoxesPerZone);
-  for (const { id, host } of places) world.boxIdByHost.set(host, id);
+  const specs = boxSpecsOf(scene.zones, scene.boxesPerZone, scene.largerBoxesPerZone);
+  for (const { id, host } of specs) world.boxIdByHost.set(host, id);
   world.store.putConfiguration(world.configuration);
   startServers(world);
-  for (const place of places) {
-    world.queue.at(world.random.unit() * START_SPREAD_MS, () => startBox(world, place, 1));
+  for (const spec of specs) {
+    world.queue.at(world.random.unit() * START_SPREAD_MS, () => startBox(world, spec, 1));
   }
-  startCallers(world, scheduleFaults(world, places));
+  startCallers(world, scheduleFaults(world, specs));
   watchDutyLease(world);
   const endsAtMs = (scene.leadS + scene.lengthS) * 1000;
   await runUntil(world, endsAtMs);
   recordRunningServers(world);
   const { engineSeconds } = world.record;
   const cost = { ...engineSeconds };
-  await runUntil(world, endsAtMs + TAIL_S * 1000);
+  await runUntil(world, endsAtMs + ANSWER_TAIL_S * 1000);
   world.record.engineSeconds = cost;
   return buildReport(world, seed);
 }
@@ -71,18 +71,18 @@
     store: createVirtualStore(() => world),
     record: createSceneRecord(),
     cutZones: new Set(),
-    lastCutEndedAtMs: Number.NEGATIVE_INFINITY,
-    cuts: [],
+    lastPartitionEndedAtMs: Number.NEGATIVE_INFINITY,
+    partitions: [],
     failShare: 0,
     rollouts: [],
-    dryUntilMs: 0,
+    outOfCapacityUntilMs: 0,
     workspaces,
     configuration: configurationOf(scene, workspaces),
     limitPeriods: [{ fromMs: 0, factor: 1 }],
     boxIdByHost: new Map(),
     booting: new Map(),
     numbers: { servers: 0, runs: 0, requests: 0 },
-    hasSettled: false,
+    hasResolvedPromise: false,
   };
   return world;
 }
@@ -90,8 +90,8 @@
 /** Runs events in the order of their time; what awaits a settled promise goes on before the next one. */
 async function runUntil(world: World, untilMs: number): Promise<void> {
   while (world.queue.runNext(untilMs)) {
-    if (!world.hasSettled) continue;
-    world.hasSettled = false;
+    if (!world.hasResolvedPromise) continue;
+    world.hasResolvedPromise = false;
     await new Promise((resolve) => setImmediate(resolve));
   }
 }
--- a/packages/reedlug-simulator/src/servers/virtualServers.ts
+++ b/packages/reedlug-simulator/src/servers/virtualServers.ts
@@ -11,7 +11,7 @@
   type ServerEntry,
 } from 'reedlug-gateway';
 import { recordEngineTime, recordPrefill } from '../report/sceneRecord.js';
-import { areCut, later, nowMs, takeNumber, type World } from '../world.js';
+import { arePartitioned, later, nowMs, nextNumber, type World } from '../world.js';
 import type { EngineService, PlainService, SceneService } from '../scene/scene.js';
 import { createBatchEngine, finishStep, submitRun, type BatchEngine } from './batchEngine.js';
 import { createPlainServer, type PlainServer } from './plainServer.js';
@@ -122,7 +122,7 @@
 ): void {
   const { service, zone, slots, reclaimable, work } = params;
   const { version = currentVersion(world, service) } = params;
-  const number = takeNumber(world, 'servers');
+  const number = nextNumber(world, 'servers');
   const entry: ServerEntry = {
     id: `server-${number}`,
     service,
@@ -213,7 +213,7 @@
     for (const server of existing.slice(call.wanted)) drainServer(world, server, 0);
     return 'done';
   }
-  if (call.reclaimable && nowMs(world) < world.dryUntilMs) return 'refused';
+  if (call.reclaimable && nowMs(world) < world.outOfCapacityUntilMs) return 'refused';
   ordered.booting += missing;
   for (let index = 0; index < missing; index += 1) {
     const orderedAtMs = nowMs(world);
@@ -300,7 +300,7 @@
 
 /** Whether a box in a zone gets through to a server. */
 export function isReachableFrom(world: World, zone: string, server: VirtualServer): boolean {
-  return !server.isSilent && !areCut(world, zone, server.entry.zone);
+  return !server.isSilent && !arePartitioned(world, zone, server.entry.zone);
 }
 
 /** Hands a request to an engine and lets the engine work. */
--- a/packages/reedlug-simulator/src/store/virtualStore.ts
+++ b/packages/reedlug-simulator/src/store/virtualStore.ts
@@ -28,7 +28,7 @@
   type TableOp,
 } from 'reedlug-coordination';
 import { applyTableOp, createTableModel } from 'reedlug-standins';
-import { areCut, later, nowMs, type World } from '../world.js';
+import { arePartitioned, later, nowMs, type World } from '../world.js';
 import {
   changesOf,
   createCollection,
@@ -161,7 +161,7 @@
   };
 
   const isUnreachableFrom = (zone: string): boolean =>
-    store.outage === StoreOutage.silent || areCut(worldOf(), zone, STORE_ZONE);
+    store.outage === StoreOutage.silent || arePartitioned(worldOf(), zone, STORE_ZONE);
 
   const currentEra = (): number => FIRST_ERA + store.copies;
   const currentPosition = (): StorePosition => ({ era: currentEra(), version });
@@ -178,7 +178,7 @@
       const settle = (value: R): void => {
         if (!caller.isAlive()) return;
         if (!isUnreachableFrom(caller.zone)) caller.onEra(currentEra());
-        world.hasSettled = true;
+        world.hasResolvedPromise = true;
         resolve(value);
       };
       if (isUnreachableFrom(caller.zone)) return later(world, timeoutMs, () => settle(silent));
@@ -218,7 +218,7 @@
             later(world, world.scene.storeAnswerMs, () => {
               if (!caller.isAlive()) return;
               caller.onEra(currentEra());
-              world.hasSettled = true;
+              world.hasResolvedPromise = true;
               if (store.outage !== undefined) return resolve(unavailable);
               if (afterVersion > version) return resolve({ kind: 'historyGone' });
               resolve(changesOf(world, collection, afterVersion, currentPosition()));
@@ -233,7 +233,7 @@
             if (isDone || !caller.isAlive()) return;
             isDone = true;
             collection.waiting.delete(check);
-            world.hasSettled = true;
+            world.hasResolvedPromise = true;
             resolve(unavailable);
           };
           collection.waiting.add(check);
--- a/packages/reedlug-simulator/src/world.ts
+++ b/packages/reedlug-simulator/src/world.ts
@@ -10,7 +10,7 @@
 import type { VirtualStore } from './store/virtualStore.js';
 
 /** Time after a change, or a trouble, in which news of it are on their way to all boxes, in ms: the users' figure. */
-export const CONTACT_MS = 3000;
+export const PROPAGATION_MS = 3000;
 
 /** A fleet in progress. */
 export interface World {
@@ -24,15 +24,15 @@
   /** Zones that are cut off from all others and from the store now. */
   cutZones: Set<string>;
   /** When a cut last ended. */
-  lastCutEndedAtMs: number;
+  lastPartitionEndedAtMs: number;
   /** Cuts so far; one without an end goes on. */
-  cuts: { fromMs: number; toMs: number | undefined }[];
+  partitions: { fromMs: number; toMs: number | undefined }[];
   /** Share of requests that engines fail now. */
   failShare: number;
   /** Roll-outs ordered so far. */
   rollouts: RolloutState[];
   /** Until when no reclaimable engines are to be had. */
-  dryUntilMs: number;
+  outOfCapacityUntilMs: number;
   workspaces: readonly WorkspaceSpec[];
   /** The newest configuration, and the limits in force one after another. */
   configuration: Configuration;
@@ -44,7 +44,7 @@
   /** Last numbers given to what is made. */
   numbers: { servers: number; runs: number; requests: number };
   /** Set when a promise was settled: its followers run before the next event. */
-  hasSettled: boolean;
+  hasResolvedPromise: boolean;
 }
 
 /** Time of the world, in ms from the start of the boxes. */
@@ -58,7 +58,7 @@
 }
 
 /** The next number of a kind. */
-export function takeNumber(world: World, kind: keyof World['numbers']): number {
+export function nextNumber(world: World, kind: keyof World['numbers']): number {
   world.numbers[kind] += 1;
   return world.numbers[kind];
 }
@@ -69,13 +69,13 @@
 }
 
 /** Whether nothing passes between two zones now. */
-export function areCut(world: World, zone: string, otherZone: string): boolean {
+export function arePartitioned(world: World, zone: string, otherZone: string): boolean {
   if (zone === otherZone) return false;
   return world.cutZones.has(zone) || world.cutZones.has(otherZone);
 }
 
 /** The way between two zones, in ms. */
-export function wayMs(world: World, zone: string, otherZone: string): number {
+export function latencyMs(world: World, zone: string, otherZone: string): number {
   const { sameZoneMs, otherZoneMs } = world.scene.network;
   return zone === otherZone ? sameZoneMs : otherZoneMs;
 }
