--- a/packages/reedlug-simulator/src/__tests__/__fixtures__/expectKept.ts
+++ b/packages/reedlug-simulator/src/__tests__/__fixtures__/expectKept.ts
@@ -6,7 +6,7 @@
 export const SEEDS = [1, 2] as const;
 
 /** Runs each scene with each seed, and expects that no promise was broken. */
-export async function expectKept(files: readonly string[]): Promise<void> {
+export async function expectGuaranteesKept(files: readonly string[]): Promise<void> {
   for (const file of files) {
     for (const seed of SEEDS) {
       const { broken } = await runSceneFile(file, seed);
--- a/packages/reedlug-simulator/src/__tests__/batchEngine.test.ts
+++ b/packages/reedlug-simulator/src/__tests__/batchEngine.test.ts
@@ -8,7 +8,7 @@
   type BatchEngine,
 } from '../servers/batchEngine.js';
 
-const FIGURES = {
+const PARAMETERS = {
   slots: 2,
   queue: 2,
   kvTokens: 20_000,
@@ -21,18 +21,18 @@
   firstMs: 0,
 };
 
-interface Seen {
+interface SeenEvent {
   runId: number;
   atMs: number;
   event: number;
 }
 
 /** Submits requests and lets the engine work until it is idle. */
-function work(
+function runAll(
   requests: readonly { runId: number; urgency?: number; parts: PromptPart[]; events?: number }[],
-): { seen: Seen[]; rejected: number[]; engine: BatchEngine } {
-  const engine = createBatchEngine(FIGURES);
-  const seen: Seen[] = [];
+): { seen: SeenEvent[]; rejected: number[]; engine: BatchEngine } {
+  const engine = createBatchEngine(PARAMETERS);
+  const seen: SeenEvent[] = [];
   const rejected: number[] = [];
   let nowMs = 0;
   for (const { runId, urgency = 5, parts, events = 1 } of requests) {
@@ -47,19 +47,19 @@
   return { seen, rejected, engine };
 }
 
-const own = (id: string, tokens: number): PromptPart[] => [{ id, tokens }];
+const ownPart = (id: string, tokens: number): PromptPart[] => [{ id, tokens }];
 
 test('a prompt is read in chunks before the first event', () => {
-  const { seen } = work([{ runId: 1, parts: own('a', 2000) }]);
+  const { seen } = runAll([{ runId: 1, parts: ownPart('a', 2000) }]);
   // Two steps of 5 + 1000 / 20 ms, of which the second makes the first token, and one of 5 ms.
   expect(seen).to.deep.equal([{ runId: 1, atMs: 115, event: 1 }]);
 });
 
 test('a stream waits for the chunks of a prompt beside it', () => {
-  const alone = work([{ runId: 1, parts: own('a', 20), events: 5 }]).seen.at(-1)?.atMs ?? 0;
-  const beside = work([
-    { runId: 1, parts: own('a', 20), events: 5 },
-    { runId: 2, parts: own('b', 4000) },
+  const alone = runAll([{ runId: 1, parts: ownPart('a', 20), events: 5 }]).seen.at(-1)?.atMs ?? 0;
+  const beside = runAll([
+    { runId: 1, parts: ownPart('a', 20), events: 5 },
+    { runId: 2, parts: ownPart('b', 4000) },
   ]).seen.filter(({ runId }) => runId === 1);
   expect(beside.at(-1)?.atMs).to.be.greaterThan(alone + 150);
 });
@@ -69,7 +69,7 @@
     { id: 'shared', tokens: 900 },
     { id: last, tokens: 100 },
   ];
-  const { engine } = work([
+  const { engine } = runAll([
     { runId: 1, parts: parts('x') },
     { runId: 2, parts: parts('y') },
     { runId: 3, parts: parts('z') },
@@ -78,11 +78,11 @@
 });
 
 test('what is more urgent is read first, and a full queue is told', () => {
-  const { seen, rejected } = work([
-    { runId: 1, parts: own('a', 1000) },
-    { runId: 2, urgency: 9, parts: own('b', 1000) },
-    { runId: 3, urgency: 0, parts: own('c', 1000) },
-    { runId: 4, parts: own('d', 1000) },
+  const { seen, rejected } = runAll([
+    { runId: 1, parts: ownPart('a', 1000) },
+    { runId: 2, urgency: 9, parts: ownPart('b', 1000) },
+    { runId: 3, urgency: 0, parts: ownPart('c', 1000) },
+    { runId: 4, parts: ownPart('d', 1000) },
   ]);
   expect(rejected).to.deep.equal([4]);
   expect(seen.map(({ runId }) => runId).indexOf(3)).to.be.lessThan(
@@ -91,10 +91,10 @@
 });
 
 test('a request that is stopped gives its place back', () => {
-  const engine = createBatchEngine(FIGURES);
+  const engine = createBatchEngine(PARAMETERS);
   const nothing = (): void => undefined;
   const run = { urgency: 5, fromEvent: 0, events: 9, onEvent: nothing, onRejected: nothing };
-  submitRun(engine, { ...run, runId: 1, parts: own('a', 10) }, 0);
+  submitRun(engine, { ...run, runId: 1, parts: ownPart('a', 10) }, 0);
   expect(stopRun(engine, 1)).to.equal(true);
   expect(stopRun(engine, 1)).to.equal(false);
   expect(engine.running).to.have.length(0);
--- a/packages/reedlug-simulator/src/__tests__/limitedServers.test.ts
+++ b/packages/reedlug-simulator/src/__tests__/limitedServers.test.ts
@@ -1,4 +1,4 @@
-import { expectKept } from './__fixtures__/expectKept.js';
+import { expectGuaranteesKept } from './__fixtures__/expectKept.js';
 
 const SCENES = [
   'limited-base',
@@ -14,10 +14,10 @@
 
 test('servers that name a limit get no more from all boxes together', function () {
   this.timeout(RUN_TIMEOUT_MS);
-  return expectKept(SCENES);
+  return expectGuaranteesKept(SCENES);
 });
 
 test('servers that name a limit get no more in fleets with hubs', function () {
   this.timeout(RUN_TIMEOUT_MS);
-  return expectKept(LARGE_SCENES);
+  return expectGuaranteesKept(LARGE_SCENES);
 });
--- a/packages/reedlug-simulator/src/__tests__/restarts.test.ts
+++ b/packages/reedlug-simulator/src/__tests__/restarts.test.ts
@@ -6,13 +6,13 @@
 /** Restarts that are drawn, and the engines of a scene of which each fault takes a share. */
 const RESTARTS = 500;
 const ENGINES = 6;
-const FAULTS_A_SCENE = 6;
+const FAULTS_PER_SCENE = 6;
 
 /** Restarts under one id: faster than a heartbeat, slower than three, several in a row, all at once, with and without a birth. */
-function drawRestarts(seed: number): { scene: Scene; restarts: number } {
+function generateRestarts(seed: number): { scene: Scene; restarts: number } {
   const random = createRandom(seed * 7919);
   let restarts = 0;
-  const faults = Array.from({ length: FAULTS_A_SCENE }, (): SceneFaultSpec => {
+  const faults = Array.from({ length: FAULTS_PER_SCENE }, (): SceneFaultSpec => {
     const share = random.pick([0.17, 0.34, 0.5, 1]);
     restarts += Math.round(share * ENGINES);
     const atS = 1 + random.unit() * 9;
@@ -26,7 +26,7 @@
 test('over 500 drawn restarts no stream has a gap and nothing runs twice that may run once', async () => {
   let restarts = 0;
   for (let seed = 1; restarts < RESTARTS; seed += 1) {
-    const drawn = drawRestarts(seed);
+    const drawn = generateRestarts(seed);
     restarts += drawn.restarts;
     const { broken } = await runScene(drawn.scene, seed);
     expect(broken, `seed ${seed}`).to.deep.equal([]);
--- a/packages/reedlug-simulator/src/__tests__/rollouts.test.ts
+++ b/packages/reedlug-simulator/src/__tests__/rollouts.test.ts
@@ -17,12 +17,12 @@
 };
 
 /** Fifteen boxes without hubs, six engines at the start. */
-function run(changes: Partial<Rollout>, beside: Scene['faults'] = []): Promise<SceneReport> {
+function run(changes: Partial<Rollout>, concurrent: Scene['faults'] = []): Promise<SceneReport> {
   const scene = smallScene({
     lengthS: 18,
     boxesPerZone: 5,
     callers: { perSecond: 70, clump: 2, swing: 0, swingPeriodS: 40 },
-    faults: [{ ...ORDER, ...changes }, ...beside],
+    faults: [{ ...ORDER, ...changes }, ...concurrent],
   });
   return runScene(scene, 1);
 }
