--- a/packages/reedlug-simulator/src/__tests__/limitedServers.test.ts
+++ b/packages/reedlug-simulator/src/__tests__/limitedServers.test.ts
@@ -1,4 +1,4 @@
-import { expectGuaranteesKept } from './__fixtures__/expectKept.js';
+import { expectGuaranteesKept } from './__fixtures__/expectGuaranteesKept.js';
 
 const SCENES = [
   'limited-base',
--- a/packages/reedlug-simulator/src/__tests__/runScene.test.ts
+++ b/packages/reedlug-simulator/src/__tests__/runScene.test.ts
@@ -9,9 +9,9 @@
 test('the same seed gives the same run, another seed another one', async () => {
   const [first, second, other] = [await run(), await run(), await run({}, 2)];
   // How long the reducer took is real time, and differs.
-  const figures = (report: SceneReport) => ({ ...report, reducerMsPerBoxSecond: 0 });
-  expect(figures(first)).to.deep.equal(figures(second));
-  expect(figures(first)).not.to.deep.equal(figures(other));
+  const withoutRealTime = (report: SceneReport) => ({ ...report, reducerMsPerBoxSecond: 0 });
+  expect(withoutRealTime(first)).to.deep.equal(withoutRealTime(second));
+  expect(withoutRealTime(first)).not.to.deep.equal(withoutRealTime(other));
 });
 
 test('callers of a calm fleet are served', async () => {
--- a/packages/reedlug-simulator/src/__tests__/statingServers.test.ts
+++ b/packages/reedlug-simulator/src/__tests__/serverStatements.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { expectGuaranteesKept, SEEDS } from './__fixtures__/expectKept.js';
+import { expectGuaranteesKept, SEEDS } from './__fixtures__/expectGuaranteesKept.js';
 import { runSceneFile } from './__fixtures__/runSceneFile.js';
 
 /** Long enough for a loaded machine, in ms. */
--- a/packages/reedlug-simulator/src/boxes/performEffect.ts
+++ b/packages/reedlug-simulator/src/boxes/performEffect.ts
@@ -26,14 +26,14 @@
   latencyMs,
   type World,
 } from '../world.js';
-import { crashUnder, recordCrashingSend } from '../faults/endingRequests.js';
+import { crashUnder, recordCrashingSend } from '../faults/crashingRequests.js';
 import { exceedsStatedLimit, recordLimitedArrival } from '../faults/limitedServers.js';
 import {
   refusesRequest,
   recordStatementArrival,
   recordStatements,
   statementsOf,
-} from '../faults/statingServers.js';
+} from '../faults/serverStatements.js';
 import { faultOfVersion, recordRolloutArrival } from '../faults/rollouts.js';
 import { setSlowFactor } from '../servers/batchEngine.js';
 import { killBox, stopRunAt, type VirtualBox } from './virtualBox.js';
--- a/packages/reedlug-simulator/src/callers/callers.ts
+++ b/packages/reedlug-simulator/src/callers/callers.ts
@@ -27,7 +27,7 @@
   workspaceName,
   workspaceShares,
   type SharedParts,
-} from './drawRequest.js';
+} from './generateRequest.js';
 
 /** How often the balancer asks each box whether it is ready, in ms, and after how many misses it leaves it out. */
 const HEALTH_CHECK_INTERVAL_MS = 1000;
--- a/packages/reedlug-simulator/src/faults/applyFaults.ts
+++ b/packages/reedlug-simulator/src/faults/applyFaults.ts
@@ -10,15 +10,15 @@
   acceptsNewWork,
   type VirtualServer,
 } from '../servers/virtualServers.js';
-import { boxSpecsOf } from '../boxes/boxPlaces.js';
+import { boxSpecsOf } from '../boxes/boxSpecs.js';
 import { StoreOutage } from '../store/virtualStore.js';
 import { recordDutyOutage } from '../report/dutyRecord.js';
 import { later, type World } from '../world.js';
 import { changeLimits } from './changeLimits.js';
-import { restoreStore } from './copyStore.js';
-import { sendCrashingRequests } from './endingRequests.js';
+import { restoreStore } from './restoreStore.js';
+import { sendCrashingRequests } from './crashingRequests.js';
 import { limitServers } from './limitedServers.js';
-import { announceDraining, refuseRequests } from './statingServers.js';
+import { announceDraining, refuseRequests } from './serverStatements.js';
 import { startRollout } from './rollouts.js';
 
 /** Time until a process that ended is started again, in ms. */
--- a/packages/reedlug-simulator/src/faults/endingRequests.ts
+++ b/packages/reedlug-simulator/src/faults/crashingRequests.ts
@@ -1,7 +1,7 @@
 /** Requests under which each server ends that runs them, and what is promised of them. */
 import { createRequest, sendTry } from '../callers/callers.js';
 import type { ServerCrash } from '../callers/callerAttempt.js';
-import { generateRequest, generateSharedParts, workspaceName } from '../callers/drawRequest.js';
+import { generateRequest, generateSharedParts, workspaceName } from '../callers/generateRequest.js';
 import { crashingRequestOf, recordRequest } from '../report/sceneRecord.js';
 import type { SceneClass, SceneFaultSpec } from '../scene/scene.js';
 import { restartServer, type VirtualServer } from '../servers/virtualServers.js';
--- a/packages/reedlug-simulator/src/faults/limitedServers.ts
+++ b/packages/reedlug-simulator/src/faults/limitedServers.ts
@@ -114,13 +114,13 @@
 /** How the limits of all servers were kept. */
 export function limitedServerRows(world: World): LimitedServerRow[] {
   return world.record.limitedServers
-    .filter(({ firstStatedAtMs: namedAtMs }) => namedAtMs !== undefined)
+    .filter(({ firstStatedAtMs }) => firstStatedAtMs !== undefined)
     .map((record) => rowOf(world, record));
 }
 
 function rowOf(world: World, record: LimitedServerRecord): LimitedServerRow {
-  const { server, periods, firstStatedAtMs: namedAtMs = 0, endedAtMs, arrivals } = record;
-  const fromMs = namedAtMs + PROPAGATION_MS;
+  const { server, periods, firstStatedAtMs = 0, endedAtMs, arrivals } = record;
+  const fromMs = firstStatedAtMs + PROPAGATION_MS;
   const untilMs = Math.min(endedAtMs ?? Infinity, nowMs(world));
   const counted = arrivals.filter(({ atMs }) => atMs >= fromMs && atMs < untilMs);
   const bound = greatestWindow(
--- a/packages/reedlug-simulator/src/faults/rollouts.ts
+++ b/packages/reedlug-simulator/src/faults/rollouts.ts
@@ -137,14 +137,7 @@
 export function brokenRolloutGuarantees(world: World): { promise: string; detail: string }[] {
   const { exposeShare, exposeSlack } = world.scene.bounds;
   return world.rollouts.flatMap((rollout) => {
-    const {
-      spec,
-      version,
-      arrivals,
-      trialArrivals,
-      stopDueAtMs: borneUntilMs,
-      lastArrivalMs,
-    } = rollout;
+    const { spec, version, arrivals, trialArrivals, stopDueAtMs, lastArrivalMs } = rollout;
     if (!isBadVersion(spec)) return [];
     const broken = [];
     const allowed = arrivals * exposeShare + exposeSlack;
@@ -152,8 +145,8 @@
       const detail = `${version}: ${trialArrivals} of ${Math.round(allowed)}`;
       broken.push({ promise: 'exposure', detail });
     }
-    if (borneUntilMs !== undefined && lastArrivalMs > borneUntilMs) {
-      const detail = `${version}: ${Math.round(lastArrivalMs - borneUntilMs)} ms too late`;
+    if (stopDueAtMs !== undefined && lastArrivalMs > stopDueAtMs) {
+      const detail = `${version}: ${Math.round(lastArrivalMs - stopDueAtMs)} ms too late`;
       broken.push({ promise: 'exposureAfterFailures', detail });
     }
     return broken;
--- a/packages/reedlug-simulator/src/faults/statingServers.ts
+++ b/packages/reedlug-simulator/src/faults/serverStatements.ts
@@ -38,8 +38,8 @@
   servers: readonly VirtualServer[],
 ): void {
   for (const server of servers) {
-    const restMs = fault.restS === undefined ? undefined : fault.restS * 1000;
-    const refusing = { share: fault.refuseShare, restMs };
+    const pauseMs = fault.restS === undefined ? undefined : fault.restS * 1000;
+    const refusing = { share: fault.refuseShare, pauseMs };
     server.refusing = refusing;
     recordOf(world, server);
     later(world, fault.forS * 1000, () => {
@@ -62,7 +62,7 @@
   return {
     limit: limitStatementOf(world, server),
     isDraining: server.isDraining,
-    pauseMs: isRefusal ? server.refusing?.restMs : undefined,
+    pauseMs: isRefusal ? server.refusing?.pauseMs : undefined,
   };
 }
 
@@ -75,11 +75,11 @@
   const { limit, isDraining, pauseMs } = statements;
   if (limit.kind === 'limit') recordLimitForwarded(world, server, box);
   if (isDraining) {
-    const { leavingToldAtMs } = recordOf(world, server);
-    if (!leavingToldAtMs.has(box)) leavingToldAtMs.set(box, nowMs(world));
+    const { drainingStatedAtMs } = recordOf(world, server);
+    if (!drainingStatedAtMs.has(box)) drainingStatedAtMs.set(box, nowMs(world));
   }
   if (pauseMs !== undefined)
-    recordOf(world, server).rests.push({ atMs: nowMs(world), pauseMs: pauseMs, box });
+    recordOf(world, server).pauses.push({ atMs: nowMs(world), pauseMs, box });
 }
 
 /** Notes a request that reached a server which has said something. */
@@ -95,7 +95,7 @@
 function recordOf(world: World, server: VirtualServer): ServerStatementRecord {
   const known = world.record.statingServers.get(server);
   if (known !== undefined) return known;
-  const record = { server, leavingToldAtMs: new Map(), rests: [], arrivals: [] };
+  const record = { server, drainingStatedAtMs: new Map(), pauses: [], arrivals: [] };
   world.record.statingServers.set(server, record);
   return record;
 }
@@ -120,17 +120,17 @@
 }
 
 function rowOf(world: World, record: ServerStatementRecord): ServerStatementRow {
-  const { server, leavingToldAtMs, rests, arrivals } = record;
+  const { server, drainingStatedAtMs, pauses, arrivals } = record;
   const { drainMs } = world.scene.bounds;
-  const firstStatedAtMs = Math.min(Infinity, ...leavingToldAtMs.values());
+  const firstStatedAtMs = Math.min(Infinity, ...drainingStatedAtMs.values());
   const isLate = (sentAtMs: number, statedAtMs: number): boolean => sentAtMs > statedAtMs + drainMs;
   const late = arrivals.filter(({ callerSentAtMs, box }) =>
-    isLate(callerSentAtMs, leavingToldAtMs.get(box) ?? Infinity),
+    isLate(callerSentAtMs, drainingStatedAtMs.get(box) ?? Infinity),
   );
   const lateOfAll = arrivals.filter(({ callerSentAtMs }) =>
     isLate(callerSentAtMs, firstStatedAtMs),
   );
-  const pauseCounts = rests.map((pause) => {
+  const pauseCounts = pauses.map((pause) => {
     const inRest = arrivals.filter(
       ({ atMs }) => atMs > pause.atMs + PAUSE_GRACE_MS && atMs < pause.atMs + pause.pauseMs,
     );
--- a/packages/reedlug-simulator/src/index.ts
+++ b/packages/reedlug-simulator/src/index.ts
@@ -1,10 +1,10 @@
 /** A whole fleet of gateway boxes in one process under virtual time. */
-export { generateStoreRestores as drawCopies } from './scene/drawCopies.js';
-export * from './scene/drawCrashTroubles.js';
-export * from './scene/drawLimitTroubles.js';
-export * from './scene/drawRollout.js';
-export { generateServerLimits as drawServerLimits } from './scene/drawServerLimits.js';
-export * from './scene/drawStatements.js';
+export { generateStoreRestores as drawCopies } from './scene/generateStoreRestores.js';
+export * from './scene/generateCrashFaults.js';
+export * from './scene/generateLimitFaults.js';
+export * from './scene/generateRollout.js';
+export { generateServerLimits as drawServerLimits } from './scene/generateServerLimits.js';
+export * from './scene/generateServerStatements.js';
 export * from './report/outcomes.js';
 export * from './report/sceneReport.js';
 export type { BrokenGuarantee as BrokenPromise, LogLine } from './report/sceneRecord.js';
--- a/packages/reedlug-simulator/src/report/outcomes.ts
+++ b/packages/reedlug-simulator/src/report/outcomes.ts
@@ -36,14 +36,11 @@
 }
 
 /** A refused request that came back as told and was then served in time earns the mean of both. */
-function earned(
-  end: RequestEnd,
-  { spec, retryAfterHonoredAtMs: returnedAtMs }: CallerRequest,
-): number {
+function earned(end: RequestEnd, { spec, retryAfterHonoredAtMs }: CallerRequest): number {
   const lateWorth = spec.worth * spec.lateWorthShare;
   switch (end) {
     case RequestEnd.inTime:
-      return returnedAtMs === undefined ? spec.worth : (spec.worth + lateWorth) / 2;
+      return retryAfterHonoredAtMs === undefined ? spec.worth : (spec.worth + lateWorth) / 2;
     case RequestEnd.late:
       return lateWorth;
     case RequestEnd.refused:
--- a/packages/reedlug-simulator/src/report/sceneRecord.ts
+++ b/packages/reedlug-simulator/src/report/sceneRecord.ts
@@ -48,9 +48,9 @@
 export interface ServerStatementRecord {
   server: VirtualServer;
   /** When boxes first took an answer that says it leaves. */
-  leavingToldAtMs: Map<VirtualBox, number>;
+  drainingStatedAtMs: Map<VirtualBox, number>;
   /** Rests that boxes were asked for. */
-  rests: { atMs: number; pauseMs: number; box: VirtualBox }[];
+  pauses: { atMs: number; pauseMs: number; box: VirtualBox }[];
   /** Requests that reached it, and when their callers had sent them to a box. */
   arrivals: { atMs: number; callerSentAtMs: number; box: VirtualBox }[];
 }
@@ -137,9 +137,9 @@
 function getOrCreate<K, V>(map: Map<K, V>, key: K, make: () => V): V {
   const known = map.get(key);
   if (known !== undefined) return known;
-  const made = make();
-  map.set(key, made);
-  return made;
+  const created = make();
+  map.set(key, created);
+  return created;
 }
 
 function countIn(map: Map<string, number>, key: string): void {
@@ -186,13 +186,13 @@
 
 /** A request was served. */
 export function recordAnswered(world: World, request: CallerRequest): void {
-  const { spec, startedAtMs, retryAfterHonoredAtMs: returnedAtMs } = request;
+  const { spec, startedAtMs, retryAfterHonoredAtMs } = request;
   const firstAtMs = request.firstEventAtMs ?? nowMs(world);
   const waitMs = firstAtMs - startedAtMs;
   getOrCreate(world.record.firstEventMs, spec.name, createHistogram).recordValue(
     Math.min(MAX_HISTOGRAM_MS, Math.max(0, Math.round(waitMs))),
   );
-  const sinceMs = returnedAtMs ?? startedAtMs;
+  const sinceMs = retryAfterHonoredAtMs ?? startedAtMs;
   const isFirstLate = firstAtMs - sinceMs > spec.targetMs;
   const isGapLate = request.longestGapMs > (spec.gapTargetMs ?? Number.POSITIVE_INFINITY);
   if (isFirstLate) world.record.lateByFirstEvent += 1;
@@ -217,9 +217,9 @@
   recordEnd(world, request, hasLeft ? RequestEnd.left : RequestEnd.failed);
 }
 
-function recordHeldTime(world: World, { reachedBoxAtMs: heldSinceMs }: CallerRequest): void {
-  if (heldSinceMs === undefined) return;
-  const heldMs = Math.round(Math.max(0, nowMs(world) - heldSinceMs));
+function recordHeldTime(world: World, { reachedBoxAtMs }: CallerRequest): void {
+  if (reachedBoxAtMs === undefined) return;
+  const heldMs = Math.round(Math.max(0, nowMs(world) - reachedBoxAtMs));
   world.record.heldUnservedMs.recordValue(Math.min(MAX_HISTOGRAM_MS, heldMs));
 }
 
--- a/packages/reedlug-simulator/src/report/sceneReport.ts
+++ b/packages/reedlug-simulator/src/report/sceneReport.ts
@@ -4,9 +4,9 @@
   crashingRequestRows,
   MAX_FURTHER_SENDS,
   type CrashingRequestRow,
-} from '../faults/endingRequests.js';
+} from '../faults/crashingRequests.js';
 import { limitedServerRows, type LimitedServerRow } from '../faults/limitedServers.js';
-import { serverStatementRows, type ServerStatementRow } from '../faults/statingServers.js';
+import { serverStatementRows, type ServerStatementRow } from '../faults/serverStatements.js';
 import { brokenRolloutGuarantees } from '../faults/rollouts.js';
 import type { World } from '../world.js';
 import { earnedShare, type Outcomes } from './outcomes.js';
--- a/packages/reedlug-simulator/src/runScene.ts
+++ b/packages/reedlug-simulator/src/runScene.ts
@@ -8,7 +8,7 @@
   type WorkspaceSpec,
 } from 'reedlug-gateway';
 import { createEventQueue, createRandom } from 'reedlug-standins';
-import { boxSpecsOf } from './boxes/boxPlaces.js';
+import { boxSpecsOf } from './boxes/boxSpecs.js';
 import { startBox } from './boxes/virtualBox.js';
 import { startCallers } from './callers/callers.js';
 import {
@@ -18,7 +18,7 @@
   SCENE_HOST,
   workspaceName,
   workspaceShares,
-} from './callers/drawRequest.js';
+} from './callers/generateRequest.js';
 import { scheduleFaults } from './faults/applyFaults.js';
 import { watchDutyLease } from './report/dutyRecord.js';
 import { createSceneRecord, type LogLine } from './report/sceneRecord.js';
--- a/packages/reedlug-simulator/src/scene/drawStatements.ts
+++ b/packages/reedlug-simulator/src/scene/generateServerStatements.ts
@@ -1,7 +1,7 @@
 /** Scenes drawn by seed: servers that leave, rest or refuse by their answers, and troubles around them. */
 import { hashString } from 'reedlug-coordination';
 import { createRandom, type Random } from 'reedlug-standins';
-import { generateFault } from './drawServerLimits.js';
+import { generateFault } from './generateServerLimits.js';
 import type { Scene, SceneFaultSpec } from './scene.js';
 
 /** Servers that say something, and troubles beside, in number of faults. */
--- a/packages/reedlug-simulator/src/scene/drawCopies.ts
+++ b/packages/reedlug-simulator/src/scene/generateStoreRestores.ts
@@ -1,7 +1,7 @@
 /** Scenes drawn by seed: the store comes back from copies, and troubles around them. */
 import { hashString } from 'reedlug-coordination';
 import { createRandom, type Random } from 'reedlug-standins';
-import { generateFault } from './drawServerLimits.js';
+import { generateFault } from './generateServerLimits.js';
 import type { Scene, SceneFaultSpec } from './scene.js';
 
 /** Copies, and troubles and changes beside them, in number of faults. */
--- a/packages/reedlug-simulator/src/servers/batchEngine.ts
+++ b/packages/reedlug-simulator/src/servers/batchEngine.ts
@@ -58,7 +58,7 @@
 /** Returns an idle engine. */
 export function createBatchEngine(parameters: EngineParameters): BatchEngine {
   return {
-    parameters: parameters,
+    parameters,
     slowFactor: 1,
     waiting: [],
     running: [],
@@ -79,13 +79,13 @@
 export function submitRun(engine: BatchEngine, run: EngineRun, nowMs: number): void {
   if (engine.waiting.length >= engine.parameters.queue) return run.onRejected();
   const promptTokens = run.parts.reduce((sum, { tokens }) => sum + tokens, 0);
-  const made = run.fromEvent * engine.parameters.tokensPerEvent;
+  const generatedTokens = run.fromEvent * engine.parameters.tokensPerEvent;
   const live: LiveRun = {
     run,
     order: engine.nextOrder,
     promptTokens,
     prefillLeft: 0,
-    generatedTokens: made,
+    generatedTokens,
     notBeforeMs: nowMs + engine.parameters.firstMs,
   };
   engine.nextOrder += 1;
@@ -163,15 +163,15 @@
 /** Memory of the requests that run, without the parts that others share. */
 function usedTokens(engine: BatchEngine): number {
   return engine.running.reduce(
-    (sum, { run, generatedTokens: made }) => sum + (run.parts.at(-1)?.tokens ?? 0) + made,
+    (sum, { run, generatedTokens }) => sum + (run.parts.at(-1)?.tokens ?? 0) + generatedTokens,
     0,
   );
 }
 
 /** Reads a chunk, the most urgent prompts first; gives the time that the step takes. */
 function prefillChunk(engine: BatchEngine): number {
-  const { parameters: figures, running } = engine;
-  let left = figures.chunkTokens;
+  const { parameters, running } = engine;
+  let left = parameters.chunkTokens;
   let pairs = 0;
   for (const live of running) {
     if (left === 0) break;
@@ -182,13 +182,13 @@
     left -= tokens;
     if (live.prefillLeft === 0) cachePrompt(engine, live);
   }
-  const tokens = figures.chunkTokens - left;
+  const tokens = parameters.chunkTokens - left;
   engine.readTokens += tokens;
   const usualMs =
-    figures.stepMs +
-    figures.stepMsPerRun * running.length +
-    tokens / figures.readTokensPerMs +
-    (Math.max(0, pairs) / 1e6) * figures.readMsPerMillionPairs;
+    parameters.stepMs +
+    parameters.stepMsPerRun * running.length +
+    tokens / parameters.readTokensPerMs +
+    (Math.max(0, pairs) / 1e6) * parameters.readMsPerMillionPairs;
   return usualMs * engine.slowFactor;
 }
 
--- a/packages/reedlug-simulator/src/servers/virtualServers.ts
+++ b/packages/reedlug-simulator/src/servers/virtualServers.ts
@@ -43,7 +43,7 @@
   /** Says in its answers that it leaves. */
   isDraining: boolean;
   /** The share of requests that it refuses, and the rest that it asks for as it does, if any. */
-  refusing: { share: number; restMs: number | undefined } | undefined;
+  refusing: { share: number; pauseMs: number | undefined } | undefined;
   /** Told when it ends while requests are open, by run. */
   openRuns: Map<number, () => void>;
 }
@@ -179,8 +179,8 @@
 }
 
 /** Whether a server takes new work, as the platform knows it: its entry may say so late. */
-export function acceptsNewWork({ entry, isDraining: isLeaving }: VirtualServer): boolean {
-  return entry.state === ServerState.ready && !isLeaving;
+export function acceptsNewWork({ entry, isDraining }: VirtualServer): boolean {
+  return entry.state === ServerState.ready && !isDraining;
 }
 
 /** Engines of one kind in a zone that were ordered and have not come yet. */
@@ -197,10 +197,10 @@
 /** Carries out an order of engines or takes a report. */
 export function handleCloudCall(
   world: World,
-  made: { call: CloudCall; holder: string; fence: number },
+  request: { call: CloudCall; holder: string; fence: number },
 ): CloudOutcome {
-  const { call } = made;
-  if (recordDutyCall(world, made) === 'fenced') return 'fenced';
+  const { call } = request;
+  if (recordDutyCall(world, request) === 'fenced') return 'fenced';
   if (call.kind === 'reportUsage') return 'done';
   const service = world.scene.services.find(({ name }) => name === call.service);
   if (service?.kind !== 'engines') return 'refused';
