--- a/packages/reedlug-simulator/src/scene/generateCrashFaults.ts
+++ b/packages/reedlug-simulator/src/scene/generateCrashFaults.ts
@@ -1,15 +1,15 @@
-/** Scenes drawn by seed: servers that crash under some requests or for other causes, while few bodies are popular. */
+/** Generates scenes from a seed: servers crash because of some requests or for other causes, while few bodies are popular. */
 import { hashString } from 'reedlug-coordination';
 import { createRandom, type Random } from 'reedlug-standins';
 import type { Scene, SceneFaultSpec } from './scene.js';
 
-/** Requests that crash their servers, and troubles beside, in number. */
+/** Minimum and maximum number of faults with crashing requests, and of other faults. */
 const CRASHING_REQUESTS_PER_SCENE = { least: 0, most: 2 };
 const OTHER_FAULTS_PER_SCENE = { least: 1, most: 4 };
-/** Bodies of a class whose requests are mostly alike. */
+/** Minimum and maximum number of different bodies in a class whose requests are mostly alike. */
 const POPULAR_BODIES = { least: 1, most: 6 };
 
-/** Replaces a scene's faults by drawn ones, and gives some classes few bodies. */
+/** Replaces a scene's faults with generated ones, and gives some classes few bodies. */
 export function generateCrashFaults(scene: Scene, seed: number): Scene {
   const random = createRandom(hashString(`crashes ${seed}`));
   const classes = scene.classes.map((spec) =>
--- a/packages/reedlug-simulator/src/scene/generateLimitFaults.ts
+++ b/packages/reedlug-simulator/src/scene/generateLimitFaults.ts
@@ -1,12 +1,12 @@
-/** Scenes drawn by seed: a workspace far over its limit, and faults that overlap. */
+/** Generates scenes from a seed: a workspace far over its limit, and faults that overlap. */
 import { hashString } from 'reedlug-coordination';
 import { createRandom, type Random } from 'reedlug-standins';
 import type { Scene, SceneFaultSpec } from './scene.js';
 
-/** Faults drawn beside the hot workspace, in number. */
+/** Minimum and maximum number of faults in addition to the hot workspace. */
 const OTHER_FAULTS_PER_SCENE = { least: 1, most: 4 };
 
-/** Replaces a scene's faults by drawn ones. */
+/** Replaces a scene's faults with generated ones. */
 export function generateLimitFaults(scene: Scene, seed: number): Scene {
   const random = createRandom(hashString(`limits ${seed}`));
   const hotWorkspace: SceneFaultSpec = {
--- a/packages/reedlug-simulator/src/scene/generateRollout.ts
+++ b/packages/reedlug-simulator/src/scene/generateRollout.ts
@@ -1,12 +1,12 @@
-/** Roll-outs drawn by seed: what is rolled out, whether it is bad and how, and what goes wrong beside it. */
+/** Generates roll-outs from a seed: the service, whether and how its new version is bad, and a concurrent fault. */
 import { hashString } from 'reedlug-coordination';
 import { createRandom, type Random } from 'reedlug-standins';
 import { isBadVersion } from '../faults/rollouts.js';
 import type { Scene, SceneFaultSpec } from './scene.js';
 
-/** When the order is given, in s after the first caller. */
+/** Time of the order, in s after the first caller. */
 const ORDERED_AT_S = 2;
-/** Shortest and longest time that an order gives, in s. */
+/** Shortest and longest duration of a roll-out, in s. */
 const DURATION_S = { least: 10, most: 18 };
 
 type RolloutSpec = Extract<SceneFaultSpec, { kind: 'rollout' }>;
@@ -15,21 +15,21 @@
   'failShare' | 'slowFactor' | 'badFromS' | 'badFromOpen' | 'class'
 >;
 
-/** A drawn roll-out. */
+/** A generated roll-out. */
 export interface GeneratedRollout {
   scene: Scene;
   isBad: boolean;
-  /** How it is bad, and what goes wrong beside it; for the report. */
+  /** Describes the fault of the version and the concurrent fault, for the report. */
   label: string;
 }
 
-/** Draws a roll-out into a scene; `withTrouble` adds a fault beside it. */
+/** Replaces a scene's faults with a generated roll-out; `withExtraFault` adds a concurrent fault. */
 export function generateRollout(
   scene: Scene,
   seed: number,
   withExtraFault: boolean,
 ): GeneratedRollout {
-  // Seeds that follow each other would draw alike at first.
+  // The seed is hashed because consecutive seeds start with similar random numbers.
   const random = createRandom(hashString(`rollout ${seed}`));
   const service = pick(random, scene.services).name;
   const durationS = random.whole(DURATION_S.least, DURATION_S.most);
@@ -53,11 +53,11 @@
 
 function pick<T>(random: Random, choices: readonly T[]): T {
   const choice = choices[random.whole(0, choices.length - 1)];
-  if (choice === undefined) throw new Error('nothing to draw from');
+  if (choice === undefined) throw new Error('cannot pick from an empty list');
   return choice;
 }
 
-/** Half of the versions are sound. */
+/** Returns a good version in half of the cases, a bad one otherwise. */
 function generateVersionFault(
   random: Random,
   scene: Scene,
--- a/packages/reedlug-simulator/src/scene/generateServerLimits.ts
+++ b/packages/reedlug-simulator/src/scene/generateServerLimits.ts
@@ -1,15 +1,15 @@
-/** Scenes drawn by seed: servers that name limits, and troubles around them. */
+/** Generates scenes from a seed: servers that state limits, and other faults around them. */
 import { hashString } from 'reedlug-coordination';
 import { createRandom, type Random } from 'reedlug-standins';
 import type { Scene, SceneFaultSpec } from './scene.js';
 
-/** Times at which servers begin to name limits, and troubles beside, in number. */
+/** Minimum and maximum number of faults in which servers state limits, and of other faults. */
 const LIMIT_STATEMENTS_PER_SCENE = { least: 1, most: 3 };
 const OTHER_FAULTS_PER_SCENE = { least: 0, most: 3 };
-/** Limits that are named, in requests a second. */
+/** Limits that servers state, in requests per second. */
 const LIMITS_PER_SECOND: readonly number[] = [0, 0.1, 0.4, 1, 1.2, 3, 8, 50];
 
-/** Replaces a scene's faults by drawn ones. */
+/** Replaces a scene's faults with generated ones. */
 export function generateServerLimits(scene: Scene, seed: number): Scene {
   const random = createRandom(hashString(`server limits ${seed}`));
   const generateList = <T>(bounds: { least: number; most: number }, generateOne: () => T): T[] =>
@@ -36,7 +36,7 @@
   };
 }
 
-/** Draws a trouble that may stand beside statements of servers. */
+/** Generates a fault that may occur together with statements of servers. */
 export function generateFault(random: Random, scene: Scene): SceneFaultSpec {
   const atS = 1 + random.unit() * (scene.lengthS - 6);
   const forS = 1 + random.unit() * 8;
--- a/packages/reedlug-simulator/src/scene/generateServerStatements.ts
+++ b/packages/reedlug-simulator/src/scene/generateServerStatements.ts
@@ -1,16 +1,16 @@
-/** Scenes drawn by seed: servers that leave, rest or refuse by their answers, and troubles around them. */
+/** Generates scenes from a seed: servers whose answers announce draining, a pause or a refusal, and other faults around them. */
 import { hashString } from 'reedlug-coordination';
 import { createRandom, type Random } from 'reedlug-standins';
 import { generateFault } from './generateServerLimits.js';
 import type { Scene, SceneFaultSpec } from './scene.js';
 
-/** Servers that say something, and troubles beside, in number of faults. */
+/** Minimum and maximum number of faults in which servers state something, and of other faults. */
 const STATEMENTS_PER_SCENE = { least: 1, most: 4 };
 const OTHER_FAULTS_PER_SCENE = { least: 0, most: 3 };
-/** Rests that are asked for, in s; 0 for a refusal that asks for none. */
+/** Pauses that servers request, in s; 0 stands for a refusal that requests no pause. */
 const PAUSES_S: readonly number[] = [0, 0.2, 1, 3, 8, 10, 60, 3600, 1e9];
 
-/** Replaces a scene's faults by drawn ones. */
+/** Replaces a scene's faults with generated ones. */
 export function generateServerStatements(scene: Scene, seed: number): Scene {
   const random = createRandom(hashString(`statements ${seed}`));
   const generateList = <T>(bounds: { least: number; most: number }, generateOne: () => T): T[] =>
--- a/packages/reedlug-simulator/src/scene/generateStoreRestores.ts
+++ b/packages/reedlug-simulator/src/scene/generateStoreRestores.ts
@@ -1,18 +1,18 @@
-/** Scenes drawn by seed: the store comes back from copies, and troubles around them. */
+/** Generates scenes from a seed: restores of the store from backups, with other faults around them. */
 import { hashString } from 'reedlug-coordination';
 import { createRandom, type Random } from 'reedlug-standins';
 import { generateFault } from './generateServerLimits.js';
 import type { Scene, SceneFaultSpec } from './scene.js';
 
-/** Copies, and troubles and changes beside them, in number of faults. */
+/** Minimum and maximum number of restores, of faults near them, and of other faults. */
 const RESTORES_PER_SCENE = { least: 1, most: 3 };
 const CONCURRENT_FAULTS_PER_SCENE = { least: 1, most: 4 };
 const OTHER_FAULTS_PER_SCENE = { least: 0, most: 2 };
-/** Time from the first caller to the first copy at the earliest, and from the last one to the end, in s. */
+/** Minimum time from the first caller to the first restore, and from the last restore to the end, in s. */
 const QUIET_START_S = 5;
 const QUIET_END_S = 8;
 
-/** Replaces a scene's faults by drawn ones. */
+/** Replaces a scene's faults with generated ones. */
 export function generateStoreRestores(scene: Scene, seed: number): Scene {
   const random = createRandom(hashString(`copies ${seed}`));
   const generateList = <T>(bounds: { least: number; most: number }, generateOne: () => T): T[] =>
@@ -39,7 +39,7 @@
   };
 }
 
-/** What makes the lost seconds matter, a little before the copy or after it. */
+/** Generates a fault shortly before or after a restore, so that the lost writes matter. */
 function generateConcurrentFault(random: Random, restoreAtS: number): SceneFaultSpec {
   const atS = Math.max(0.5, restoreAtS - 5 + random.unit() * 8);
   const downS = 0.2 + random.unit() * 3;
--- a/packages/reedlug-simulator/src/scene/readSceneFile.ts
+++ b/packages/reedlug-simulator/src/scene/readSceneFile.ts
@@ -1,18 +1,18 @@
-/** Reads a scene's file; a scene may extend another one, whose fields it replaces whole. */
+/** Reads scene files. A scene may extend another one: each field that it has replaces the whole field of the other. */
 import { readFileSync } from 'node:fs';
 import { dirname, join } from 'node:path';
 import { parseDocument } from 'yaml';
 import type { Scene } from './scene.js';
 import { validateScene, type SceneFileError } from './sceneValidation.js';
 
-/** Scenes that extend each other at most; more are a circle. */
+/** Maximum length of a chain of `extends`; a longer one is treated as circular. */
 const MAX_EXTENDS_DEPTH = 5;
 
-/** A scene, or everything that is wrong with its file. */
+/** A scene, or all errors of its file. */
 export type SceneFileResult =
   { kind: 'scene'; scene: Scene } | { kind: 'faulty'; faults: SceneFileError[] };
 
-/** Reads and checks a scene's file. */
+/** Reads and validates a scene file. */
 export function readSceneFile(path: string): SceneFileResult {
   const text = readText(path);
   if (text.kind === 'faulty') return text;
@@ -31,7 +31,7 @@
   }
 }
 
-/** Fields of the scenes that a text extends, the nearest first. */
+/** Returns the merged fields of the scenes that a text extends; those of the nearest scene take precedence. */
 function readBase(
   path: string,
   text: string,
@@ -41,7 +41,7 @@
   | { kind: 'faulty'; faults: SceneFileError[] } {
   const baseName = (parseDocument(text).toJS() as { extends?: unknown } | null)?.extends;
   if (baseName === undefined) return { kind: 'fields', fields: {} };
-  if (typeof baseName !== 'string') return faulty('`extends` names a file');
+  if (typeof baseName !== 'string') return faulty('`extends` must be the name of a file');
   if (depth > MAX_EXTENDS_DEPTH) return faulty(`${baseName}: scenes extend each other in a circle`);
   const basePath = join(dirname(path), baseName);
   const base = readText(basePath);
--- a/packages/reedlug-simulator/src/scene/sceneValidation.ts
+++ b/packages/reedlug-simulator/src/scene/sceneValidation.ts
@@ -1,4 +1,4 @@
-/** Checks a scene's file and tells all of its faults with their lines. */
+/** Validates a scene file and reports all of its errors with their lines. */
 import { parseLocatedYaml } from 'reedlug-gateway';
 import { z } from 'zod';
 import type { Scene } from './scene.js';
@@ -26,14 +26,14 @@
   z.strictObject({
     kind: z.literal('engines'),
     name: z.string().min(1),
-    /** On-demand engines at the start, in each zone. */
+    /** Number of on-demand engines in each zone at the start. */
     perZone: count,
     engine: engineSchema,
     bootMs: positive,
     maxPerZone: count,
     reclaimablePriceShare: z.number().positive().max(1).optional(),
     heartbeatMs: positive.default(1200),
-    /** Time in which those that stand at the start have entered themselves. */
+    /** Time within which the engines of the start register. */
     entrySpreadMs: positive.default(1200),
   }),
   z.strictObject({
@@ -60,9 +60,9 @@
   priority: z.number().int().min(0).default(0),
   maxAttempts: count.default(1),
   retries: z.number().int().min(0).default(1),
-  /** Different bodies of all its requests; each has its own when left out. */
+  /** Number of different request bodies; each request has its own when omitted. */
   bodies: count.optional(),
-  /** Parts of the prompt that others share, in order: how many there are of each, and how long they are. */
+  /** Prompt parts that requests share, in order: the number of variants of each part, and their lengths. */
   sharedParts: z.array(z.strictObject({ tokens: size, things: count })).default([]),
   ownTokens: size.optional(),
   events: size.optional(),
@@ -83,30 +83,30 @@
     zone: z.string().optional(),
   }),
   z.strictObject({ kind: z.literal('crashEngines'), ...startFields, share, silent: z.boolean() }),
-  /** They come back under their ids with nothing of before. */
+  /** Engines restart under the same ids with no state. */
   z.strictObject({
     kind: z.literal('restartEngines'),
     ...startFields,
     share,
     downS: positive,
-    /** Whether their entries tell when they were born. */
+    /** Whether their registry entries contain the time of their start. */
     tellsBirth: z.boolean().default(true),
   }),
-  /** Requests under which each server ends that runs them; they come again under other ids. */
+  /** Requests that crash every server that runs them; they are repeated under other ids. */
   z.strictObject({
     kind: z.literal('endingRequests'),
     ...spanFields,
     class: z.string(),
-    /** Different ones, and how many of each come at once. */
+    /** Number of different requests, and how many copies of each arrive at once. */
     count: count.default(1),
     copies: count.default(1),
     everyMs: positive.default(300),
-    /** How long a server runs one before it ends, and how long it is away. */
+    /** How long a server runs such a request before it crashes, and how long the server is down. */
     runMs: nonNegative.default(60),
     downS: positive.default(2.5),
     tellsBirth: z.boolean().default(true),
   }),
-  /** Servers in need name a limit of requests a second, another one after half of the time, then none. */
+  /** Overloaded servers state a limit of requests per second, optionally another one after half of the time, then none. */
   z.strictObject({
     kind: z.literal('limitServers'),
     ...spanFields,
@@ -114,10 +114,10 @@
     share,
     perSecond: nonNegative,
     thenPerSecond: nonNegative.optional(),
-    /** Whether they turn down, as not run, what comes beyond it within a second. */
+    /** Whether they reject, as not run, requests that exceed the limit within a second. */
     turnsDown: z.boolean().default(false),
   }),
-  /** Servers say in their answers alone that they leave, serve on for a while, and end or begin another life. */
+  /** Servers announce only in their answers that they drain, serve for a while longer, and then end or restart. */
   z.strictObject({
     kind: z.literal('leaveServers'),
     ...startFields,
@@ -127,7 +127,7 @@
     nextLifeAfterS: positive.optional(),
     tellsBirth: z.boolean().default(true),
   }),
-  /** Servers refuse a share of their requests, as not run, and may ask for rest. */
+  /** Servers refuse a share of their requests, as not run, and may request a pause. */
   z.strictObject({
     kind: z.literal('restServers'),
     ...spanFields,
@@ -144,20 +144,20 @@
     class: z.string().optional(),
   }),
   z.strictObject({ kind: z.literal('hotWorkspace'), ...spanFields, factor: positive }),
-  /** A configuration with limits of so many times the scene's. */
+  /** The operators write a configuration whose limits are the scene's times the factor. */
   z.strictObject({ kind: z.literal('changeLimits'), ...startFields, factor: positive }),
-  /** Boxes that were never there before join in each zone. */
+  /** New boxes join in each zone. */
   z.strictObject({ kind: z.literal('addBoxes'), ...startFields, perZone: count }),
   z.strictObject({ kind: z.literal('storeAway'), ...spanFields }),
-  /** It goes away and comes back from a copy of so long before it went. */
+  /** The store goes down and is restored from a backup of age `ageS`. */
   z.strictObject({
     kind: z.literal('copyStore'),
     ...startFields,
     ageS: nonNegative,
     awayS: nonNegative.default(0.5),
-    /** Time in which the operator and the servers write again what was lost; 0 for the moment of its return. */
+    /** Time within which the operators and the servers rewrite what was lost; 0 rewrites it at the moment of the restore. */
     againWithinS: nonNegative.default(1.2),
-    /** Versions that others use up within a moment of its return. */
+    /** Number of versions that other writers use right after the restore. */
     otherWrites: z.number().int().min(0).default(0),
   }),
   z.strictObject({ kind: z.literal('callersLeave'), ...spanFields, share }),
@@ -166,13 +166,13 @@
     ...startFields,
     service: z.string().min(1),
     durationS: positive,
-    /** From the order until the servers of the new version stand. */
+    /** Time from the order until the servers of the new version have started. */
     startS: nonNegative.default(4),
-    /** Share of its answers that fail, and how many times slower it works; from some time after the order on. */
+    /** Share of failed answers and slowdown factor of the new version, starting `badFromS` after the order. */
     failShare: share.default(0),
     slowFactor: positive.default(1),
     badFromS: nonNegative.default(0),
-    /** Only these are failed: requests of one class, or those that find so many others at their server. */
+    /** Restricts the fault to requests of one class, or to those that find at least this many open requests at their server. */
     class: z.string().optional(),
     badFromOpen: z.number().int().min(0).default(0),
   }),
@@ -180,16 +180,16 @@
 
 const sceneSchema = z.strictObject({
   name: z.string().min(1),
-  /** From the first caller to the end, and from the start of the boxes to the first caller. */
+  /** Time from the first caller to the end, and from the start of the boxes to the first caller. */
   lengthS: positive,
   leadS: nonNegative,
   zones: z.array(z.string().min(1)).min(1),
-  /** Price of an engine-second by zone, in turn. */
+  /** Price of an engine-second in each zone, in the order of `zones`; the list repeats if it is shorter. */
   zonePrices: z.array(positive).min(1),
   boxesPerZone: count,
-  /** Boxes with more processor time in each zone, the first ones. */
+  /** Number of boxes with more processor time in each zone; the first ones have it. */
   largerBoxesPerZone: z.number().int().min(0).default(0),
-  /** From the start of a box's process until it listens. */
+  /** Time from the start of a box's process until it listens. */
   boxStartMs: positive,
   network: z.strictObject({
     sameZoneMs: nonNegative,
@@ -207,7 +207,7 @@
     limitWindowMs: positive,
     limitOverShare: nonNegative,
     limitSlackUnits: nonNegative,
-    /** What a bad version may get: a share of the requests of its service, and some on top. */
+    /** Requests that a bad version may receive: a share of its service's requests plus a constant. */
     exposeShare: share.default(0.1),
     exposeSlack: nonNegative.default(50),
     leaseMs: positive,
@@ -217,15 +217,15 @@
   services: z.array(serviceSchema).min(1),
   callers: z.strictObject({
     perSecond: positive,
-    /** Callers come in clumps of so many on the mean. */
+    /** Mean number of callers that arrive at the same moment. */
     clump: positive.default(1),
-    /** The rate goes up and down by this share. */
+    /** Share by which the rate oscillates. */
     swing: share.default(0),
     swingPeriodS: positive.default(40),
   }),
   workspaces: z.strictObject({
     count,
-    /** A workspace's limit over its usual units. */
+    /** Ratio of a workspace's limit to its usual units. */
     limitOverUsual: positive,
     plainTokens: count.default(200),
   }),
@@ -233,20 +233,20 @@
   faults: z.array(faultSchema).default([]),
 });
 
-/** A scene as its file gives it, with defaults filled in. */
+/** A scene as read from its file, with defaults filled in. */
 export type SceneShape = z.output<typeof sceneSchema>;
 
-/** A fault of a scene's file. */
+/** An error in a scene file. */
 export interface SceneFileError {
-  /** Line in the file, from 1; 0 where none is known. */
+  /** Line in the file, from 1; 0 if unknown. */
   line: number;
-  /** Path of the field, by dots. */
+  /** Path of the field, separated by dots. */
   field: string;
   message: string;
 }
 
 /**
- * Reads a scene; tells every fault that is found, not only the first.
+ * Parses and validates a scene; reports every error, not only the first.
  * Fields that the text lacks come from `base`.
  */
 export function validateScene(
@@ -278,7 +278,7 @@
   message: string;
 }
 
-/** Faults between fields: names that nothing has, and parts that a kind of request needs. */
+/** Returns errors between fields: unknown names, and fields that a kind of request requires. */
 function crossFieldErrors(scene: SceneShape): CrossFieldError[] {
   const faults: CrossFieldError[] = [];
   const kinds = new Map(scene.services.map(({ name, kind }) => [name, kind]));
@@ -289,7 +289,7 @@
     if (kind === undefined) {
       faults.push({
         path: [...path, 'service'],
-        message: `no service ${spec.service}: one of ${known}`,
+        message: `no service ${spec.service}: expected one of ${known}`,
       });
     }
     if (spec.kind === 'stream' && (spec.events === undefined || spec.ownTokens === undefined)) {
