--- a/packages/reedlug-simulator/src/callers/callerAttempt.ts
+++ b/packages/reedlug-simulator/src/callers/callerAttempt.ts
@@ -1,16 +1,16 @@
-/** A caller's request, and one try of it at a box. */
+/** A caller's request, and a single try of it at a box. */
 import type { RequestFacts } from 'reedlug-gateway';
 import type { SceneClass } from '../scene/scene.js';
 
-/** How a server ends under a request: after how long, and for how long. */
+/** How a request crashes its server: after `runMs`, and for `downMs`. */
 export interface ServerCrash {
   runMs: number;
   downMs: number;
-  /** Whether its next life tells when it was born. */
+  /** Whether the next incarnation reports the time of its start. */
   tellsBirth: boolean;
 }
 
-/** A request that a caller wants served, over all of its tries. */
+/** A caller's request over all of its tries. */
 export interface CallerRequest {
   spec: SceneClass;
   zone: string;
@@ -19,29 +19,29 @@
   startedAtMs: number;
   /** World time at which the caller gives up. */
   deadlineAtMs: number;
-  /** Facts of the try in progress. */
+  /** Facts that the box receives with the try in progress. */
   facts: RequestFacts;
   /** Work of a plain request, in ms. */
   workMs: number;
-  /** Events of a stream's answer, and the last that the caller has. */
+  /** Number of events in a stream's answer, and the last one that the caller has received. */
   events: number;
   lastEventId: number | undefined;
-  /** Tries made, and what was seen of the answer. */
+  /** Number of tries, and what the caller has received of the answer. */
   tries: number;
   firstEventAtMs: number | undefined;
   lastEventAtMs: number | undefined;
   longestGapMs: number;
-  /** Runs of the try in progress that servers have begun. */
+  /** Number of runs of the try in progress that servers have started. */
   runsInTry: number;
-  /** Servers that the try in progress reached. */
+  /** Number of servers that the try in progress reached. */
   arrivalsInTry: number;
-  /** Set when a refusal was waited out as told: when the try after it began. */
+  /** World time of the last try that followed the wait after a refusal; undefined without one. */
   retryAfterHonoredAtMs: number | undefined;
   /** World time at which the try in progress reached a box. */
   reachedBoxAtMs: number | undefined;
-  /** The caller leaves before its time. */
+  /** Whether the caller leaves before its usual deadline. */
   leavesEarly: boolean;
-  /** What becomes of a server that runs it; undefined for usual requests. */
+  /** How a server that runs it crashes; undefined for ordinary requests. */
   crashesServer: ServerCrash | undefined;
 }
 
@@ -50,14 +50,14 @@
   return spec.kind === 'stream' ? spec.resumable : spec.kind === 'repeatable';
 }
 
-/** A refusal as the caller sees it. */
+/** A refusal as the caller receives it. */
 export interface Refusal {
   status: number;
   reason: string;
   retryAfterMs: number | undefined;
 }
 
-/** A try at a box: what the box tells it. */
+/** A try at a box: the caller's handlers for what the box sends. */
 export interface CallerAttempt {
   request: CallerRequest;
   /** A whole plain answer. */
--- a/packages/reedlug-simulator/src/callers/callers.ts
+++ b/packages/reedlug-simulator/src/callers/callers.ts
@@ -1,6 +1,6 @@
 /**
- * Callers: when they come, which box they get, what they do after a refusal or a
- * loss, and what they make of the answer.
+ * Simulates callers: when they arrive, which box they reach, what they do after a
+ * refusal or a lost connection, and how they rate the answer.
  */
 import { isReady } from 'reedlug-gateway';
 import type { VirtualBox } from '../boxes/virtualBox.js';
@@ -29,34 +29,34 @@
   type SharedParts,
 } from './generateRequest.js';
 
-/** How often the balancer asks each box whether it is ready, in ms, and after how many misses it leaves it out. */
+/** Interval of the load balancer's health checks, in ms, and failed checks after which it removes a box. */
 const HEALTH_CHECK_INTERVAL_MS = 1000;
 const MAX_MISSED_CHECKS = 2;
-/** How long a caller waits for a connection that nobody answers, in ms. */
+/** How long a caller waits for a connection that no box answers, in ms. */
 const CONNECT_TIMEOUT_MS = 1000;
-/** Part of the time left up to which a caller waits as it is told. */
+/** Share of the remaining time up to which a caller waits for a Retry-After. */
 const MAX_WAIT_SHARE = 1 / 3;
-/** Pause of a caller after a lost connection, in ms. */
+/** Delay before a caller's retry after a lost connection, in ms. */
 const RETRY_DELAY_MS = 50;
-/** A caller gives a stream up after this silence, in ms: the longest of the three. */
+/** A caller gives up a stream after the longest of three silences: this one in ms, or a multiple of a target. */
 const MIN_SILENCE_TIMEOUT_MS = 2000;
 const SILENCE_TARGET_FACTOR = 4;
 const SILENCE_GAP_FACTOR = 8;
 
-/** The boxes' own status for a request that is sent to no server any more. */
+/** Status with which boxes answer a request that they block because it crashes servers. */
 const BLOCKED_STATUS = 500;
 
-/** Changes of the load that faults make. */
+/** How the active faults change the load. */
 export interface LoadChanges {
-  /** Factor on the rate of all classes, or of one. */
+  /** Returns the factor on the rate of a class. */
   factorOf: (className: string) => number;
   /** Factor on the first workspace's share. */
   hotFactor: number;
-  /** Share of the callers that leave early. */
+  /** Share of callers that leave early. */
   leaveShare: number;
 }
 
-/** Starts the balancer and the callers of every zone. */
+/** Starts the load balancer and the callers of every zone. */
 export function startCallers(world: World, changes: LoadChanges): void {
   checkBoxes(world);
   const shared = generateSharedParts(world.scene, world.random);
@@ -82,7 +82,7 @@
   changes: LoadChanges;
 }
 
-/** Lets a clump of callers come, and the next one after a while. */
+/** Starts a clump of callers, and schedules the next one. */
 function startClump(world: World, callers: ZoneCallers): void {
   const { scene, random } = world;
   const trafficS = nowMs(world) / 1000 - scene.leadS;
@@ -124,7 +124,7 @@
   return weights.length - 1;
 }
 
-/** A new request: its first try. */
+/** Generates a request and sends its first try. */
 function startRequest(world: World, callers: ZoneCallers, spec: SceneClass): void {
   const { changes, zone, shared } = callers;
   const shares = workspaceShares(world.scene.workspaces.count);
@@ -142,7 +142,7 @@
   sendTry(world, request);
 }
 
-/** A request as its caller begins it. */
+/** Returns a request that has not been tried yet. */
 export function createRequest(
   world: World,
   params: GeneratedRequest & Pick<CallerRequest, 'spec' | 'zone' | 'workspace'>,
@@ -167,7 +167,7 @@
   };
 }
 
-/** Sends a try to a box of the zone; of the nearest zones when none is in there. */
+/** Sends a try to a box of the caller's zone, or of any zone when the load balancer uses none there. */
 export function sendTry(world: World, request: CallerRequest): void {
   request.tries += 1;
   request.runsInTry = 0;
@@ -195,7 +195,7 @@
   const candidates = ofZone.some(isInRotation)
     ? ofZone.filter(isInRotation)
     : boxes.filter(isInRotation);
-  // When fewer than half are in, the balancer uses all of them.
+  // With fewer candidates than half of the zone's boxes, the load balancer uses all boxes of the zone.
   const usable = candidates.length * 2 < ofZone.length ? ofZone : candidates;
   return usable.length === 0 ? undefined : world.random.pick(usable);
 }
@@ -211,7 +211,7 @@
   box.emit({ type: 'requestArrived', exchangeId, facts: request.facts });
 }
 
-/** Ends the try when the caller's time is up, or a stream has been silent for too long. */
+/** Ends the try when the caller's deadline passes or a stream is silent for too long. */
 function watchTimeouts(
   world: World,
   request: CallerRequest,
@@ -267,7 +267,7 @@
   };
 }
 
-/** A refusal that promises that the request has not run may be tried again, when it is told. */
+/** Retries after a refusal if the request has not run or is repeatable, at the requested Retry-After. */
 function handleRefusal(world: World, request: CallerRequest, refusal: Refusal): void {
   const { status, reason, retryAfterMs } = refusal;
   const claimsNotRun = status === 429 || status === 503;
@@ -292,7 +292,7 @@
   });
 }
 
-/** A lost connection: what may be repeated is tried again at once. */
+/** Retries after a short delay if the request never reached a box or is repeatable; otherwise it has failed. */
 function handleLostConnection(world: World, request: CallerRequest, reason: string): void {
   const mayRetry = request.reachedBoxAtMs === undefined || isRepeatable(request);
   const leftMs = request.deadlineAtMs - nowMs(world);
--- a/packages/reedlug-simulator/src/callers/generateRequest.ts
+++ b/packages/reedlug-simulator/src/callers/generateRequest.ts
@@ -1,4 +1,4 @@
-/** Draws requests: kind, workspace, prompt and length. */
+/** Generates requests: their facts, prompt parts and lengths. */
 import type { PromptPart, RequestFacts } from 'reedlug-gateway';
 import type { Random } from 'reedlug-standins';
 import type { Scene, SceneClass, SizeSpec } from '../scene/scene.js';
@@ -6,37 +6,37 @@
 /** Host of every route of a scene. */
 export const SCENE_HOST = 'scene.example';
 
-/** Path of a kind of request. */
+/** Returns the path prefix of a class of requests. */
 export function pathOf(className: string): string {
   return `/${className}/`;
 }
 
-/** Key of a workspace. */
+/** Returns the API key of a workspace. */
 export function keyOf(workspace: string): string {
   return `key-of-${workspace}`;
 }
 
-/** Name of a scene's workspace. */
+/** Returns the name of the workspace with an index from 0. */
 export function workspaceName(index: number): string {
   return `workspace-${index + 1}`;
 }
 
-/** Shares of the workspaces in the load: a few are large. */
+/** Returns each workspace's share of the load; a few are large. */
 export function workspaceShares(count: number): number[] {
   const weights = Array.from({ length: count }, (_, index) => 1 / (index + 1));
   const total = weights.reduce((sum, weight) => sum + weight, 0);
   return weights.map((weight) => weight / total);
 }
 
-/** A size with the given mean and the given spread of its logarithm. */
+/** Generates a log-normal size with the given mean and the given spread of its logarithm. */
 export function generateSize(random: Random, { mean, spread }: SizeSpec): number {
   return random.logNormal(mean * Math.exp(-(spread ** 2) / 2), spread);
 }
 
-/** Lengths of the parts that requests of a class share; the same in every run of a seed. */
+/** Lengths, in tokens, of the prompt parts that requests of a class share, by class; the same in every run of a seed. */
 export type SharedParts = Map<string, readonly (readonly number[])[]>;
 
-/** Draws the shared parts of a scene. */
+/** Generates the shared prompt parts of a scene. */
 export function generateSharedParts(scene: Scene, random: Random): SharedParts {
   const lengthsByClass: SharedParts = new Map();
   for (const { name, sharedParts } of scene.classes) {
@@ -54,14 +54,14 @@
   return Math.max(1, Math.round(size));
 }
 
-/** What a request asks for. */
+/** A generated request: its facts, the work of a plain request in ms, and the number of events. */
 export interface GeneratedRequest {
   facts: RequestFacts;
   workMs: number;
   events: number;
 }
 
-/** Draws one request of a class. */
+/** Generates one request of a class. */
 export function generateRequest(
   scene: Scene,
   random: Random,
@@ -90,7 +90,7 @@
   };
 }
 
-/** Requests of a class with few bodies share their digests. */
+/** Returns the digest of a request's body; requests of a class with few bodies share digests. */
 function digestOf(random: Random, { name, bodies }: SceneClass, number: number): string {
   return bodies === undefined ? `digest-${number}` : `${name}-${random.whole(1, bodies)}`;
 }
@@ -100,7 +100,7 @@
   return service?.kind === 'engines' ? service.engine.tokensPerEvent : 1;
 }
 
-/** A later part belongs to one of the earlier part before it, as subjects to a template. */
+/** Returns the prompt's parts. Each variant of a shared part follows one fixed variant of the part before it, as subjects belong to a template. */
 function generatePromptParts(
   random: Random,
   spec: SceneClass,
@@ -119,7 +119,7 @@
   return [...parts, { id: `own-${number}`, tokens }];
 }
 
-/** Units of a workspace's limit that a mean request of the scene asks for. */
+/** Returns the limit units that a request of the scene needs on average. */
 export function meanUnits(scene: Scene): number {
   let weights = 0;
   let units = 0;
