--- a/packages/reedlug-simulator/src/boxes/boxSpecs.ts
+++ b/packages/reedlug-simulator/src/boxes/boxSpecs.ts
@@ -1,11 +1,11 @@
-/** Where the boxes of a scene stand. */
+/** Ids, addresses and zones of a scene's boxes. */
 import type { BoxSpec } from './virtualBox.js';
 
-/** Processor time of the larger boxes and of the others, in cores; only the order of hubs depends on it. */
+/** Processor time of the larger boxes and of the others, in cores; only the order of preference as hub depends on it. */
 const LARGER_CORES = 0.675;
 const STANDARD_CORES = 0.324;
 
-/** Places in each zone, the larger boxes first; a place's id and host stay where more are asked for. */
+/** Returns the boxes of each zone, the larger ones first. A box keeps its id and host when `boxesPerZone` grows. */
 export function boxSpecsOf(
   zones: readonly string[],
   boxesPerZone: number,
--- a/packages/reedlug-simulator/src/boxes/performEffect.ts
+++ b/packages/reedlug-simulator/src/boxes/performEffect.ts
@@ -1,4 +1,4 @@
-/** Carries out the effects of a box's reducer in the world. */
+/** Executes the effects of a box's reducer in the simulated world. */
 import {
   ASK_TIMEOUT_MS,
   CLOUD_TIMEOUT_MS,
@@ -40,14 +40,14 @@
 
 /** Zone of the cloud; nothing else is in it. */
 const CLOUD_ZONE = '(cloud)';
-/** Urgency of a request that says none. */
+/** Urgency of a request that states none. */
 const DEFAULT_URGENCY = 5;
-/** Time that a server's own failure takes, in ms. */
+/** Time until a server answers with a failure, in ms. */
 const FAILURE_MS = 5;
 
 type EffectOf<T extends Effect['type']> = Extract<Effect, { type: T }>;
 
-/** Carries out one effect; what comes of it is a later event. */
+/** Executes one effect; its result is emitted as a later event. */
 export function performEffect(world: World, box: VirtualBox, effect: Effect): void {
   switch (effect.type) {
     case 'send':
@@ -92,7 +92,7 @@
   const caller = box.exchanges.get(exchangeId);
   if (caller === undefined) return;
   if (server === undefined || !isReachableFrom(world, box.settings.box.zone, server)) {
-    // A dead port answers at once, a silent one not at all.
+    // A closed port refuses the connection at once; a silent or partitioned server lets it time out.
     const isGone = server === undefined;
     return later(world, isGone ? 1 : CONNECT_TIMEOUT_MS, () => {
       if (box.sends.has(attemptId) || !box.state.requests.has(exchangeId)) return;
@@ -112,7 +112,7 @@
   });
 }
 
-/** A request reaches its server. */
+/** Handles a request that reaches its server. */
 function arriveAtServer(
   world: World,
   box: VirtualBox,
@@ -136,13 +136,13 @@
   const versionFault = faultOfVersion(world, server, request.spec.name);
   const tryNumber = request.tries;
   const arrivedAtMs = nowMs(world);
-  /** A server that cannot be told to stop may begin a try that its caller has left. */
+  /** Records the run, unless it belongs to an earlier try: a server that could not be cancelled may still start that one. */
   const recordStart = (): void => {
     if (request.tries === tryNumber) recordRun(world, request, arrivedAtMs);
   };
-  /** A connection that a cut has taken bytes from says nothing any more. */
+  /** Set once a network partition has dropped bytes of the connection; it delivers nothing afterwards. */
   let isBroken = false;
-  /** What the server says, unless it has gone silent or the box has left it. */
+  /** Delivers what the server sends, unless it is unreachable or the box has cancelled the attempt. */
   const respond = (deliver: () => void): void => {
     isBroken ||= !isReachableFrom(world, box.settings.box.zone, server);
     if (isBroken) return;
@@ -220,7 +220,7 @@
   });
 }
 
-/** A stream's head goes with its first event. */
+/** Relays a whole answer; a stream's head is delivered with its first event. */
 function relay(box: VirtualBox, effect: EffectOf<'relay'>): void {
   if (effect.part !== 'whole') return;
   box.exchanges.get(effect.exchangeId)?.onAnswer();
@@ -233,7 +233,7 @@
   box.exchanges.delete(exchangeId);
 }
 
-/** A server's address stays its own, so its entry tells whether it is there. */
+/** Probes a server. Addresses are never reused, so the address shows whether the server still exists. */
 function probe(world: World, box: VirtualBox, effect: EffectOf<'probeServer'>): void {
   const { host } = effect.address;
   const server = [...world.servers.values()].find(({ entry }) => entry.address.host === host);
--- a/packages/reedlug-simulator/src/boxes/virtualBox.ts
+++ b/packages/reedlug-simulator/src/boxes/virtualBox.ts
@@ -1,4 +1,4 @@
-/** A box of the gateway under virtual time: the real reducer, the real feeds, effects on the world. */
+/** A gateway box in virtual time: it runs the real reducer and feeds, with effects on the simulated world. */
 import {
   handleInTurn,
   isNewEra,
@@ -18,9 +18,9 @@
 import { PROPAGATION_MS, later, nowMs, type World } from '../world.js';
 import { performEffect } from './performEffect.js';
 
-/** Wall clock of the world's start, in ms; any time will do. */
+/** Wall-clock time at the start of the world, in ms; the value is arbitrary. */
 const WALL_CLOCK_START_MS = 1_700_000_000_000;
-/** Port on which boxes hear each other. */
+/** Port on which boxes receive messages from each other. */
 export const PEERS_PORT = 7000;
 
 /** A send in progress. */
@@ -36,9 +36,9 @@
   settings: GatewaySettings;
   state: GatewayState;
   isAlive: boolean;
-  /** Listens for callers. */
+  /** Whether the box accepts connections. */
   isListening: boolean;
-  /** How the process ended: a dead port answers, a box without power says nothing. */
+  /** False after a loss of power: connections time out. When only the process has ended, they are refused. */
   hasPower: boolean;
   incarnation: number;
   /** World time of the process's start. */
@@ -46,18 +46,18 @@
   exchanges: Map<number, CallerAttempt>;
   sends: Map<number, VirtualSend>;
   nextExchangeId: number;
-  /** Callers' balancer: checks in a row without a good answer, and whether callers come. */
+  /** Failed health checks in a row, and whether the load balancer sends callers to the box. */
   missedChecks: number;
   isInRotation: boolean;
-  /** Time that the reducer has taken, in ms. */
+  /** Real time spent in the reducer, in ms. */
   reducerMs: number;
-  /** The store as the process has it; undefined until it listens. */
+  /** The process's connection to the store; undefined until it listens. */
   store: PlatformStore | undefined;
   feeds: PlatformFeeds | undefined;
   emit: (body: EventBody) => void;
 }
 
-/** Where a box stands. */
+/** Identity, address and size of a box. */
 export interface BoxSpec {
   id: string;
   host: string;
@@ -65,7 +65,7 @@
   processorCores: number;
 }
 
-/** Starts a box's process; it listens after the time that the scene gives. */
+/** Starts a box's process; it listens after the scene's start time. */
 export function startBox(world: World, spec: BoxSpec, incarnation: number): VirtualBox {
   const settings = settingsOf(world, spec);
   const startedAtMs = nowMs(world);
@@ -135,7 +135,7 @@
   later(world, world.random.unit() * TICK_MS, tick);
 }
 
-/** Takes the events of a process that lives. */
+/** Returns a function that passes events to the reducer while the process is alive. */
 function createEmit(world: World, box: VirtualBox): (body: EventBody) => void {
   const enqueue = handleInTurn((body) => {
     const sinceStartMs = nowMs(world) - box.startedAtMs;
@@ -154,7 +154,7 @@
   };
 }
 
-/** Ends a box's process at once; its callers and servers see it, unless it has lost power. */
+/** Ends a box's process at once: callers lose their connections, and its runs at servers stop. Without power, later connections time out. */
 export function killBox(world: World, box: VirtualBox, hasPower: boolean): void {
   if (!box.isAlive) return;
   box.isAlive = false;
@@ -170,7 +170,7 @@
   box.sends.clear();
 }
 
-/** Whether a box has run, and heard the others, for long enough to know what they know. */
+/** Whether a box has run without network partitions for long enough to know what the other boxes know. */
 export function isSynchronized(world: World, box: VirtualBox): boolean {
   const sinceMs = nowMs(world) - PROPAGATION_MS;
   return (
