--- a/packages/reedlug-simulator/src/store/storeCollection.ts
+++ b/packages/reedlug-simulator/src/store/storeCollection.ts
@@ -1,18 +1,18 @@
-/** Collections of the virtual store: items with the versions of their last writes, and pages of them. */
+/** Collections of the virtual store: items with the versions of their last writes, and pages of items. */
 import { storeRevision } from 'reedlug-coordination';
 import type { FeedAnswer } from 'reedlug-gateway';
 import { nowMs, type World } from '../world.js';
 
-/** An item as it was last written. */
+/** An item after its last write. */
 export interface StoredItem<T> {
-  /** The item as it is read under a revision. */
+  /** Returns the item as read with a revision. */
   itemOf: (revision: number) => T;
   version: number;
 }
 
-/** A collection that is followed. */
+/** A collection that boxes follow by long polls. */
 export interface Collection<T> {
-  /** Items by key, each with the version of its last write. */
+  /** Items by key, with the version of their last write. */
   items: Map<string, StoredItem<T>>;
   /** Removed items, by key. */
   removed: Map<string, StoredItem<T>>;
@@ -25,18 +25,18 @@
   return { items: new Map(), removed: new Map(), waiting: new Set(), newestVersion: 0 };
 }
 
-/** Sets a value; undefined takes it out. */
+/** Sets a value; undefined deletes the key. */
 export function setOrDelete<K, V>(map: Map<K, V>, key: K, value: V | undefined): void {
   if (value === undefined) map.delete(key);
   else map.set(key, value);
 }
 
-/** Lets all calls that wait look whether there is something for them. */
+/** Makes all waiting calls check whether there are changes for them. */
 export function wakeWaiting<T>(collection: Collection<T>): void {
   for (const check of [...collection.waiting]) check();
 }
 
-/** How far the store's counter is, and in which era. */
+/** The store's version counter and its era, which increases with each restore. */
 export interface StorePosition {
   era: number;
   version: number;
@@ -56,7 +56,7 @@
   return { kind: 'page', page: { items, revision, newestRevision, storeNowMs: nowMs(world) } };
 }
 
-/** The whole as one page. */
+/** Returns the whole collection as one page. */
 export function fullPageOf<T>(
   world: World,
   collection: Collection<T>,
@@ -65,7 +65,7 @@
   return pageOf(world, [...collection.items.values()], position);
 }
 
-/** What was written or removed after a version. */
+/** Returns the items that were written or removed after a version. */
 export function changesOf<T>(
   world: World,
   { items, removed }: Collection<T>,
--- a/packages/reedlug-simulator/src/store/storeHistory.ts
+++ b/packages/reedlug-simulator/src/store/storeHistory.ts
@@ -1,17 +1,17 @@
-/** Changes of the store's rows of the last seconds, so that the store can come back as it was. */
+/** Keeps the recent changes of the store's rows, so that the store can be restored from a backup. */
 
-/** Time for which changes are kept, in ms: longer than any copy is old. */
+/** Time for which changes are kept, in ms; longer than the age of any backup. */
 const RETENTION_MS = 15_000;
 
-/** A change that was made. */
+/** A change of the store. */
 export interface StoreChange {
   atMs: number;
-  /** Takes the change back. */
+  /** Reverts the change. */
   undo: () => void;
-  /** Who wrote it, if they write again what is lost; `key` names what they wrote. */
+  /** Who wrote it: operators and servers rewrite what a restore loses. `key` identifies the row. */
   writer: StoreWriter;
   key: string;
-  /** Makes the change again, where its writer would. */
+  /** Makes the change again; undefined if its writer does not, or rewrites it in another way. */
   redo: (() => void) | undefined;
 }
 
@@ -19,10 +19,10 @@
 export const StoreWriter = { operator: 'operator', server: 'server', box: 'box' } as const;
 export type StoreWriter = (typeof StoreWriter)[keyof typeof StoreWriter];
 
-/** Changes in the order in which they were made. */
+/** Changes in the order of their writes. */
 export interface StoreHistory {
   recordChange: (change: StoreChange) => void;
-  /** Takes back all changes after a time; gives them, the newest first. */
+  /** Reverts all changes after a time and returns them, newest first. */
   revertAfter: (afterMs: number) => StoreChange[];
 }
 
--- a/packages/reedlug-simulator/src/store/virtualStore.ts
+++ b/packages/reedlug-simulator/src/store/virtualStore.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's store under virtual time: collections that are followed by long
- * polls, a table, and a count of the calls by what they are for.
+ * The platform's store in virtual time: collections that boxes follow by long
+ * polls, a table, and the number of calls by purpose.
  */
 import {
   ANNOUNCE_TIMEOUT_MS,
@@ -40,14 +40,14 @@
 } from './storeCollection.js';
 import { createStoreHistory, StoreWriter, type StoreChange } from './storeHistory.js';
 
-/** Zone in which the store is reached; no box is in it. */
+/** Zone of the store; it contains no boxes. */
 const STORE_ZONE = '(store)';
-/** The era of a store that never came back from a copy. */
+/** Era of a store that has never been restored from a backup. */
 const FIRST_ERA = 1;
-/** Rows of one answer at most, as the users' store gives them. */
+/** Maximum number of rows per answer, as in the platform's store. */
 const MAX_ROWS_PER_PAGE = 500;
 
-/** What calls are for. */
+/** Purpose of a call. */
 export const StoreCall = {
   operators: 'operators',
   servers: 'servers',
@@ -59,11 +59,11 @@
 } as const;
 export type StoreCall = (typeof StoreCall)[keyof typeof StoreCall];
 
-/** How the store fails its callers: it says nothing, or refuses each call and all that wait. */
+/** How the store fails: it answers nothing, or refuses each call, including those that wait. */
 export const StoreOutage = { silent: 'silent', refusing: 'refusing' } as const;
 export type StoreOutage = (typeof StoreOutage)[keyof typeof StoreOutage];
 
-/** A change of one item. */
+/** A write or removal of one item. */
 interface ItemWrite<T> {
   key: string;
   itemOf: (revision: number) => T;
@@ -72,7 +72,7 @@
   redo?: () => void;
 }
 
-/** A box's process that calls. */
+/** The box's process that makes a call. */
 interface StoreCaller extends StoreListener {
   zone: string;
   isAlive: () => boolean;
@@ -81,28 +81,28 @@
 /** The store of a world. */
 export interface VirtualStore {
   outage: StoreOutage | undefined;
-  /** Begins or ends an outage. */
+  /** Starts an outage, or ends it with undefined. */
   setOutage: (outage: StoreOutage | undefined) => void;
-  /** When it last did not answer, or came back; before the start of the clock if never. */
+  /** World time at which an outage last started or ended; negative infinity if there was none. */
   lastOutageChangeAtMs: number;
-  /** How often it has come back from a copy. */
+  /** Number of restores from a backup. */
   copies: number;
-  /** Comes back as it was at a time; versions since then are given out again. Gives what is lost, the newest first. */
+  /** Restores the state of a time; later versions are assigned again. Returns the lost changes, newest first. */
   restoreTo: (atMs: number) => StoreChange[];
-  /** Writes of others: versions rise, nothing else changes. */
+  /** Advances the version counter, as writes of others do; nothing else changes. */
   skipVersions: (count: number) => void;
   calls: Map<StoreCall, number>;
   putConfiguration: (configuration: Configuration) => void;
   orderRollout: (order: Omit<RolloutOrder, 'revision'>) => void;
-  /** The record of a service's roll-out; undefined while there is none. */
+  /** Returns the record of a service's roll-out; undefined while there is none. */
   rolloutRecord: (service: string) => RolloutRecord | undefined;
   putServer: (entry: ServerEntry) => void;
   removeServer: (id: string) => void;
-  /** The store as a box in a zone has it; `isAlive` ends its calls with the box, `onEra` hears of each answer's era. */
+  /** Returns the store's client for a box in a zone. Calls end when `isAlive` returns false; `onEra` receives the era of each answer. */
   openFor: (zone: string, caller: { isAlive: () => boolean } & StoreListener) => PlatformStore;
 }
 
-/** Returns an empty store. `worldOf` gives the world once it is put together. */
+/** Returns an empty store. `worldOf` returns the world, which is created after the store. */
 export function createVirtualStore(worldOf: () => World): VirtualStore {
   let version = 0;
   const operators = createCollection<OperatorEntry>();
@@ -116,7 +116,7 @@
   const calls = new Map<StoreCall, number>();
   const history = createStoreHistory();
 
-  /** Notes what stands before a change, so that it can be taken back. */
+  /** Records the state before a change, so that a restore can revert it. */
   const recordChange = (
     change: Pick<StoreChange, 'writer' | 'key' | 'redo'>,
     revert: () => void,
@@ -128,7 +128,7 @@
     };
     history.recordChange({ ...change, atMs: nowMs(worldOf()), undo });
   };
-  /** Puts an item, or removes it where `isRemoval` says so. */
+  /** Writes an item, or removes it if `isRemoval` is set. */
   const put = <T>(
     collection: Collection<T>,
     { key, itemOf, writer, isRemoval = false, redo }: ItemWrite<T>,
@@ -166,7 +166,7 @@
   const currentEra = (): number => FIRST_ERA + store.copies;
   const currentPosition = (): StorePosition => ({ era: currentEra(), version });
 
-  /** Answers a call after the store's time, or never within its limit. */
+  /** Answers a call after the store's latency, or with `silent` after the timeout if the store is unreachable. */
   const answer = <R>(
     caller: StoreCaller,
     timeoutMs: number,
