--- a/packages/reedlug-simulator/src/faults/applyFaults.ts
+++ b/packages/reedlug-simulator/src/faults/applyFaults.ts
@@ -1,4 +1,4 @@
-/** What goes wrong in a scene, at its time. */
+/** Schedules and applies the faults of a scene. */
 import { killBox, startBox, type BoxSpec, type VirtualBox } from '../boxes/virtualBox.js';
 import type { LoadChanges } from '../callers/callers.js';
 import type { SceneFaultSpec } from '../scene/scene.js';
@@ -21,14 +21,14 @@
 import { announceDraining, refuseRequests } from './serverStatements.js';
 import { startRollout } from './rollouts.js';
 
-/** Time until a process that ended is started again, in ms. */
+/** Delay before a stopped process starts again, in ms. */
 const RESTART_DELAY_MS = 100;
-/** Pause between looks whether a box has stopped as planned, in ms. */
+/** Interval between checks whether a box has stopped as planned, in ms. */
 const STOP_POLL_INTERVAL_MS = 100;
 
 type FaultOf<K extends SceneFaultSpec['kind']> = Extract<SceneFaultSpec, { kind: K }>;
 
-/** Sets every fault of a scene to its time; gives what they change of the load. */
+/** Schedules every fault of a scene; returns how the active faults change the load. */
 export function scheduleFaults(world: World, specs: readonly BoxSpec[]): LoadChanges {
   const active = new Set<SceneFaultSpec>();
   const firstAtMs = world.scene.leadS * 1000;
@@ -112,7 +112,7 @@
       return changeLimits(world, fault.factor);
     case 'addBoxes':
       return addBoxes(world, fault.perZone);
-    // These change the load alone, as long as they are active.
+    // These only change the load while they are active.
     case 'burst':
     case 'hotWorkspace':
     case 'callersLeave':
@@ -120,7 +120,7 @@
   }
 }
 
-/** Starts boxes with ids and hosts that no box had. */
+/** Starts boxes with new ids and hosts. */
 function addBoxes(world: World, perZone: number): void {
   const { zones, boxesPerZone } = world.scene;
   const known = new Set(world.boxIdByHost.values());
@@ -131,7 +131,7 @@
   }
 }
 
-/** Draws a share of a service's servers that do not leave. */
+/** Picks a random share of a service's servers that are not draining. */
 function pickReadyServers(
   world: World,
   { service, share }: { service: string; share: number },
@@ -142,7 +142,7 @@
   return pickShare(world, ready, share);
 }
 
-/** Draws a share of things, in an order of the seed. */
+/** Picks a share of the items, in random order. */
 function pickShare<T>(world: World, items: readonly T[], share: number): T[] {
   const left = [...items];
   const picked: T[] = [];
@@ -163,13 +163,13 @@
   }
 }
 
-/** Two faults may have ended the same process: it has one next life. */
+/** Restarts a box once, even if two faults have killed the same process. */
 function restartBox(world: World, spec: BoxSpec, before: VirtualBox): void {
   if (world.boxes.get(spec.id) !== before) return;
   startBox(world, spec, before.incarnation + 1);
 }
 
-/** Stops and starts boxes in turn, as for a release of the boxes themselves. */
+/** Stops and starts boxes in turn, as in a release of the gateway itself. */
 function rollBoxes(world: World, fault: FaultOf<'rollBoxes'>, specs: readonly BoxSpec[]): void {
   const chosen = pickShare(world, specs, fault.share);
   recordDutyOutage(world, fault.gapS * 1000 + world.scene.bounds.graceMs);
@@ -194,7 +194,7 @@
   );
 }
 
-/** Takes back all reclaimable engines of a zone, by default of the one that has most; none are to be had for a while. */
+/** Reclaims all reclaimable engines of a zone, by default the zone with the most; none can be ordered for a while. */
 function reclaimZone(world: World, fault: FaultOf<'reclaimZone'>): void {
   const reclaimable = enginesWhere(
     world,
--- a/packages/reedlug-simulator/src/faults/changeLimits.ts
+++ b/packages/reedlug-simulator/src/faults/changeLimits.ts
@@ -1,15 +1,15 @@
-/** Limits of workspaces that change during a scene. */
+/** Changes the limits of workspaces during a scene. */
 import { putConfiguration } from '../report/configurationRecord.js';
 import { nowMs, type World } from '../world.js';
 
-/** A limit from a moment on. */
+/** The limits that apply from a time until the next period. */
 export interface LimitPeriod {
   fromMs: number;
-  /** Times the scene's own limits. */
+  /** Factor on the scene's own limits. */
   factor: number;
 }
 
-/** Gives the store a configuration with limits of so many times the scene's. */
+/** Writes a configuration whose limits are the scene's times the factor. */
 export function changeLimits(world: World, factor: number): void {
   const { configuration, limitPeriods } = world;
   const workspaces = world.workspaces.map((workspace) => ({
@@ -24,8 +24,8 @@
 }
 
 /**
- * The greatest limit that may be in force in a window that ends at a time, as a factor: a
- * lower one binds a window after the time in which boxes must have taken it.
+ * Returns the greatest limit that may be in force in a window that ends at a time, as a factor.
+ * A lower limit binds only windows that start after all boxes must have applied it.
  */
 export function factorInForce(world: World, atMs: number): number {
   const { limitWindowMs, configurationMs } = world.scene.bounds;
--- a/packages/reedlug-simulator/src/faults/crashingRequests.ts
+++ b/packages/reedlug-simulator/src/faults/crashingRequests.ts
@@ -1,4 +1,4 @@
-/** Requests under which each server ends that runs them, and what is promised of them. */
+/** Sends requests that crash every server that runs them, and checks the guarantee that boxes block them. */
 import { createRequest, sendTry } from '../callers/callers.js';
 import type { ServerCrash } from '../callers/callerAttempt.js';
 import { generateRequest, generateSharedParts, workspaceName } from '../callers/generateRequest.js';
@@ -8,14 +8,14 @@
 import { isSynchronized, type VirtualBox } from '../boxes/virtualBox.js';
 import { PROPAGATION_MS, later, nowMs, nextNumber, type World } from '../world.js';
 
-/** Servers that may end under one before the promise begins. */
+/** Number of servers that a request crashes before the guarantee applies. */
 const MIN_CRASHES = 3;
-/** Sends that may be made after that, by all boxes in touch: the users' figure. */
+/** Maximum number of later sends by all synchronized boxes, as guaranteed to the users. */
 export const MAX_FURTHER_SENDS = 3;
 
 type CrashingRequestsFault = Extract<SceneFaultSpec, { kind: 'endingRequests' }>;
 
-/** Sends requests under which servers end, each again and again. */
+/** Sends crashing requests, each repeatedly. */
 export function sendCrashingRequests(world: World, fault: CrashingRequestsFault): void {
   const spec = world.scene.classes.find(({ name }) => name === fault.class);
   if (spec === undefined) return;
@@ -57,7 +57,7 @@
   sendTry(world, request);
 }
 
-/** A server begins to run such a request, and ends a moment later. */
+/** Crashes a server some time after it starts to run such a request. */
 export function crashUnder(
   world: World,
   server: VirtualServer,
@@ -71,19 +71,19 @@
   });
 }
 
-/** Notes that such a request reached a server, where its box is bound by the promise. */
+/** Records that such a request reached a server, if the guarantee binds the box that sent it. */
 export function recordCrashingSend(world: World, box: VirtualBox, digest: string): void {
   if (isSynchronized(world, box)) crashingRequestOf(world, digest).sentAtMs.push(nowMs(world));
 }
 
-/** What became of one such request. */
+/** Crashes and later sends of one such request. */
 export interface CrashingRequestRow {
   digest: string;
   ended: number;
   furtherSends: number;
 }
 
-/** What became of each such request. */
+/** Returns the crashes and later sends of each such request. */
 export function crashingRequestRows(world: World): CrashingRequestRow[] {
   return [...world.record.endings].map(([digest, { endedAtMs, sentAtMs }]) => {
     const thirdAtMs = endedAtMs[MIN_CRASHES - 1] ?? Number.POSITIVE_INFINITY;
--- a/packages/reedlug-simulator/src/faults/limitedServers.ts
+++ b/packages/reedlug-simulator/src/faults/limitedServers.ts
@@ -1,4 +1,4 @@
-/** Servers in need that name a limit in their answers, and what is promised of them. */
+/** Servers that state a limit in their answers, and the check that boxes keep it. */
 import type { LimitStatement } from 'reedlug-gateway';
 import { isSynchronized, type VirtualBox } from '../boxes/virtualBox.js';
 import type { LimitedServerRecord } from '../report/sceneRecord.js';
@@ -7,16 +7,16 @@
 import type { VirtualServer } from '../servers/virtualServers.js';
 import { PROPAGATION_MS, later, nowMs, type World } from '../world.js';
 
-/** Time since a box passed such an answer on from which its sends count, in ms: the users' figure. */
+/** Time after a box forwards an answer with a limit until its sends count, in ms, as guaranteed to the users. */
 const STATEMENT_GRACE_MS = 500;
-/** Length of the windows in which requests are counted, in ms, and what is allowed in each beside the limit: the users' figures. */
+/** Length of the windows in which requests are counted, in ms, and tolerance per window, as guaranteed to the users. */
 const WINDOW_MS = 4000;
 const ALLOWED_FACTOR = 1.5;
 const ALLOWED_SLACK = 5;
 
 type LimitFault = Extract<SceneFaultSpec, { kind: 'limitServers' }>;
 
-/** Servers begin to name a limit, another one after half of the time where the fault says so, and then none. */
+/** Makes servers state a limit, another one after half of the time if the fault has one, and then none. */
 export function limitServers(
   world: World,
   fault: LimitFault,
@@ -56,14 +56,14 @@
   };
 }
 
-/** The record of a server that names a limit now. */
+/** Returns the record of a server that states a limit now. */
 function currentRecord(world: World, server: VirtualServer): LimitedServerRecord | undefined {
   return world.record.limitedServers.findLast(
     (record) => record.server === server && record.endedAtMs === undefined,
   );
 }
 
-/** What a server's answer says of its limit. */
+/** Returns what a server's answer states about its limit. */
 export function limitStatementOf(world: World, server: VirtualServer): LimitStatement {
   const { limit } = server;
   if (limit === undefined) return { kind: 'none' };
@@ -72,7 +72,7 @@
   return { kind: 'limit', perSecond: limit.perSecond };
 }
 
-/** Whether a server turns a request down that is the last to have reached it. */
+/** Whether a server rejects the last request that reached it because it exceeds the stated limit. */
 export function exceedsStatedLimit(world: World, server: VirtualServer): boolean {
   const { limit } = server;
   if (limit?.turnsDown !== true) return false;
@@ -81,13 +81,13 @@
   return arrivals.filter(({ atMs }) => atMs > sinceMs).length > limit.perSecond + 1;
 }
 
-/** Notes that a box has passed an answer on that names a limit. */
+/** Records that a box has forwarded an answer that states a limit. */
 export function recordLimitForwarded(world: World, server: VirtualServer, box: VirtualBox): void {
   const forwarded = currentRecord(world, server)?.forwardedAtMs;
   if (forwarded !== undefined && !forwarded.has(box)) forwarded.set(box, nowMs(world));
 }
 
-/** Notes a request that reached a server. */
+/** Records a request that reached a server. */
 export function recordLimitedArrival(world: World, server: VirtualServer, box: VirtualBox): void {
   const record = world.record.limitedServers.findLast((known) => known.server === server);
   const atMs = nowMs(world);
@@ -95,23 +95,23 @@
   record?.arrivals.push({ atMs, isBound: isBound && isSynchronized(world, box) });
 }
 
-/** How a server's limit was kept. */
+/** How well a server's limit was kept. */
 export interface LimitedServerRow {
   server: string;
-  /** The limit that was named last. */
+  /** The last stated limit, in requests per second. */
   perSecond: number;
-  /** Requests of the window that is the greatest share of what is allowed: of boxes bound by the promise, and of all boxes. */
+  /** Requests and allowance of the window that uses the greatest share of its allowance: from boxes that the guarantee binds, and from all boxes. */
   most: number;
   allowed: number;
   mostOfAll: number;
   allowedOfAll: number;
-  /** Requests from the time on at which all know, as a share of what the limits allow. */
+  /** Requests since the limit has reached all boxes, as a share of what the limits allow. */
   usedShare: number;
-  /** Requests in the three seconds after those that follow its end. */
+  /** Requests in a span as long as the propagation time, which starts that time after the end of the limit. */
   afterEnd: number | undefined;
 }
 
-/** How the limits of all servers were kept. */
+/** Returns how well the limits of all servers were kept. */
 export function limitedServerRows(world: World): LimitedServerRow[] {
   return world.record.limitedServers
     .filter(({ firstStatedAtMs }) => firstStatedAtMs !== undefined)
@@ -141,7 +141,7 @@
   };
 }
 
-/** Requests of the window that is the greatest share of what is allowed. */
+/** Returns the requests and the allowance of the window that uses the greatest share of its allowance. */
 function greatestWindow(
   record: LimitedServerRecord,
   arrivals: LimitedServerRecord['arrivals'],
@@ -152,7 +152,7 @@
   });
 }
 
-/** Requests that the limits named in a span of time let through. */
+/** Returns the number of requests that the stated limits allow in a span of time. */
 function allowedBetween({ periods }: LimitedServerRecord, fromMs: number, untilMs: number): number {
   const amounts = periods.map(({ fromMs: beginMs, perSecond }, index) => {
     const endMs = Math.min(untilMs, periods[index + 1]?.fromMs ?? Infinity);
@@ -161,13 +161,13 @@
   return amounts.reduce((sum, amount) => sum + amount, 0);
 }
 
-/** Requests of a span as long as the one in which all learn of the end, after it. */
+/** Returns the requests after all boxes must have received the end of the limit, in a span as long as the propagation time. */
 function arrivalsAfter({ arrivals }: LimitedServerRecord, endedAtMs: number): number {
   const fromMs = endedAtMs + PROPAGATION_MS;
   return arrivals.filter(({ atMs }) => atMs >= fromMs && atMs < fromMs + PROPAGATION_MS).length;
 }
 
-/** The highest limit in force in the window before a time; of a lower one news are on their way for a while. */
+/** Returns the highest limit in force in the window before a time; a lower one takes the propagation time to reach all boxes. */
 function highestLimit({ periods }: LimitedServerRecord, atMs: number): number {
   const sinceMs = atMs - WINDOW_MS - PROPAGATION_MS;
   const inForce = periods.filter(({ fromMs }, index) => {
--- a/packages/reedlug-simulator/src/faults/restoreStore.ts
+++ b/packages/reedlug-simulator/src/faults/restoreStore.ts
@@ -1,4 +1,4 @@
-/** The store goes away and comes back from a copy: what was written since is lost, versions are given out again. */
+/** Takes the store down and restores it from a backup: later writes are lost, their versions are assigned again. */
 import type { SceneFaultSpec } from '../scene/scene.js';
 import { StoreWriter, type StoreChange } from '../store/storeHistory.js';
 import { StoreOutage } from '../store/virtualStore.js';
@@ -6,12 +6,12 @@
 import { putConfiguration } from '../report/configurationRecord.js';
 import { recordDutyOutage } from '../report/dutyRecord.js';
 
-/** Time from the store's return until others have written as well, in ms: less than a box's pause after a failed call. */
+/** Time from the restore until other writers have written, in ms; shorter than a box's delay after a failed call. */
 const OTHER_WRITES_DELAY_MS = 40;
-/** Time after which an entry goes whose server writes it no more, in ms: three heartbeats. */
+/** Time after which an entry expires that its server no longer writes, in ms: three heartbeats. */
 const ENTRY_EXPIRY_MS = 3600;
 
-/** Takes the store away and brings it back from a copy. */
+/** Starts an outage that ends with a restore from a backup. */
 export function restoreStore(
   world: World,
   fault: Extract<SceneFaultSpec, { kind: 'copyStore' }>,
@@ -28,7 +28,7 @@
   });
 }
 
-/** The last change of each key that others than boxes wrote. */
+/** Returns the last change of each key that the operators or servers wrote. */
 function newestPerKey(lost: readonly StoreChange[]): StoreChange[] {
   const seen = new Set<string>();
   return lost.filter(({ writer, key }) => {
--- a/packages/reedlug-simulator/src/faults/rollouts.ts
+++ b/packages/reedlug-simulator/src/faults/rollouts.ts
@@ -1,6 +1,6 @@
 /**
  * Roll-outs: the operators order one, the platform starts the servers of the new
- * version beside the old ones, and does what the record of the roll-out says.
+ * version alongside the old ones and follows the outcome in the roll-out's record.
  */
 import { RolloutPhase } from 'reedlug-gateway';
 import type { SceneFaultSpec } from '../scene/scene.js';
@@ -12,33 +12,33 @@
 } from '../servers/virtualServers.js';
 import { later, nowMs, type World } from '../world.js';
 
-/** Pause between looks at the record, in ms: the platform sees it at once. */
+/** Interval between reads of the record, in ms; short because the platform sees it at once. */
 const POLL_INTERVAL_MS = 20;
-/** Time from a roll-back until the new servers drain, in ms: "some seconds". */
+/** Time from a roll-back until the new servers drain, in ms; specified as "some seconds". */
 const DRAIN_DELAY_MS = 3000;
-/** Bad answers after which nothing more may be sent, and how soon, in ms. */
+/** Number of bad answers after which boxes must stop sending to the new version, and within how long, in ms. */
 const MAX_BAD_ANSWERS = 50;
 const STOP_WITHIN_MS = 5000;
 
 type RolloutSpec = Extract<SceneFaultSpec, { kind: 'rollout' }>;
 
-/** A roll-out as the world sees it. */
+/** The observed state of a roll-out. */
 export interface RolloutState {
   spec: RolloutSpec;
   version: string;
   orderedAtMs: number;
-  /** Requests that reached the service between the order and its end, and those of them at the new version. */
+  /** Requests that reached the service within the ordered duration, and those of them that reached the new version. */
   arrivals: number;
   trialArrivals: number;
   badAnswers: number;
-  /** When it had given as many bad answers as are borne, and the last request after that. */
+  /** Time by which sends to the new version must stop, once it has given too many bad answers, and time of the last request to it. */
   stopDueAtMs: number | undefined;
   lastArrivalMs: number;
   endedAtMs: number | undefined;
   end: RolloutPhase | undefined;
 }
 
-/** Orders a roll-out and follows it. */
+/** Orders a roll-out and follows its record. */
 export function startRollout(world: World, spec: RolloutSpec): void {
   const rollout: RolloutState = {
     spec,
@@ -81,7 +81,7 @@
   });
 }
 
-/** Whether a roll-out is of a version that fails requests or works slower. */
+/** Whether a roll-out's version fails requests or works slower. */
 export function isBadVersion({
   failShare,
   slowFactor,
@@ -96,7 +96,7 @@
   );
 }
 
-/** Counts a request that reached a server. */
+/** Counts a request that reached a server of a service under roll-out. */
 export function recordRolloutArrival(world: World, server: VirtualServer): void {
   for (const rollout of world.rollouts) {
     const { spec, orderedAtMs } = rollout;
@@ -109,7 +109,7 @@
   }
 }
 
-/** Whether a bad version fails a request, and how much longer it works on it. */
+/** Returns whether a bad version fails a request, and the factor on its work. */
 export function faultOfVersion(
   world: World,
   server: VirtualServer,
@@ -133,7 +133,7 @@
   if (rollout.badAnswers === MAX_BAD_ANSWERS) rollout.stopDueAtMs = nowMs(world) + STOP_WITHIN_MS;
 }
 
-/** What was broken in roll-outs of bad versions. */
+/** Returns the guarantees that were broken in roll-outs of bad versions. */
 export function brokenRolloutGuarantees(world: World): { promise: string; detail: string }[] {
   const { exposeShare, exposeSlack } = world.scene.bounds;
   return world.rollouts.flatMap((rollout) => {
--- a/packages/reedlug-simulator/src/faults/serverStatements.ts
+++ b/packages/reedlug-simulator/src/faults/serverStatements.ts
@@ -1,4 +1,4 @@
-/** Servers that say in their answers that they leave, or ask for rest, and what they get after it. */
+/** Servers that announce draining or request a pause in their answers, and the requests that they receive afterwards. */
 import type { AnswerStatements } from 'reedlug-gateway';
 import type { VirtualBox } from '../boxes/virtualBox.js';
 import type { ServerStatementRecord } from '../report/sceneRecord.js';
@@ -7,14 +7,14 @@
 import { PROPAGATION_MS, later, nowMs, type World } from '../world.js';
 import { limitStatementOf, recordLimitForwarded } from './limitedServers.js';
 
-/** Time after a box was asked for rest from which requests count, in ms, and how many are allowed then: the users' figures. */
+/** Time after a pause is requested from a box until its requests count, in ms, and how many are allowed then, as guaranteed to the users. */
 const PAUSE_GRACE_MS = 500;
 const MAX_REQUESTS_PER_PAUSE = 2;
 
 type DrainFault = Extract<SceneFaultSpec, { kind: 'leaveServers' }>;
 type RefuseFault = Extract<SceneFaultSpec, { kind: 'restServers' }>;
 
-/** Servers say from now on that they leave; their entries say nothing of it. */
+/** Makes servers announce in their answers that they drain; their registry entries do not show it. */
 export function announceDraining(
   world: World,
   fault: DrainFault,
@@ -31,7 +31,7 @@
   }
 }
 
-/** Servers refuse a share of their requests for a while and may ask for rest. */
+/** Makes servers refuse a share of their requests for a while; they may request a pause. */
 export function refuseRequests(
   world: World,
   fault: RefuseFault,
@@ -53,7 +53,7 @@
   return refusing !== undefined && world.random.chance(refusing.share);
 }
 
-/** What the head of a server's answer says of it. */
+/** Returns the server statements in the head of an answer. */
 export function statementsOf(
   world: World,
   server: VirtualServer,
@@ -66,7 +66,7 @@
   };
 }
 
-/** Notes that a box has taken an answer that says something of its server. */
+/** Records that a box has received an answer with server statements. */
 export function recordStatements(
   world: World,
   params: { server: VirtualServer; box: VirtualBox; statements: AnswerStatements },
@@ -82,7 +82,7 @@
     recordOf(world, server).pauses.push({ atMs: nowMs(world), pauseMs, box });
 }
 
-/** Notes a request that reached a server which has said something. */
+/** Records a request that reached a server which makes statements. */
 export function recordStatementArrival(
   world: World,
   params: { server: VirtualServer; box: VirtualBox; callerSentAtMs: number },
@@ -100,21 +100,21 @@
   return record;
 }
 
-/** What a server got after its words. */
+/** Requests that a server received after its statements. */
 export interface ServerStatementRow {
   server: string;
-  /** Requests that count against the users' rule on servers that leave; none is allowed. */
+  /** Requests that break the guarantee for draining servers; none is allowed. */
   afterLeaving: number;
-  /** The same of all boxes together from the first word on, without any excuse. */
+  /** The same for all boxes, counted from the first statement to any of them. */
   afterLeavingOfAll: number;
-  /** Most requests of one box in one rest that it was asked for, and what is allowed. */
+  /** Maximum number of requests of one box in a pause that was requested from it, and the number allowed. */
   inRest: number;
   allowedInRest: number;
-  /** Most requests of all boxes in a rest, without any excuse. */
+  /** Maximum number of requests of all boxes in a pause, including those excused by a network partition. */
   inRestOfAll: number;
 }
 
-/** What servers got after their words. */
+/** Returns the requests that servers received after their statements. */
 export function serverStatementRows(world: World): ServerStatementRow[] {
   return [...world.record.statingServers.values()].map((record) => rowOf(world, record));
 }
@@ -150,7 +150,7 @@
   };
 }
 
-/** A cut excuses a rest that it falls into; a box that starts anew is another one here. */
+/** Whether a network partition excuses the requests in a pause. A restarted box counts as another box, so restarts need no excuse. */
 function isExcused(world: World, fromMs: number, pauseMs: number): boolean {
   return world.partitions.some(
     ({ fromMs: partitionedAtMs, toMs = Infinity }) =>
