--- a/packages/reedlug-simulator/src/servers/batchEngine.ts
+++ b/packages/reedlug-simulator/src/servers/batchEngine.ts
@@ -1,7 +1,7 @@
 /**
- * A model engine that works in steps: each step reads a chunk of the prompts that
- * are not read yet, the most urgent first, and makes a token of every request
- * whose prompt is read. What runs beside a long prompt waits for its chunks.
+ * A model engine with chunked prefill: each step processes a chunk of the pending
+ * prompts, the most urgent first, and generates a token for every request whose
+ * prompt is complete. A long prompt slows down the requests that run alongside it.
  */
 import type { PromptPart } from 'reedlug-gateway';
 import type { EngineParameters } from '../scene/scene.js';
@@ -13,18 +13,18 @@
   type PromptCache,
 } from './promptCache.js';
 
-/** A request as an engine gets it. */
+/** A request as an engine receives it. */
 export interface EngineRun {
   runId: number;
   urgency: number;
   parts: readonly PromptPart[];
-  /** Events that the caller has already. */
+  /** Number of events that the caller has already received. */
   fromEvent: number;
-  /** Events of the whole answer. */
+  /** Number of events in the whole answer. */
   events: number;
-  /** What comes of it. */
+  /** Called for each event of the answer. */
   onEvent: (event: number, isLast: boolean) => void;
-  /** The engine was full, or leaves: it has not run. */
+  /** Called when the engine's queue is full; the request has not run. */
   onRejected: () => void;
 }
 
@@ -32,17 +32,17 @@
   run: EngineRun;
   order: number;
   promptTokens: number;
-  /** Prompt tokens still to be read, once it is admitted. */
+  /** Prompt tokens that prefill still has to process; set on admission. */
   prefillLeft: number;
-  /** Tokens made, those of events that the caller has included. */
+  /** Generated tokens, including those of events that the caller already has. */
   generatedTokens: number;
   notBeforeMs: number;
 }
 
-/** One engine's work. */
+/** State of one engine. */
 export interface BatchEngine {
   parameters: EngineParameters;
-  /** How many times longer its steps take than the figures say. */
+  /** Factor on the duration of its steps. */
   slowFactor: number;
   waiting: LiveRun[];
   running: LiveRun[];
@@ -50,7 +50,7 @@
   /** End of the step in progress; undefined while idle. */
   stepEndsAtMs: number | undefined;
   nextOrder: number;
-  /** Prompt tokens read, and those of shared parts among them. */
+  /** Prompt tokens processed, and those of shared parts among them. */
   readTokens: number;
   readSharedTokens: number;
 }
@@ -70,12 +70,12 @@
   };
 }
 
-/** Sets how many times longer its steps take from now on. */
+/** Sets the factor on the duration of the following steps. */
 export function setSlowFactor(engine: BatchEngine, factor: number): void {
   engine.slowFactor = factor;
 }
 
-/** Takes a request; the engine's next step may have to be scheduled after it. */
+/** Accepts a request, or rejects it when the queue is full. An idle engine starts a step, which the caller has to schedule. */
 export function submitRun(engine: BatchEngine, run: EngineRun, nowMs: number): void {
   if (engine.waiting.length >= engine.parameters.queue) return run.onRejected();
   const promptTokens = run.parts.reduce((sum, { tokens }) => sum + tokens, 0);
@@ -103,7 +103,7 @@
   return a.run.urgency !== b.run.urgency ? a.run.urgency < b.run.urgency : a.order < b.order;
 }
 
-/** Stops a request; false when it is not here. */
+/** Stops a request; returns false if the engine does not have it. */
 export function stopRun(engine: BatchEngine, runId: number): boolean {
   for (const runs of [engine.waiting, engine.running]) {
     const index = runs.findIndex(({ run }) => run.runId === runId);
@@ -114,7 +114,7 @@
   return false;
 }
 
-/** Ends the step that is due and starts the next one. */
+/** Finishes the step that is due and starts the next one. */
 export function finishStep(engine: BatchEngine, nowMs: number): void {
   const ready = engine.running.filter(
     (live) => live.prefillLeft === 0 && live.notBeforeMs <= nowMs,
@@ -133,7 +133,7 @@
   live.run.onEvent(event, isLast);
 }
 
-/** Admits what fits, reads a chunk and sets the end of the step. */
+/** Admits the requests that fit, processes a chunk and sets the end of the step. */
 function startStep(engine: BatchEngine, nowMs: number): void {
   admit(engine);
   if (engine.running.length === 0) {
@@ -160,7 +160,7 @@
   }
 }
 
-/** Memory of the requests that run, without the parts that others share. */
+/** Returns the KV tokens of the running requests, without the prompt parts that others share. */
 function usedTokens(engine: BatchEngine): number {
   return engine.running.reduce(
     (sum, { run, generatedTokens }) => sum + (run.parts.at(-1)?.tokens ?? 0) + generatedTokens,
@@ -168,7 +168,7 @@
   );
 }
 
-/** Reads a chunk, the most urgent prompts first; gives the time that the step takes. */
+/** Processes a chunk of the prompts, the most urgent first; returns the duration of the step in ms. */
 function prefillChunk(engine: BatchEngine): number {
   const { parameters, running } = engine;
   let left = parameters.chunkTokens;
--- a/packages/reedlug-simulator/src/servers/plainServer.ts
+++ b/packages/reedlug-simulator/src/servers/plainServer.ts
@@ -1,23 +1,23 @@
-/** A server of plain requests: some places, a short queue, a time of work each. */
+/** A server of plain requests: a number of slots, a short queue, and a working time per request. */
 
-/** A request as the server gets it. */
+/** A request as the server receives it. */
 export interface PlainRun {
   runId: number;
   workMs: number;
   onAnswered: () => void;
-  /** Places and queue were full: it has not run. */
+  /** Called when slots and queue are full; the request has not run. */
   onRejected: () => void;
 }
 
-/** One server's work; `schedule` runs an action after a time in ms. */
+/** A simulated server of plain requests. */
 export interface PlainServer {
   submit: (run: PlainRun) => void;
   stop: (runId: number) => void;
-  /** Requests that wait or run. */
+  /** Returns the number of requests that wait or run. */
   open: () => number;
 }
 
-/** Returns an idle server. */
+/** Returns an idle server. `schedule` runs an action after a time in ms. */
 export function createPlainServer(params: {
   slots: number;
   queue: number;
--- a/packages/reedlug-simulator/src/servers/promptCache.ts
+++ b/packages/reedlug-simulator/src/servers/promptCache.ts
@@ -1,9 +1,9 @@
-/** Prompt parts that an engine keeps, the least recently used giving way first. */
+/** Cache of an engine's prompt parts with least-recently-used eviction. */
 import type { PromptPart } from 'reedlug-gateway';
 
-/** The parts of one engine. */
+/** The cached parts of one engine. */
 export interface PromptCache {
-  /** Tokens by part, the least recently used first. */
+  /** Number of tokens by part, the least recently used part first. */
   parts: Map<string, number>;
   tokens: number;
 }
@@ -13,7 +13,7 @@
   return { parts: new Map(), tokens: 0 };
 }
 
-/** Tokens of a prompt that need not be read: parts count only if all before them are kept too. */
+/** Returns the prompt tokens that need no prefill: a part counts only if all parts before it are cached too. */
 export function cachedPrefixTokens(cache: PromptCache, parts: readonly PromptPart[]): number {
   let cached = 0;
   for (const { id, tokens } of parts) {
@@ -23,7 +23,7 @@
   return cached;
 }
 
-/** Keeps a prompt's parts, and lets the oldest go until the room suffices. */
+/** Caches a prompt's parts, and evicts the least recently used parts beyond the capacity. */
 export function cacheParts(
   cache: PromptCache,
   parts: readonly PromptPart[],
@@ -38,7 +38,7 @@
   evictParts(cache, capacityTokens);
 }
 
-/** Lets the oldest parts go until no more than so many tokens are kept. */
+/** Evicts the least recently used parts until the cached tokens fit the capacity. */
 export function evictParts(cache: PromptCache, capacityTokens: number): void {
   for (const [id, tokens] of cache.parts) {
     if (cache.tokens <= capacityTokens) return;
--- a/packages/reedlug-simulator/src/servers/virtualServers.ts
+++ b/packages/reedlug-simulator/src/servers/virtualServers.ts
@@ -1,6 +1,6 @@
 /**
- * The servers of a world: engines and plain ones, their entries in the registry,
- * orders of engines, and what becomes of requests when a server goes.
+ * The servers of a world: engines and plain servers, their registry entries, orders
+ * of engines, and the loss of requests when a server ends.
  */
 import { recordDutyCall } from '../report/dutyRecord.js';
 import {
@@ -16,18 +16,18 @@
 import { createBatchEngine, finishStep, submitRun, type BatchEngine } from './batchEngine.js';
 import { createPlainServer, type PlainServer } from './plainServer.js';
 
-/** Pause between looks whether a leaving server is idle, in ms. */
+/** Interval between checks whether a draining server is idle, in ms. */
 const IDLE_POLL_INTERVAL_MS = 200;
-/** Heartbeats without which an entry of the registry goes. */
+/** Number of missed heartbeats after which a registry entry expires. */
 const EXPIRY_HEARTBEATS = 3;
-/** Pause between heartbeats of a plain server, in ms. */
+/** Heartbeat interval of a plain server, in ms. */
 const PLAIN_HEARTBEAT_MS = 1200;
-/** Version of the servers that stand at the start. */
+/** Version of the servers at the start. */
 const FIRST_VERSION = 'v1';
-/** Port of every server; addresses differ by their host. */
+/** Port of every server; only the hosts of addresses differ. */
 const SERVER_PORT = 8509;
 
-/** What a server works with. */
+/** The simulated engine or plain server behind an entry. */
 export type ServerWork =
   { kind: 'engine'; engine: BatchEngine } | { kind: 'plain'; server: PlainServer };
 
@@ -36,19 +36,19 @@
   entry: ServerEntry;
   work: ServerWork;
   startedAtMs: number;
-  /** Says nothing and takes nothing any more. */
+  /** Whether the server has stopped responding and accepting connections. */
   isSilent: boolean;
-  /** The limit that its answers name, and whether it turns down what comes beyond it. */
+  /** The limit that its answers state, and whether it rejects requests beyond it. */
   limit: { perSecond: number; turnsDown: boolean } | undefined;
-  /** Says in its answers that it leaves. */
+  /** Whether it announces in its answers that it drains. */
   isDraining: boolean;
-  /** The share of requests that it refuses, and the rest that it asks for as it does, if any. */
+  /** The share of requests that it refuses, and the pause that its refusals request, if any. */
   refusing: { share: number; pauseMs: number | undefined } | undefined;
-  /** Told when it ends while requests are open, by run. */
+  /** Handlers by run id, called for the open requests when the server ends. */
   openRuns: Map<number, () => void>;
 }
 
-/** Starts the servers that stand at the beginning. */
+/** Starts the servers that a scene begins with. */
 export function startServers(world: World): void {
   for (const service of world.scene.services) {
     for (const zone of world.scene.zones) {
@@ -60,7 +60,7 @@
   }
 }
 
-/** What a server of a service begins with. */
+/** Returns an idle engine or plain server of a service. */
 function createWork(world: World, service: SceneService): ServerWork {
   if (service.kind === 'engines') {
     return { kind: 'engine', engine: createBatchEngine(service.engine) };
@@ -89,7 +89,7 @@
   addServer(world, { service: name, zone, slots, reclaimable, work, version });
 }
 
-/** Starts servers of another version, one beside each that stands. */
+/** Starts one server of another version for each existing server of a service, in the same zone. */
 export function startAlongside(world: World, service: string, version: string): void {
   const spec = world.scene.services.find(({ name }) => name === service);
   const existing = [...world.servers.values()].filter(
@@ -101,7 +101,7 @@
   }
 }
 
-/** The version that servers have when nothing else is said. */
+/** Returns the default version of a service's servers: that of the last completed roll-out. */
 function currentVersion(world: World, service: string): string {
   const done = world.rollouts.filter(
     ({ spec, end }) => spec.service === service && end === RolloutPhase.completed,
@@ -163,7 +163,7 @@
   return service?.kind === 'engines' ? service.heartbeatMs : PLAIN_HEARTBEAT_MS;
 }
 
-/** Engines of one kind in a zone that do not leave; those under roll-out are no part of what is ordered. */
+/** Returns the engines of one kind in a zone that are not draining, without those of a roll-out in progress, which orders do not count. */
 function enginesOf(
   world: World,
   params: { service: string; zone: string; reclaimable: boolean },
@@ -178,12 +178,12 @@
   );
 }
 
-/** Whether a server takes new work, as the platform knows it: its entry may say so late. */
+/** Whether a server accepts new requests, as the platform knows; its registry entry may show it later. */
 export function acceptsNewWork({ entry, isDraining }: VirtualServer): boolean {
   return entry.state === ServerState.ready && !isDraining;
 }
 
-/** Engines of one kind in a zone that were ordered and have not come yet. */
+/** Returns the number of ordered engines of one kind in a zone that are still booting, in an object that callers update. */
 function bootingOf(
   world: World,
   { service, zone, reclaimable }: { service: string; zone: string; reclaimable: boolean },
@@ -194,7 +194,7 @@
   return known;
 }
 
-/** Carries out an order of engines or takes a report. */
+/** Executes an order of engines or accepts a usage report. */
 export function handleCloudCall(
   world: World,
   request: { call: CloudCall; holder: string; fence: number },
@@ -209,7 +209,7 @@
   const existing = enginesOf(world, call);
   const missing = call.wanted - existing.length - ordered.booting;
   if (missing <= 0) {
-    // The ones that came last go first.
+    // The engines that started last drain first.
     for (const server of existing.slice(call.wanted)) drainServer(world, server, 0);
     return 'done';
   }
@@ -226,7 +226,7 @@
   return 'done';
 }
 
-/** Says that a server leaves; it ends after the notice, or as soon as it is idle when there is none. */
+/** Announces that a server drains. It ends after the notice; without a notice, when it is idle after the drain time. */
 export function drainServer(world: World, server: VirtualServer, noticeMs: number): void {
   const leavesInMs = noticeMs > 0 ? noticeMs : undefined;
   server.entry = { ...server.entry, state: ServerState.leaving, leavesInMs };
@@ -242,7 +242,7 @@
   later(world, IDLE_POLL_INTERVAL_MS, () => endWhenIdle(world, server, false));
 }
 
-/** Ends a server; the boxes whose requests are open there see their connections reset. */
+/** Ends a server; boxes with open requests there get a connection reset. */
 export function endServer(world: World, server: VirtualServer): void {
   if (!world.servers.delete(server.entry.id)) return;
   recordIncarnation(world, server);
@@ -251,7 +251,7 @@
   server.openRuns.clear();
 }
 
-/** A server ends without a word and starts again under its id; its entry stays unless three heartbeats pass. */
+/** Ends a server without notice and restarts it under its id; its entry stays unless it expires after three heartbeats. */
 export function restartServer(
   world: World,
   server: VirtualServer,
@@ -275,7 +275,7 @@
   });
 }
 
-/** A server goes without a word: its entry lapses after three heartbeats, and connections to it hang. */
+/** Makes a server unresponsive without notice: its entry expires after three heartbeats, and connections to it hang. */
 export function silenceServer(world: World, server: VirtualServer): void {
   server.isSilent = true;
   const expiresInMs = EXPIRY_HEARTBEATS * heartbeatOf(world, server.entry.service);
@@ -286,7 +286,7 @@
   });
 }
 
-/** Notes what the engines that still stand have cost. */
+/** Records the cost of the engines that are still running. */
 export function recordRunningServers(world: World): void {
   for (const server of world.servers.values()) recordIncarnation(world, server);
 }
@@ -298,12 +298,12 @@
   recordPrefill(world, work.engine);
 }
 
-/** Whether a box in a zone gets through to a server. */
+/** Whether a server is reachable for boxes in a zone. */
 export function isReachableFrom(world: World, zone: string, server: VirtualServer): boolean {
   return !server.isSilent && !arePartitioned(world, zone, server.entry.zone);
 }
 
-/** Hands a request to an engine and lets the engine work. */
+/** Submits a request to an engine, and schedules the engine's steps if it was idle. */
 export function submitToEngine(
   world: World,
   engine: BatchEngine,
