--- a/packages/reedlug-simulator/src/index.ts
+++ b/packages/reedlug-simulator/src/index.ts
@@ -1,4 +1,4 @@
-/** A whole fleet of gateway boxes in one process under virtual time. */
+/** Simulates a whole fleet of gateway boxes in one process in virtual time. */
 export { generateStoreRestores as drawCopies } from './scene/generateStoreRestores.js';
 export * from './scene/generateCrashFaults.js';
 export * from './scene/generateLimitFaults.js';
--- a/packages/reedlug-simulator/src/runScene.ts
+++ b/packages/reedlug-simulator/src/runScene.ts
@@ -28,9 +28,9 @@
 import { createVirtualStore } from './store/virtualStore.js';
 import type { World } from './world.js';
 
-/** Time after the last caller in which answers still come, in s: the longest deadline is near it. */
+/** Time after the last caller in which answers may still arrive, in s; about the longest deadline. */
 const ANSWER_TAIL_S = 16;
-/** Boxes start within this time, in ms. */
+/** Time within which the boxes start, in ms. */
 const START_SPREAD_MS = 300;
 
 /** Runs a scene to its end. */
@@ -87,7 +87,7 @@
   return world;
 }
 
-/** Runs events in the order of their time; what awaits a settled promise goes on before the next one. */
+/** Runs events in the order of their time; continuations of a resolved Promise run before the next event. */
 async function runUntil(world: World, untilMs: number): Promise<void> {
   while (world.queue.runNext(untilMs)) {
     if (!world.hasResolvedPromise) continue;
@@ -96,7 +96,7 @@
   }
 }
 
-/** A workspace may use so many times its usual units, and a second of them at once. */
+/** Returns the workspaces; each limit is a multiple of the usual units, with a burst of one second. */
 function workspacesOf(scene: Scene): WorkspaceSpec[] {
   const { count, limitOverUsual, plainTokens } = scene.workspaces;
   const unitsPerSecond = meanUnits(scene) * scene.callers.perSecond;
--- a/packages/reedlug-simulator/src/world.ts
+++ b/packages/reedlug-simulator/src/world.ts
@@ -1,4 +1,4 @@
-/** What the parts of a simulated fleet share: time, draws, the network, and what is there. */
+/** The state that the parts of a simulated fleet share: time, randomness, network, boxes, servers and store. */
 import type { Configuration, WorkspaceSpec } from 'reedlug-gateway';
 import type { EventQueue, Random } from 'reedlug-standins';
 import type { Scene } from './scene/scene.js';
@@ -9,10 +9,10 @@
 import type { VirtualServer } from './servers/virtualServers.js';
 import type { VirtualStore } from './store/virtualStore.js';
 
-/** Time after a change, or a trouble, in which news of it are on their way to all boxes, in ms: the users' figure. */
+/** Time within which a change must reach all boxes after it, or after the end of a fault, in ms, as guaranteed to the users. */
 export const PROPAGATION_MS = 3000;
 
-/** A fleet in progress. */
+/** The state of a simulated fleet. */
 export interface World {
   scene: Scene;
   random: Random;
@@ -21,33 +21,33 @@
   servers: Map<string, VirtualServer>;
   store: VirtualStore;
   record: SceneRecord;
-  /** Zones that are cut off from all others and from the store now. */
+  /** Zones that are partitioned from all others and from the store now. */
   cutZones: Set<string>;
-  /** When a cut last ended. */
+  /** World time at which the last network partition ended. */
   lastPartitionEndedAtMs: number;
-  /** Cuts so far; one without an end goes on. */
+  /** Network partitions so far; `toMs` is undefined while one lasts. */
   partitions: { fromMs: number; toMs: number | undefined }[];
-  /** Share of requests that engines fail now. */
+  /** Share of requests that engines fail at the moment. */
   failShare: number;
   /** Roll-outs ordered so far. */
   rollouts: RolloutState[];
-  /** Until when no reclaimable engines are to be had. */
+  /** World time until which no reclaimable engines can be ordered. */
   outOfCapacityUntilMs: number;
   workspaces: readonly WorkspaceSpec[];
-  /** The newest configuration, and the limits in force one after another. */
+  /** The newest configuration, and the successive periods of limits. */
   configuration: Configuration;
   limitPeriods: LimitPeriod[];
   /** Boxes by the host of their address. */
   boxIdByHost: Map<string, string>;
-  /** Engines that were ordered and have not come yet, by service, zone and kind. */
+  /** Numbers of ordered engines that are still booting, by service, zone and kind. */
   booting: Map<string, { booting: number }>;
-  /** Last numbers given to what is made. */
+  /** Last numbers assigned to servers, runs and requests. */
   numbers: { servers: number; runs: number; requests: number };
-  /** Set when a promise was settled: its followers run before the next event. */
+  /** Set when a Promise was resolved: its continuations run before the next event. */
   hasResolvedPromise: boolean;
 }
 
-/** Time of the world, in ms from the start of the boxes. */
+/** Returns the world's time, in ms since the start of the boxes. */
 export function nowMs(world: World): number {
   return world.queue.nowMs();
 }
@@ -57,24 +57,24 @@
   world.queue.at(world.queue.nowMs() + ms, run);
 }
 
-/** The next number of a kind. */
+/** Returns the next number of a kind. */
 export function nextNumber(world: World, kind: keyof World['numbers']): number {
   world.numbers[kind] += 1;
   return world.numbers[kind];
 }
 
-/** The box at an address. */
+/** Returns the box at a host. */
 export function boxAt(world: World, host: string): VirtualBox | undefined {
   return world.boxes.get(world.boxIdByHost.get(host) ?? '');
 }
 
-/** Whether nothing passes between two zones now. */
+/** Whether a network partition separates two zones now. */
 export function arePartitioned(world: World, zone: string, otherZone: string): boolean {
   if (zone === otherZone) return false;
   return world.cutZones.has(zone) || world.cutZones.has(otherZone);
 }
 
-/** The way between two zones, in ms. */
+/** Returns the latency between two zones, in ms. */
 export function latencyMs(world: World, zone: string, otherZone: string): number {
   const { sameZoneMs, otherZoneMs } = world.scene.network;
   return zone === otherZone ? sameZoneMs : otherZoneMs;
