--- a/packages/reedlug-simulator/src/__tests__/__fixtures__/runSceneFile.ts
+++ b/packages/reedlug-simulator/src/__tests__/__fixtures__/runSceneFile.ts
@@ -1,4 +1,4 @@
-/** Runs a scene of the repository by its name. */
+/** Reads and runs scenes of the repository by name. */
 import { fileURLToPath } from 'node:url';
 import { readSceneFile, runScene, type Scene, type SceneReport } from '../../index.js';
 
--- a/packages/reedlug-simulator/src/__tests__/batchEngine.test.ts
+++ b/packages/reedlug-simulator/src/__tests__/batchEngine.test.ts
@@ -27,7 +27,7 @@
   event: number;
 }
 
-/** Submits requests and lets the engine work until it is idle. */
+/** Submits requests and runs the engine until it is idle. */
 function runAll(
   requests: readonly { runId: number; urgency?: number; parts: PromptPart[]; events?: number }[],
 ): { seen: SeenEvent[]; rejected: number[]; engine: BatchEngine } {
@@ -49,13 +49,13 @@
 
 const ownPart = (id: string, tokens: number): PromptPart[] => [{ id, tokens }];
 
-test('a prompt is read in chunks before the first event', () => {
+test('a prompt is processed in chunks before the first event', () => {
   const { seen } = runAll([{ runId: 1, parts: ownPart('a', 2000) }]);
-  // Two steps of 5 + 1000 / 20 ms, of which the second makes the first token, and one of 5 ms.
+  // Two steps of 5 + 1000 / 20 ms, the second of which generates the first token, and one of 5 ms.
   expect(seen).to.deep.equal([{ runId: 1, atMs: 115, event: 1 }]);
 });
 
-test('a stream waits for the chunks of a prompt beside it', () => {
+test('a stream waits for the chunks of a concurrent prompt', () => {
   const alone = runAll([{ runId: 1, parts: ownPart('a', 20), events: 5 }]).seen.at(-1)?.atMs ?? 0;
   const beside = runAll([
     { runId: 1, parts: ownPart('a', 20), events: 5 },
@@ -64,7 +64,7 @@
   expect(beside.at(-1)?.atMs).to.be.greaterThan(alone + 150);
 });
 
-test('shared parts are read once', () => {
+test('shared parts are processed once', () => {
   const parts = (last: string): PromptPart[] => [
     { id: 'shared', tokens: 900 },
     { id: last, tokens: 100 },
@@ -77,7 +77,7 @@
   expect(engine.readTokens).to.equal(1000 + 100 + 100);
 });
 
-test('what is more urgent is read first, and a full queue is told', () => {
+test('urgent prompts are processed first, and a full queue rejects requests', () => {
   const { seen, rejected } = runAll([
     { runId: 1, parts: ownPart('a', 1000) },
     { runId: 2, urgency: 9, parts: ownPart('b', 1000) },
@@ -90,7 +90,7 @@
   );
 });
 
-test('a request that is stopped gives its place back', () => {
+test('a stopped request frees its slot', () => {
   const engine = createBatchEngine(PARAMETERS);
   const nothing = (): void => undefined;
   const run = { urgency: 5, fromEvent: 0, events: 9, onEvent: nothing, onRejected: nothing };
--- a/packages/reedlug-simulator/src/__tests__/crashingRequests.test.ts
+++ b/packages/reedlug-simulator/src/__tests__/crashingRequests.test.ts
@@ -2,9 +2,9 @@
 import { runSceneFile } from './__fixtures__/runSceneFile.js';
 
 /**
- * Scenes, and how many servers may end under one request in each: three and the three
- * further sends of the users' rule, three more where two sides of a cut learn by themselves
- * or boxes begin anew.
+ * Scenes, and the maximum number of servers that one request may crash in each: three, plus the
+ * three further sends that the guarantee allows. Three more are allowed where both sides of a
+ * network partition learn on their own, or boxes restart and learn again.
  */
 const SCENES = [
   { file: 'ending-base', mostEnded: 6 },
@@ -14,7 +14,7 @@
   { file: 'ending-kill-all', mostEnded: 9 },
 ] as const;
 
-test('a request that ends its servers is kept out by all boxes, and no other one is', async () => {
+test('all boxes block a request that crashes its servers, and no other request', async () => {
   for (const { file, mostEnded } of SCENES) {
     for (const seed of [1, 2]) {
       const { broken, endings } = await runSceneFile(file, seed);
@@ -25,7 +25,7 @@
   }
 });
 
-test('others are served beside a request that ends its servers', async () => {
+test('other requests are served alongside a request that crashes its servers', async () => {
   for (const seed of [1, 2]) {
     const { whole } = await runSceneFile('ending-base', seed);
     expect((whole.refused + whole.failed) / whole.asked, `seed ${seed}`).to.be.below(0.01);
--- a/packages/reedlug-simulator/src/__tests__/restarts.test.ts
+++ b/packages/reedlug-simulator/src/__tests__/restarts.test.ts
@@ -3,12 +3,12 @@
 import { runScene, type Scene, type SceneFaultSpec } from '../index.js';
 import { smallScene } from './__fixtures__/smallScene.js';
 
-/** Restarts that are drawn, and the engines of a scene of which each fault takes a share. */
+/** Number of generated restarts, and number of engines in a scene; each fault restarts a share of them. */
 const RESTARTS = 500;
 const ENGINES = 6;
 const FAULTS_PER_SCENE = 6;
 
-/** Restarts under one id: faster than a heartbeat, slower than three, several in a row, all at once, with and without a birth. */
+/** Generates restarts under the same id: faster than a heartbeat, slower than three, several in a row, all at once, with and without a start time in the entry. */
 function generateRestarts(seed: number): { scene: Scene; restarts: number } {
   const random = createRandom(seed * 7919);
   let restarts = 0;
@@ -23,7 +23,7 @@
   return { scene: smallScene({ lengthS: 12, faults }), restarts };
 }
 
-test('over 500 drawn restarts no stream has a gap and nothing runs twice that may run once', async () => {
+test('over 500 generated restarts no stream has a gap and no non-repeatable request runs twice', async () => {
   let restarts = 0;
   for (let seed = 1; restarts < RESTARTS; seed += 1) {
     const drawn = generateRestarts(seed);
--- a/packages/reedlug-simulator/src/__tests__/rollouts.test.ts
+++ b/packages/reedlug-simulator/src/__tests__/rollouts.test.ts
@@ -16,7 +16,7 @@
   badFromOpen: 0,
 };
 
-/** Fifteen boxes without hubs, six engines at the start. */
+/** Runs a roll-out with fifteen boxes without hubs and six engines at the start. */
 function run(changes: Partial<Rollout>, concurrent: Scene['faults'] = []): Promise<SceneReport> {
   const scene = smallScene({
     lengthS: 18,
@@ -33,17 +33,17 @@
   return row;
 }
 
-test('a sound version is completed by the deadline, and its callers are served', async () => {
+test('a good version is completed by the deadline, and its callers are served', async () => {
   const report = await run({});
   const { end, tookMs = Infinity } = rowOf(report);
   expect(report.broken).to.deep.equal([]);
   expect(end).to.equal('completed');
   expect(tookMs).to.be.within(10_000, 12_000);
-  // An even split from the first server on would have moved half of them at once.
+  // An even split as soon as the first server starts would move half of the requests at once.
   expect(report.whole.inTime / report.whole.asked).to.be.greaterThan(0.9);
 });
 
-test('bad versions go back, whichever way they are bad', async () => {
+test('bad versions are rolled back, in whichever way they are bad', async () => {
   const ways: Partial<Rollout>[] = [
     { failShare: 0.4 },
     { slowFactor: 5 },
@@ -57,7 +57,7 @@
   }
 });
 
-test('a roll-out outlives the loss of all boxes, and a bad version has no more for it', async () => {
+test('a roll-out survives the loss of all boxes, and a bad version gets no more requests because of it', async () => {
   const loss = { kind: 'killBoxes', atS: 8, share: 1, downS: 0.6 } as const;
   const sound = await run({}, [loss]);
   expect(sound.broken).to.deep.equal([]);
--- a/packages/reedlug-simulator/src/__tests__/runScene.test.ts
+++ b/packages/reedlug-simulator/src/__tests__/runScene.test.ts
@@ -6,9 +6,9 @@
   return runScene(smallScene(changes), seed);
 }
 
-test('the same seed gives the same run, another seed another one', async () => {
+test('the same seed gives the same run, another seed gives a different one', async () => {
   const [first, second, other] = [await run(), await run(), await run({}, 2)];
-  // How long the reducer took is real time, and differs.
+  // The reducer's time is real time and differs between runs.
   const withoutRealTime = (report: SceneReport) => ({ ...report, reducerMsPerBoxSecond: 0 });
   expect(withoutRealTime(first)).to.deep.equal(withoutRealTime(second));
   expect(withoutRealTime(first)).not.to.deep.equal(withoutRealTime(other));
@@ -22,7 +22,7 @@
   expect(whole.inTime / whole.asked).to.be.greaterThan(0.95);
 });
 
-test('after a loss of power of all boxes callers are served again', async () => {
+test('callers are served again after all boxes lose power', async () => {
   const { bySpan, broken } = await run({
     faults: [{ kind: 'killBoxes', atS: 4, share: 1, downS: 0.8 }],
   });
@@ -32,7 +32,7 @@
   expect(shares.get('8')).to.be.greaterThan(0.9);
 });
 
-test('boxes of a zone that is cut off serve their callers', async () => {
+test('boxes of a partitioned zone serve their callers', async () => {
   const { byZone, broken } = await run({
     faults: [{ kind: 'cutZone', atS: 4, forS: 4, zone: 'zone-b' }],
   });
@@ -40,14 +40,14 @@
   expect(byZone.find(({ name }) => name === 'zone-b')?.share).to.be.greaterThan(0.7);
 });
 
-test('engines that go without a word cost their callers little', async () => {
+test('engines that become silent without notice fail few requests', async () => {
   const { whole } = await run({
     faults: [{ kind: 'crashEngines', atS: 4, share: 0.3, silent: true }],
   });
   expect(whole.failed / whole.asked).to.be.lessThan(0.05);
 });
 
-test('engines that start again under their ids break no stream and no promise', async () => {
+test('engines that restart under their ids break no stream and no guarantee', async () => {
   for (const seed of [1, 2]) {
     const { whole, broken } = await run(
       {
@@ -64,7 +64,7 @@
   }
 });
 
-test('a workspace beyond its limit is refused and told when to come back', async () => {
+test('requests of a workspace beyond its limit are refused with 429', async () => {
   const { refusedBy, broken } = await run({
     workspaces: { count: 3, limitOverUsual: 0.2, plainTokens: 200 },
   });
@@ -72,7 +72,7 @@
   expect(refusedBy['429 overLimit']).to.be.greaterThan(0);
 });
 
-test('a zone of a fleet with hubs that is cut off goes on admitting its part', async () => {
+test('a partitioned zone of a fleet with hubs continues to admit its share of the limit', async () => {
   const { refusedBy, byZone, broken } = await run({
     boxesPerZone: 8,
     workspaces: { count: 3, limitOverUsual: 1.8, plainTokens: 200 },
@@ -80,14 +80,14 @@
     faults: [{ kind: 'cutZone', atS: 5, forS: 6, zone: 'zone-b' }],
   });
   expect(broken).to.deep.equal([]);
-  // With all units of the window counted against the part, 58 of 718 callers were refused.
+  // Counting all units of the window against the share would refuse 58 of 718 callers.
   expect(refusedBy['429 overLimit'] ?? 0).to.be.lessThan(5);
-  // With tries at servers of all zones, 15 were refused after three without a connection.
+  // Attempts at servers of all zones would refuse 15 callers after three failed connections each.
   expect(refusedBy['503 timeout'] ?? 0).to.be.lessThan(3);
   expect(byZone.find(({ name }) => name === 'zone-b')?.share).to.be.greaterThan(0.7);
 });
 
-test('limits hold in a fleet with hubs whose zones are cut off in turn', async () => {
+test('limits hold in a fleet with hubs whose zones are partitioned in turn', async () => {
   const changes: Partial<Scene> = {
     lengthS: 24,
     boxesPerZone: 8,
@@ -98,7 +98,7 @@
       { kind: 'cutZone', atS: 10, forS: 4, zone: 'zone-a' },
     ],
   };
-  // Without the sums of hubs that went silent, a workspace got 225,762 of 219,748 units (seed 3).
+  // Without the sums of silent hubs, a workspace would get 225,762 of 219,748 units (seed 3).
   for (const seed of [2, 3]) expect((await run(changes, seed)).broken).to.deep.equal([]);
 });
 
@@ -114,11 +114,11 @@
       { kind: 'killBoxes', atS: 9, share: 0.3, downS: 0.5 },
     ],
   };
-  // Before what is not told between two hubs was supposed: 1,119,967 of 859,961 units.
+  // Without an estimate of the use that hubs have not yet reported to each other, a workspace would get 1,119,967 of 859,961 units.
   expect((await run(changes, 3)).broken).to.deep.equal([]);
 });
 
-test('callers that leave early are owed nothing and broken nowhere', async () => {
+test('callers that leave early break no guarantee and are counted as left', async () => {
   const { whole, broken } = await run({
     faults: [{ kind: 'callersLeave', atS: 2, forS: 4, share: 0.5 }],
   });
--- a/packages/reedlug-simulator/src/__tests__/sceneValidation.test.ts
+++ b/packages/reedlug-simulator/src/__tests__/sceneValidation.test.ts
@@ -13,7 +13,7 @@
   return read.kind === 'faulty' ? read.faults : [];
 }
 
-test('all faults of a scene are told, each with its line', () => {
+test('all errors of a scene are reported, each with its line', () => {
   const faults = faultsOf((text) =>
     text.replace('lengthS: 52', 'lengthS: -1').replace('service: pool', 'service: pond'),
   );
@@ -23,23 +23,23 @@
   expect(names.some(({ message }) => message.includes('no service pond'))).to.equal(true);
 });
 
-test('an unknown field is a fault', () => {
+test('an unknown field is an error', () => {
   const faults = faultsOf((text) => `${text}\nspeed: 9\n`);
   expect(faults).to.have.length(1);
 });
 
-test('a file that is no YAML is a fault with its line', () => {
+test('a file that is not valid YAML is an error', () => {
   const read = validateScene('name: [\n');
   expect(read.kind).to.equal('faulty');
 });
 
-test('a fault in a zone that is not there is told', () => {
+test('a fault in an unknown zone is reported', () => {
   const fault = '  - { kind: cutZone, atS: 1, forS: 1, zone: zone-z }';
   const faults = faultsOf((text) => `${text.trimEnd()}\n${fault}\n`);
   expect(faults.map(({ message }) => message)).to.deep.equal(['no zone zone-z']);
 });
 
-test('scenes that extend each other in a circle are a fault', () => {
+test('circular or missing scene files are errors', () => {
   const folder = mkdtempSync(join(tmpdir(), 'scenes-'));
   writeFileSync(join(folder, 'a.yaml'), 'extends: b.yaml\n');
   writeFileSync(join(folder, 'b.yaml'), 'extends: a.yaml\n');
--- a/packages/reedlug-simulator/src/__tests__/serverStatements.test.ts
+++ b/packages/reedlug-simulator/src/__tests__/serverStatements.test.ts
@@ -4,20 +4,20 @@
 
 /** Long enough for a loaded machine, in ms. */
 const RUN_TIMEOUT_MS = 120_000;
-/** One in five hundred: what no fleet keeps from its callers as a server begins to refuse. */
+/** One in five hundred: refusals that no fleet can avoid when a server starts to refuse. */
 const MAX_REFUSED_SHARE = 0.002;
 
-test('no request reaches a server whose answer said that it leaves', function () {
+test('no request reaches a server whose answer announced draining', function () {
   this.timeout(RUN_TIMEOUT_MS);
   return expectGuaranteesKept(['leaving-unlisted', 'leaving-all', 'leaving-next-life']);
 });
 
-test('a server that asks for a long rest gets it whole', function () {
+test('a server that requests a long pause gets all of it', function () {
   this.timeout(RUN_TIMEOUT_MS);
   return expectGuaranteesKept(['rest-all', 'rest-long', 'rest-full', 'rest-hour']);
 });
 
-test('no caller is refused for servers that refuse while others are free', async function () {
+test('almost no caller is refused because of refusing servers while others are free', async function () {
   this.timeout(RUN_TIMEOUT_MS);
   for (const seed of SEEDS) {
     const { refusedBy, whole } = await runSceneFile('refusing', seed);
--- a/packages/reedlug-simulator/src/__tests__/storeRestores.test.ts
+++ b/packages/reedlug-simulator/src/__tests__/storeRestores.test.ts
@@ -6,7 +6,7 @@
 const RUN_TIMEOUT_MS = 120_000;
 const SEEDS = [1, 2, 3, 7];
 
-/** How often a promise was broken in the scenes. */
+/** Returns how often a guarantee was broken in the scenes. */
 async function countBroken(files: readonly string[], promise: string): Promise<number> {
   let count = 0;
   for (const file of files) {
@@ -18,24 +18,24 @@
   return count;
 }
 
-test('no window is reported twice with other counts after the store came back from a copy', async function () {
+test('no window is reported twice with different counts after a restore of the store', async function () {
   this.timeout(RUN_TIMEOUT_MS);
   const files = ['copy-all-new', 'copy-holder-ends', 'copy-long-away'];
   expect(await countBroken(files, 'oneReportAWindow')).to.equal(0);
 });
 
-test('no two holders use one fence after the store came back from a copy', async function () {
+test('no two holders use the same fence after a restore of the store', async function () {
   this.timeout(RUN_TIMEOUT_MS);
   const files = ['copy-holder-new', 'copy-all-new'];
   expect(await countBroken(files, 'oneHolderAFence')).to.equal(0);
 });
 
-test('a configuration written right after the store came back from a copy is in force in time', async function () {
+test('a configuration written right after a restore of the store is in force in time', async function () {
   this.timeout(RUN_TIMEOUT_MS);
   expect(await countBroken(['copy-overtaken'], 'configurationInForce')).to.equal(0);
 });
 
-test('somebody holds the lease in time after the store came back from a copy', async function () {
+test('a box holds the lease in time after a restore of the store', async function () {
   this.timeout(RUN_TIMEOUT_MS);
   const scene = readTestScene('copy-6');
   for (const seed of [104, 108, 111, 112, 114]) {
