--- a/packages/reedlug-simulator/src/__tests__/batchEngine.test.ts
+++ b/packages/reedlug-simulator/src/__tests__/batchEngine.test.ts
@@ -57,11 +57,11 @@
 
 test('a stream waits for the chunks of a concurrent prompt', () => {
   const alone = runAll([{ runId: 1, parts: ownPart('a', 20), events: 5 }]).seen.at(-1)?.atMs ?? 0;
-  const beside = runAll([
+  const concurrent = runAll([
     { runId: 1, parts: ownPart('a', 20), events: 5 },
     { runId: 2, parts: ownPart('b', 4000) },
   ]).seen.filter(({ runId }) => runId === 1);
-  expect(beside.at(-1)?.atMs).to.be.greaterThan(alone + 150);
+  expect(concurrent.at(-1)?.atMs).to.be.greaterThan(alone + 150);
 });
 
 test('shared parts are processed once', () => {
--- a/packages/reedlug-simulator/src/__tests__/restarts.test.ts
+++ b/packages/reedlug-simulator/src/__tests__/restarts.test.ts
@@ -26,9 +26,9 @@
 test('over 500 generated restarts no stream has a gap and no non-repeatable request runs twice', async () => {
   let restarts = 0;
   for (let seed = 1; restarts < RESTARTS; seed += 1) {
-    const drawn = generateRestarts(seed);
-    restarts += drawn.restarts;
-    const { broken } = await runScene(drawn.scene, seed);
+    const generated = generateRestarts(seed);
+    restarts += generated.restarts;
+    const { broken } = await runScene(generated.scene, seed);
     expect(broken, `seed ${seed}`).to.deep.equal([]);
   }
 });
--- a/packages/reedlug-simulator/src/__tests__/storeRestores.test.ts
+++ b/packages/reedlug-simulator/src/__tests__/storeRestores.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { drawCopies, runScene } from '../index.js';
+import { generateStoreRestores, runScene } from '../index.js';
 import { readTestScene, runSceneFile } from './__fixtures__/runSceneFile.js';
 
 /** Long enough for a loaded machine, in ms. */
@@ -39,7 +39,7 @@
   this.timeout(RUN_TIMEOUT_MS);
   const scene = readTestScene('copy-6');
   for (const seed of [104, 108, 111, 112, 114]) {
-    const { broken } = await runScene(drawCopies(scene, seed), seed);
+    const { broken } = await runScene(generateStoreRestores(scene, seed), seed);
     expect(
       broken.map(({ promise }) => promise),
       `seed ${seed}`,
--- a/packages/reedlug-simulator/src/callers/callerAttempt.ts
+++ b/packages/reedlug-simulator/src/callers/callerAttempt.ts
@@ -36,7 +36,7 @@
   /** Number of servers that the try in progress reached. */
   arrivalsInTry: number;
   /** World time of the last try that followed the wait after a refusal; undefined without one. */
-  retryAfterHonoredAtMs: number | undefined;
+  retriedAfterRefusalAtMs: number | undefined;
   /** World time at which the try in progress reached a box. */
   reachedBoxAtMs: number | undefined;
   /** Whether the caller leaves before its usual deadline. */
--- a/packages/reedlug-simulator/src/callers/callers.ts
+++ b/packages/reedlug-simulator/src/callers/callers.ts
@@ -160,7 +160,7 @@
     longestGapMs: 0,
     runsInTry: 0,
     arrivalsInTry: 0,
-    retryAfterHonoredAtMs: undefined,
+    retriedAfterRefusalAtMs: undefined,
     reachedBoxAtMs: undefined,
     leavesEarly: false,
     crashesServer: undefined,
@@ -287,7 +287,7 @@
     return recordFailed(world, request, label);
   }
   later(world, waitMs, () => {
-    request.retryAfterHonoredAtMs = nowMs(world);
+    request.retriedAfterRefusalAtMs = nowMs(world);
     sendTry(world, request);
   });
 }
--- a/packages/reedlug-simulator/src/index.ts
+++ b/packages/reedlug-simulator/src/index.ts
@@ -1,14 +1,14 @@
 /** Simulates a whole fleet of gateway boxes in one process in virtual time. */
-export { generateStoreRestores as drawCopies } from './scene/generateStoreRestores.js';
+export { generateStoreRestores } from './scene/generateStoreRestores.js';
 export * from './scene/generateCrashFaults.js';
 export * from './scene/generateLimitFaults.js';
 export * from './scene/generateRollout.js';
-export { generateServerLimits as drawServerLimits } from './scene/generateServerLimits.js';
+export { generateServerLimits } from './scene/generateServerLimits.js';
 export * from './scene/generateServerStatements.js';
 export * from './report/outcomes.js';
 export * from './report/sceneReport.js';
-export type { BrokenGuarantee as BrokenPromise, LogLine } from './report/sceneRecord.js';
+export type { BrokenGuarantee, LogLine } from './report/sceneRecord.js';
 export * from './runScene.js';
 export type * from './scene/scene.js';
-export { readSceneFile, type SceneFileResult as SceneRead } from './scene/readSceneFile.js';
-export { validateScene, type SceneFileError as SceneFault } from './scene/sceneValidation.js';
+export { readSceneFile, type SceneFileResult } from './scene/readSceneFile.js';
+export { validateScene, type SceneFileError } from './scene/sceneValidation.js';
--- a/packages/reedlug-simulator/src/report/outcomes.ts
+++ b/packages/reedlug-simulator/src/report/outcomes.ts
@@ -36,11 +36,11 @@
 }
 
 /** Returns the worth of an outcome. A request that is served in time after a refusal and the requested wait earns the mean of the full and the late worth. */
-function earned(end: RequestEnd, { spec, retryAfterHonoredAtMs }: CallerRequest): number {
+function earned(end: RequestEnd, { spec, retriedAfterRefusalAtMs }: CallerRequest): number {
   const lateWorth = spec.worth * spec.lateWorthShare;
   switch (end) {
     case RequestEnd.inTime:
-      return retryAfterHonoredAtMs === undefined ? spec.worth : (spec.worth + lateWorth) / 2;
+      return retriedAfterRefusalAtMs === undefined ? spec.worth : (spec.worth + lateWorth) / 2;
     case RequestEnd.late:
       return lateWorth;
     case RequestEnd.refused:
--- a/packages/reedlug-simulator/src/report/sceneRecord.ts
+++ b/packages/reedlug-simulator/src/report/sceneRecord.ts
@@ -186,13 +186,13 @@
 
 /** Records that a request was served. */
 export function recordAnswered(world: World, request: CallerRequest): void {
-  const { spec, startedAtMs, retryAfterHonoredAtMs } = request;
+  const { spec, startedAtMs, retriedAfterRefusalAtMs } = request;
   const firstAtMs = request.firstEventAtMs ?? nowMs(world);
   const waitMs = firstAtMs - startedAtMs;
   getOrCreate(world.record.firstEventMs, spec.name, createHistogram).recordValue(
     Math.min(MAX_HISTOGRAM_MS, Math.max(0, Math.round(waitMs))),
   );
-  const sinceMs = retryAfterHonoredAtMs ?? startedAtMs;
+  const sinceMs = retriedAfterRefusalAtMs ?? startedAtMs;
   const isFirstLate = firstAtMs - sinceMs > spec.targetMs;
   const isGapLate = request.longestGapMs > (spec.gapTargetMs ?? Number.POSITIVE_INFINITY);
   if (isFirstLate) world.record.lateByFirstEvent += 1;
--- a/packages/reedlug-simulator/src/servers/batchEngine.ts
+++ b/packages/reedlug-simulator/src/servers/batchEngine.ts
@@ -151,10 +151,10 @@
     const needed = next.promptTokens + next.generatedTokens;
     if (engine.running.length > 0 && usedTokens(engine) + needed > kvTokens) return;
     engine.waiting.shift();
-    const kept = cachedPrefixTokens(engine.cache, next.run.parts.slice(0, -1));
-    next.prefillLeft = Math.max(1, needed - kept);
+    const cached = cachedPrefixTokens(engine.cache, next.run.parts.slice(0, -1));
+    next.prefillLeft = Math.max(1, needed - cached);
     const shared = next.promptTokens - (next.run.parts.at(-1)?.tokens ?? 0);
-    engine.readSharedTokens += Math.max(0, shared - kept);
+    engine.readSharedTokens += Math.max(0, shared - cached);
     insertByUrgency(engine.running, next);
     evictParts(engine.cache, Math.max(0, kvTokens - usedTokens(engine)));
   }
--- a/packages/reedlug/src/commands/simulate.ts
+++ b/packages/reedlug/src/commands/simulate.ts
@@ -2,10 +2,10 @@
 import { readFileSync } from 'node:fs';
 import { Command, Option } from 'clipanion';
 import {
-  drawCopies,
+  generateStoreRestores,
   generateCrashFaults,
   generateLimitFaults,
-  drawServerLimits,
+  generateServerLimits,
   generateServerStatements,
   readSceneFile,
   runScene,
@@ -72,9 +72,9 @@
 
   private drawn(scene: Scene, seed: number): Scene {
     if (this.draw) return generateLimitFaults(scene, seed);
-    if (this.drawCopies) return drawCopies(scene, seed);
+    if (this.drawCopies) return generateStoreRestores(scene, seed);
     if (this.drawStatements) return generateServerStatements(scene, seed);
-    if (this.drawServerLimits) return drawServerLimits(scene, seed);
+    if (this.drawServerLimits) return generateServerLimits(scene, seed);
     return this.drawCrashes ? generateCrashFaults(scene, seed) : scene;
   }
 
