--- a/packages/reedlug-simulator/src/__tests__/restarts.test.ts
+++ b/packages/reedlug-simulator/src/__tests__/restarts.test.ts
@@ -8,7 +8,10 @@
 const ENGINES = 6;
 const FAULTS_PER_SCENE = 6;
 
-/** Generates restarts under the same id: faster than a heartbeat, slower than three, several in a row, all at once, with and without a start time in the entry. */
+/**
+ * Generates restarts under the same id: faster than a heartbeat, slower than three, several in a
+ * row, all at once, with and without a start time in the entry.
+ */
 function generateRestarts(seed: number): { scene: Scene; restarts: number } {
   const random = createRandom(seed * 7919);
   let restarts = 0;
--- a/packages/reedlug-simulator/src/__tests__/runScene.test.ts
+++ b/packages/reedlug-simulator/src/__tests__/runScene.test.ts
@@ -114,7 +114,8 @@
       { kind: 'killBoxes', atS: 9, share: 0.3, downS: 0.5 },
     ],
   };
-  // Without an estimate of the use that hubs have not yet reported to each other, a workspace would get 1,119,967 of 859,961 units.
+  // Without an estimate of the use that hubs have not yet reported to each other, a workspace would
+  // get 1,119,967 of 859,961 units.
   expect((await run(changes, 3)).broken).to.deep.equal([]);
 });
 
--- a/packages/reedlug-simulator/src/boxes/boxSpecs.ts
+++ b/packages/reedlug-simulator/src/boxes/boxSpecs.ts
@@ -1,7 +1,10 @@
 /** Ids, addresses and zones of a scene's boxes. */
 import type { BoxSpec } from './virtualBox.js';
 
-/** Processor time of the larger boxes and of the others, in cores; only the order of preference as hub depends on it. */
+/**
+ * Processor time of the larger boxes and of the others, in cores; only the order of preference as
+ * hub depends on it.
+ */
 const LARGER_CORES = 0.675;
 const STANDARD_CORES = 0.324;
 
--- a/packages/reedlug-simulator/src/boxes/performEffect.ts
+++ b/packages/reedlug-simulator/src/boxes/performEffect.ts
@@ -136,7 +136,10 @@
   const versionFault = faultOfVersion(world, server, request.spec.name);
   const tryNumber = request.tries;
   const arrivedAtMs = nowMs(world);
-  /** Records the run, unless it belongs to an earlier try: a server that could not be cancelled may still start that one. */
+  /**
+   * Records the run, unless it belongs to an earlier try: a server that could not be cancelled may
+   * still start that one.
+   */
   const recordStart = (): void => {
     if (request.tries === tryNumber) recordRun(world, request, arrivedAtMs);
   };
--- a/packages/reedlug-simulator/src/boxes/virtualBox.ts
+++ b/packages/reedlug-simulator/src/boxes/virtualBox.ts
@@ -154,7 +154,10 @@
   };
 }
 
-/** Ends a box's process at once: callers lose their connections, and its runs at servers stop. Without power, later connections time out. */
+/**
+ * Ends a box's process at once: callers lose their connections, and its runs at servers stop.
+ * Without power, later connections time out.
+ */
 export function killBox(world: World, box: VirtualBox, hasPower: boolean): void {
   if (!box.isAlive) return;
   box.isAlive = false;
--- a/packages/reedlug-simulator/src/callers/generateRequest.ts
+++ b/packages/reedlug-simulator/src/callers/generateRequest.ts
@@ -33,7 +33,10 @@
   return random.logNormal(mean * Math.exp(-(spread ** 2) / 2), spread);
 }
 
-/** Lengths, in tokens, of the prompt parts that requests of a class share, by class; the same in every run of a seed. */
+/**
+ * Lengths, in tokens, of the prompt parts that requests of a class share, by class; the same in
+ * every run of a seed.
+ */
 export type SharedParts = Map<string, readonly (readonly number[])[]>;
 
 /** Generates the shared prompt parts of a scene. */
@@ -100,7 +103,10 @@
   return service?.kind === 'engines' ? service.engine.tokensPerEvent : 1;
 }
 
-/** Returns the prompt's parts. Each variant of a shared part follows one fixed variant of the part before it, as subjects belong to a template. */
+/**
+ * Returns the prompt's parts. Each variant of a shared part follows one fixed variant of the part
+ * before it, as subjects belong to a template.
+ */
 function generatePromptParts(
   random: Random,
   spec: SceneClass,
--- a/packages/reedlug-simulator/src/faults/limitedServers.ts
+++ b/packages/reedlug-simulator/src/faults/limitedServers.ts
@@ -100,7 +100,10 @@
   server: string;
   /** The last stated limit, in requests per second. */
   perSecond: number;
-  /** Requests and allowance of the window that uses the greatest share of its allowance: from boxes that the guarantee binds, and from all boxes. */
+  /**
+   * Requests and allowance of the window that uses the greatest share of its allowance: from boxes
+   * that the guarantee binds, and from all boxes.
+   */
   most: number;
   allowed: number;
   mostOfAll: number;
@@ -161,13 +164,19 @@
   return amounts.reduce((sum, amount) => sum + amount, 0);
 }
 
-/** Returns the requests after all boxes must have received the end of the limit, in a span as long as the propagation time. */
+/**
+ * Returns the requests after all boxes must have received the end of the limit, in a span as long
+ * as the propagation time.
+ */
 function arrivalsAfter({ arrivals }: LimitedServerRecord, endedAtMs: number): number {
   const fromMs = endedAtMs + PROPAGATION_MS;
   return arrivals.filter(({ atMs }) => atMs >= fromMs && atMs < fromMs + PROPAGATION_MS).length;
 }
 
-/** Returns the highest limit in force in the window before a time; a lower one takes the propagation time to reach all boxes. */
+/**
+ * Returns the highest limit in force in the window before a time; a lower one takes the propagation
+ * time to reach all boxes.
+ */
 function highestLimit({ periods }: LimitedServerRecord, atMs: number): number {
   const sinceMs = atMs - WINDOW_MS - PROPAGATION_MS;
   const inForce = periods.filter(({ fromMs }, index) => {
--- a/packages/reedlug-simulator/src/faults/rollouts.ts
+++ b/packages/reedlug-simulator/src/faults/rollouts.ts
@@ -27,11 +27,14 @@
   spec: RolloutSpec;
   version: string;
   orderedAtMs: number;
-  /** Requests that reached the service within the ordered duration, and those of them that reached the new version. */
+  /** Requests that reached the service within the ordered duration, and those among them at the new version. */
   arrivals: number;
   trialArrivals: number;
   badAnswers: number;
-  /** Time by which sends to the new version must stop, once it has given too many bad answers, and time of the last request to it. */
+  /**
+   * Time by which sends to the new version must stop, once it has given too many bad answers, and
+   * time of the last request to it.
+   */
   stopDueAtMs: number | undefined;
   lastArrivalMs: number;
   endedAtMs: number | undefined;
--- a/packages/reedlug-simulator/src/faults/serverStatements.ts
+++ b/packages/reedlug-simulator/src/faults/serverStatements.ts
@@ -1,4 +1,7 @@
-/** Servers that announce draining or request a pause in their answers, and the requests that they receive afterwards. */
+/**
+ * Servers that announce draining or request a pause in their answers, and the requests that they
+ * receive afterwards.
+ */
 import type { AnswerStatements } from 'reedlug-gateway';
 import type { VirtualBox } from '../boxes/virtualBox.js';
 import type { ServerStatementRecord } from '../report/sceneRecord.js';
@@ -7,7 +10,10 @@
 import { PROPAGATION_MS, later, nowMs, type World } from '../world.js';
 import { limitStatementOf, recordLimitForwarded } from './limitedServers.js';
 
-/** Time after a pause is requested from a box until its requests count, in ms, and how many are allowed then, as guaranteed to the users. */
+/**
+ * Time after a pause is requested from a box until its requests count, in ms, and how many are
+ * allowed then, as guaranteed to the users.
+ */
 const PAUSE_GRACE_MS = 500;
 const MAX_REQUESTS_PER_PAUSE = 2;
 
@@ -150,7 +156,10 @@
   };
 }
 
-/** Whether a network partition excuses the requests in a pause. A restarted box counts as another box, so restarts need no excuse. */
+/**
+ * Whether a network partition excuses the requests in a pause. A restarted box counts as another
+ * box, so restarts need no excuse.
+ */
 function isExcused(world: World, fromMs: number, pauseMs: number): boolean {
   return world.partitions.some(
     ({ fromMs: partitionedAtMs, toMs = Infinity }) =>
--- a/packages/reedlug-simulator/src/report/dutyRecord.ts
+++ b/packages/reedlug-simulator/src/report/dutyRecord.ts
@@ -1,6 +1,7 @@
 /**
- * Records the calls of the box that holds the duty lease: the holder of each fence, and the report
- * of each window. Fences are numbers that rise with each lease; the platform refuses lower ones.
+ * Records the calls that boxes make under the duty lease, which lets one box at a time order
+ * engines and report usage: the holder of each fence, and the report of each window. A fence is a
+ * number that rises with each lease; the platform refuses calls with lower ones.
  */
 import { usableFence } from 'reedlug-coordination';
 import type { CloudCall, CloudOutcome } from 'reedlug-gateway';
--- a/packages/reedlug-simulator/src/report/outcomes.ts
+++ b/packages/reedlug-simulator/src/report/outcomes.ts
@@ -35,7 +35,10 @@
   outcomes.earned += earned(end, request);
 }
 
-/** Returns the worth of an outcome. A request that is served in time after a refusal and the requested wait earns the mean of the full and the late worth. */
+/**
+ * Returns the worth of an outcome. A request that is served in time after a refusal and the
+ * requested wait earns the mean of the full and the late worth.
+ */
 function earned(end: RequestEnd, { spec, retriedAfterRefusalAtMs }: CallerRequest): number {
   const lateWorth = spec.worth * spec.lateWorthShare;
   switch (end) {
--- a/packages/reedlug-simulator/src/report/sceneRecord.ts
+++ b/packages/reedlug-simulator/src/report/sceneRecord.ts
@@ -68,7 +68,10 @@
   /** Numbers of late answers by cause. */
   lateByFirstEvent: number;
   lateByGap: number;
-  /** Engine-seconds by kind; `priced` weights them by the price of the zone and the price share of reclaimable engines. */
+  /**
+   * Engine-seconds by kind; `priced` weights them by the price of the zone and the price share of
+   * reclaimable engines.
+   */
   engineSeconds: { onDemand: number; reclaimable: number; priced: number };
   orders: number;
   datagrams: number;
--- a/packages/reedlug-simulator/src/report/sceneReport.ts
+++ b/packages/reedlug-simulator/src/report/sceneReport.ts
@@ -54,7 +54,7 @@
   repeats: number;
   /** Mean real time in the reducer per box, in ms per second. */
   reducerMsPerBoxSecond: number;
-  /** Units and allowance of each workspace in the window that uses the greatest share of its allowance. */
+  /** Units and allowance of each workspace, in the window that uses the greatest share of its allowance. */
   limits: { workspace: string; most: number; allowed: number }[];
   broken: BrokenGuarantee[];
   logs: Record<string, number>;
@@ -159,7 +159,10 @@
   return taken.length === 0 ? 1 : taken.reduce((sum, share) => sum + share, 0) / taken.length;
 }
 
-/** Checks the guarantees that hold over windows: retry budget, limits, server statements, roll-outs and crashing requests. */
+/**
+ * Checks the guarantees that hold over windows: retry budget, limits, server statements, roll-outs
+ * and crashing requests.
+ */
 function checkGuarantees(world: World): void {
   const { record, scene } = world;
   const { retryRatio, retrySlack } = scene.bounds;
--- a/packages/reedlug-simulator/src/scene/generateCrashFaults.ts
+++ b/packages/reedlug-simulator/src/scene/generateCrashFaults.ts
@@ -1,4 +1,7 @@
-/** Generates scenes from a seed: servers crash because of some requests or for other causes, while few bodies are popular. */
+/**
+ * Generates scenes from a seed: servers crash because of some requests or for other causes, while
+ * few bodies are popular.
+ */
 import { hashString } from 'reedlug-coordination';
 import { createRandom, type Random } from 'reedlug-standins';
 import type { Scene, SceneFaultSpec } from './scene.js';
--- a/packages/reedlug-simulator/src/scene/generateServerStatements.ts
+++ b/packages/reedlug-simulator/src/scene/generateServerStatements.ts
@@ -1,4 +1,7 @@
-/** Generates scenes from a seed: servers whose answers announce draining, a pause or a refusal, and other faults around them. */
+/**
+ * Generates scenes from a seed: servers whose answers announce draining, a pause or a refusal, and
+ * other faults around them.
+ */
 import { hashString } from 'reedlug-coordination';
 import { createRandom, type Random } from 'reedlug-standins';
 import { generateFault } from './generateServerLimits.js';
--- a/packages/reedlug-simulator/src/scene/sceneValidation.ts
+++ b/packages/reedlug-simulator/src/scene/sceneValidation.ts
@@ -106,7 +106,10 @@
     downS: positive.default(2.5),
     tellsBirth: z.boolean().default(true),
   }),
-  /** Overloaded servers state a limit of requests per second, optionally another one after half of the time, then none. */
+  /**
+   * Overloaded servers state a limit of requests per second, optionally another one after half of
+   * the time, then none.
+   */
   z.strictObject({
     kind: z.literal('limitServers'),
     ...spanFields,
@@ -155,7 +158,10 @@
     ...startFields,
     ageS: nonNegative,
     awayS: nonNegative.default(0.5),
-    /** Time within which the operators and the servers rewrite what was lost; 0 rewrites it at the moment of the restore. */
+    /**
+     * Time within which the operators and the servers rewrite what was lost; 0 rewrites it at the
+     * moment of the restore.
+     */
     againWithinS: nonNegative.default(1.2),
     /** Number of versions that other writers use right after the restore. */
     otherWrites: z.number().int().min(0).default(0),
@@ -172,7 +178,10 @@
     failShare: share.default(0),
     slowFactor: positive.default(1),
     badFromS: nonNegative.default(0),
-    /** Restricts the fault to requests of one class, or to those that find at least this many open requests at their server. */
+    /**
+     * Restricts the fault to requests of one class, or to those that find at least this many open
+     * requests at their server.
+     */
     class: z.string().optional(),
     badFromOpen: z.number().int().min(0).default(0),
   }),
--- a/packages/reedlug-simulator/src/servers/batchEngine.ts
+++ b/packages/reedlug-simulator/src/servers/batchEngine.ts
@@ -75,7 +75,10 @@
   engine.slowFactor = factor;
 }
 
-/** Accepts a request, or rejects it when the queue is full. An idle engine starts a step, which the caller has to schedule. */
+/**
+ * Accepts a request, or rejects it when the queue is full. An idle engine starts a step, which the
+ * caller has to schedule.
+ */
 export function submitRun(engine: BatchEngine, run: EngineRun, nowMs: number): void {
   if (engine.waiting.length >= engine.parameters.queue) return run.onRejected();
   const promptTokens = run.parts.reduce((sum, { tokens }) => sum + tokens, 0);
--- a/packages/reedlug-simulator/src/servers/virtualServers.ts
+++ b/packages/reedlug-simulator/src/servers/virtualServers.ts
@@ -163,7 +163,10 @@
   return service?.kind === 'engines' ? service.heartbeatMs : PLAIN_HEARTBEAT_MS;
 }
 
-/** Returns the engines of one kind in a zone that are not draining, without those of a roll-out in progress, which orders do not count. */
+/**
+ * Returns the engines of one kind in a zone that are not draining, without those of a roll-out in
+ * progress, which orders do not count.
+ */
 function enginesOf(
   world: World,
   params: { service: string; zone: string; reclaimable: boolean },
@@ -183,7 +186,10 @@
   return entry.state === ServerState.ready && !isDraining;
 }
 
-/** Returns the number of ordered engines of one kind in a zone that are still booting, in an object that callers update. */
+/**
+ * Returns the number of ordered engines of one kind in a zone that are still booting, in an object
+ * that callers update.
+ */
 function bootingOf(
   world: World,
   { service, zone, reclaimable }: { service: string; zone: string; reclaimable: boolean },
@@ -251,7 +257,10 @@
   server.openRuns.clear();
 }
 
-/** Ends a server without notice and restarts it under its id; its entry stays unless it expires after three heartbeats. */
+/**
+ * Ends a server without notice and restarts it under its id; its entry stays unless it expires
+ * after three heartbeats.
+ */
 export function restartServer(
   world: World,
   server: VirtualServer,
--- a/packages/reedlug-simulator/src/store/virtualStore.ts
+++ b/packages/reedlug-simulator/src/store/virtualStore.ts
@@ -98,7 +98,10 @@
   rolloutRecord: (service: string) => RolloutRecord | undefined;
   putServer: (entry: ServerEntry) => void;
   removeServer: (id: string) => void;
-  /** Returns the store's client for a box in a zone. Calls end when `isAlive` returns false; `onEra` receives the era of each answer. */
+  /**
+   * Returns the store's client for a box in a zone. Calls end when `isAlive` returns false; `onEra`
+   * receives the era of each answer.
+   */
   openFor: (zone: string, caller: { isAlive: () => boolean } & StoreListener) => PlatformStore;
 }
 
--- a/packages/reedlug-simulator/src/world.ts
+++ b/packages/reedlug-simulator/src/world.ts
@@ -9,7 +9,10 @@
 import type { VirtualServer } from './servers/virtualServers.js';
 import type { VirtualStore } from './store/virtualStore.js';
 
-/** Time within which a change must reach all boxes after it, or after the end of a fault, in ms, as guaranteed to the users. */
+/**
+ * Time after a change, or after the end of a fault, within which all boxes must know of it, in ms,
+ * as guaranteed to the users.
+ */
 export const PROPAGATION_MS = 3000;
 
 /** The state of a simulated fleet. */
