--- a/packages/reedlug-simulator/src/boxes/performEffect.ts
+++ b/packages/reedlug-simulator/src/boxes/performEffect.ts
@@ -1,4 +1,4 @@
-/** Carries out the effects of a box's reducer in the world. */
+/** Executes the effects of a box's reducer in the simulated world. */
 import {
   ASK_TIMEOUT_MS,
   CLOUD_TIMEOUT_MS,
@@ -11,35 +11,43 @@
   type Effect,
 } from 'reedlug-gateway';
 import {
-  reaches,
+  isReachableFrom,
   submitToEngine,
-  takeCloudCall,
+  handleCloudCall,
   type VirtualServer,
 } from '../servers/virtualServers.js';
-import { noteArrival, noteLog, noteRun } from '../report/sceneRecord.js';
-import { areCut, boxAt, later, nowMs, takeNumber, wayMs, type World } from '../world.js';
-import { endUnder, noteEndingSend } from '../faults/endingRequests.js';
-import { isTurnedDown, noteLimitedArrival } from '../faults/limitedServers.js';
+import { recordArrival, recordLog, recordRun } from '../report/sceneRecord.js';
 import {
-  isRefused,
-  noteArrivalAtStating,
-  noteStated,
+  arePartitioned,
+  boxAt,
+  later,
+  nowMs,
+  nextNumber,
+  latencyMs,
+  type World,
+} from '../world.js';
+import { crashUnder, recordCrashingSend } from '../faults/crashingRequests.js';
+import { exceedsStatedLimit, recordLimitedArrival } from '../faults/limitedServers.js';
+import {
+  refusesRequest,
+  recordStatementArrival,
+  recordStatements,
   statementsOf,
-} from '../faults/statingServers.js';
-import { faultOfVersion, noteRolloutArrival } from '../faults/rollouts.js';
-import { slowDown } from '../servers/batchEngine.js';
+} from '../faults/serverStatements.js';
+import { faultOfVersion, recordRolloutArrival } from '../faults/rollouts.js';
+import { setSlowFactor } from '../servers/batchEngine.js';
 import { killBox, stopRunAt, type VirtualBox } from './virtualBox.js';
 
 /** Zone of the cloud; nothing else is in it. */
 const CLOUD_ZONE = '(cloud)';
-/** Urgency of a request that says none. */
+/** Urgency of a request that states none. */
 const DEFAULT_URGENCY = 5;
-/** Time that a server's own failure takes, in ms. */
+/** Time until a server answers with a failure, in ms. */
 const FAILURE_MS = 5;
 
 type EffectOf<T extends Effect['type']> = Extract<Effect, { type: T }>;
 
-/** Carries out one effect; what comes of it is a later event. */
+/** Executes one effect; its result is emitted as a later event. */
 export function performEffect(world: World, box: VirtualBox, effect: Effect): void {
   switch (effect.type) {
     case 'send':
@@ -73,7 +81,7 @@
     case 'stopped':
       return killBox(world, box, true);
     case 'log':
-      return noteLog(world, box.id, effect.event, effect.fields);
+      return recordLog(world, box.id, effect.event, effect.fields);
   }
 }
 
@@ -83,29 +91,29 @@
   const server = world.servers.get(order.serverId);
   const caller = box.exchanges.get(exchangeId);
   if (caller === undefined) return;
-  if (server === undefined || !reaches(world, box.settings.box.zone, server)) {
-    // A dead port answers at once, a silent one not at all.
+  if (server === undefined || !isReachableFrom(world, box.settings.box.zone, server)) {
+    // A closed port refuses the connection at once; a silent or partitioned server lets it time out.
     const isGone = server === undefined;
     return later(world, isGone ? 1 : CONNECT_TIMEOUT_MS, () => {
       if (box.sends.has(attemptId) || !box.state.requests.has(exchangeId)) return;
       box.emit({ type: 'attemptNotSent', ...ids, reason: isGone ? 'refused' : 'timeout' });
     });
   }
-  const runId = takeNumber(world, 'runs');
+  const runId = nextNumber(world, 'runs');
   box.sends.set(attemptId, { exchangeId, serverId: order.serverId, runId });
   server.openRuns.set(runId, () => {
     if (!box.sends.delete(attemptId)) return;
     box.emit({ type: 'attemptLost', ...ids, reason: 'connectionReset' });
   });
-  const ms = wayMs(world, box.settings.box.zone, server.entry.zone);
+  const ms = latencyMs(world, box.settings.box.zone, server.entry.zone);
   later(world, ms, () => {
     if (!box.sends.has(attemptId) || !world.servers.has(order.serverId)) return;
-    arrive(world, box, { server, effect, runId });
+    arriveAtServer(world, box, { server, effect, runId });
   });
 }
 
-/** A request reaches its server. */
-function arrive(
+/** Handles a request that reaches its server. */
+function arriveAtServer(
   world: World,
   box: VirtualBox,
   params: { server: VirtualServer; effect: EffectOf<'send'>; runId: number },
@@ -116,60 +124,63 @@
   const caller = box.exchanges.get(exchangeId);
   if (caller === undefined) return;
   const { request } = caller;
-  noteArrival(world, request, server.entry.service);
-  noteRolloutArrival(world, server);
-  noteLimitedArrival(world, server, box);
-  const callerSentAtMs = request.heldSinceMs ?? nowMs(world);
-  noteArrivalAtStating(world, { server, box, callerSentAtMs });
-  if (request.endsServer !== undefined) {
-    noteEndingSend(world, box, request.facts.digest);
-    return endUnder(world, server, request.facts.digest, request.endsServer);
+  recordArrival(world, request, server.entry.service);
+  recordRolloutArrival(world, server);
+  recordLimitedArrival(world, server, box);
+  const callerSentAtMs = request.reachedBoxAtMs ?? nowMs(world);
+  recordStatementArrival(world, { server, box, callerSentAtMs });
+  if (request.crashesServer !== undefined) {
+    recordCrashingSend(world, box, request.facts.digest);
+    return crashUnder(world, server, request.facts.digest, request.crashesServer);
   }
   const versionFault = faultOfVersion(world, server, request.spec.name);
   const tryNumber = request.tries;
   const arrivedAtMs = nowMs(world);
-  /** A server that cannot be told to stop may begin a try that its caller has left. */
-  const begin = (): void => {
-    if (request.tries === tryNumber) noteRun(world, request, arrivedAtMs);
+  /**
+   * Records the run, unless it belongs to an earlier try: a server that could not be cancelled may
+   * still start that one.
+   */
+  const recordStart = (): void => {
+    if (request.tries === tryNumber) recordRun(world, request, arrivedAtMs);
   };
-  /** A connection that a cut has taken bytes from says nothing any more. */
+  /** Set once a network partition has dropped bytes of the connection; it delivers nothing afterwards. */
   let isBroken = false;
-  /** What the server says, unless it has gone silent or the box has left it. */
-  const say = (tell: () => void): void => {
-    isBroken ||= !reaches(world, box.settings.box.zone, server);
+  /** Delivers what the server sends, unless it is unreachable or the box has cancelled the attempt. */
+  const respond = (deliver: () => void): void => {
+    isBroken ||= !isReachableFrom(world, box.settings.box.zone, server);
     if (isBroken) return;
-    const ms = wayMs(world, box.settings.box.zone, server.entry.zone);
+    const ms = latencyMs(world, box.settings.box.zone, server.entry.zone);
     later(world, ms, () => {
-      if (box.sends.has(attemptId)) tell();
+      if (box.sends.has(attemptId)) deliver();
     });
   };
   const answer = (verdict: 'success' | 'failure' | 'notRun', status: number): void => {
     const statements = statementsOf(world, server, verdict === 'notRun');
-    say(() => {
+    respond(() => {
       const isOpen = verdict === 'success' && effect.streaming;
-      if (!isOpen) end(box, server, attemptId, runId);
+      if (!isOpen) endSend(box, server, attemptId, runId);
       box.emit({ type: 'answerBegun', ...ids, statements });
-      noteStated(world, { server, box, statements });
+      recordStatements(world, { server, box, statements });
       box.emit({ type: 'attemptAnswered', ...ids, verdict, status });
     });
   };
   const onRejected = (): void => answer('notRun', 503);
-  if (isTurnedDown(world, server) || isRefused(world, server)) return onRejected();
+  if (exceedsStatedLimit(world, server) || refusesRequest(world, server)) return onRejected();
   if (server.work.kind === 'plain') {
     const onAnswered = (): void => {
-      begin();
+      recordStart();
       answer('success', 200);
     };
     if (versionFault.fails) return later(world, FAILURE_MS, () => answer('failure', 500));
     const workMs = request.workMs * versionFault.slowFactor;
     return server.work.server.submit({ runId, workMs, onAnswered, onRejected });
   }
-  slowDown(server.work.engine, versionFault.slowFactor);
+  setSlowFactor(server.work.engine, versionFault.slowFactor);
   if (versionFault.fails || world.random.chance(world.failShare)) {
-    begin();
+    recordStart();
     return later(world, FAILURE_MS, () => answer('failure', 500));
   }
-  let isBegun = false;
+  let hasStarted = false;
   const fromEvent = Math.max(order.resumeAfterEventId ?? request.lastEventId ?? 0, 0);
   submitToEngine(world, server.work.engine, {
     runId,
@@ -179,16 +190,16 @@
     events: request.events,
     onRejected,
     onEvent(event, isLast) {
-      if (!isBegun) {
-        isBegun = true;
-        begin();
+      if (!hasStarted) {
+        hasStarted = true;
+        recordStart();
         answer('success', 200);
       }
-      say(() => {
+      respond(() => {
         box.exchanges.get(exchangeId)?.onEvent(event);
         box.emit({ type: 'eventsRelayed', ...ids, lastEventId: event });
         if (!isLast) return;
-        end(box, server, attemptId, runId);
+        endSend(box, server, attemptId, runId);
         box.exchanges.get(exchangeId)?.onEnded();
         box.exchanges.delete(exchangeId);
         box.emit({ type: 'attemptEnded', ...ids });
@@ -197,7 +208,7 @@
   });
 }
 
-function end(box: VirtualBox, server: VirtualServer, attemptId: number, runId: number): void {
+function endSend(box: VirtualBox, server: VirtualServer, attemptId: number, runId: number): void {
   box.sends.delete(attemptId);
   server.openRuns.delete(runId);
 }
@@ -207,12 +218,12 @@
   if (sent === undefined) return;
   box.sends.delete(attemptId);
   const zone = world.servers.get(sent.serverId)?.entry.zone ?? '';
-  later(world, wayMs(world, box.settings.box.zone, zone), () => {
+  later(world, latencyMs(world, box.settings.box.zone, zone), () => {
     stopRunAt(world, sent.serverId, sent.runId);
   });
 }
 
-/** A stream's head goes with its first event. */
+/** Relays a whole answer; a stream's head is delivered with its first event. */
 function relay(box: VirtualBox, effect: EffectOf<'relay'>): void {
   if (effect.part !== 'whole') return;
   box.exchanges.get(effect.exchangeId)?.onAnswer();
@@ -225,7 +236,7 @@
   box.exchanges.delete(exchangeId);
 }
 
-/** A server's address stays its own, so its entry tells whether it is there. */
+/** Probes a server. Addresses are never reused, so the address shows whether the server still exists. */
 function probe(world: World, box: VirtualBox, effect: EffectOf<'probeServer'>): void {
   const { host } = effect.address;
   const server = [...world.servers.values()].find(({ entry }) => entry.address.host === host);
@@ -234,7 +245,7 @@
   if (server === undefined) {
     return later(world, ms, () => box.emit({ type: 'serverProbed', life, outcome: 'refused' }));
   }
-  const isReached = reaches(world, box.settings.box.zone, server);
+  const isReached = isReachableFrom(world, box.settings.box.zone, server);
   const outcome = isReached ? 'accepted' : 'silent';
   later(world, isReached ? ms : CONNECT_TIMEOUT_MS, () => {
     box.emit({ type: 'serverProbed', life, outcome });
@@ -250,13 +261,13 @@
 
 function callCloud(world: World, box: VirtualBox, effect: EffectOf<'callCloud'>): void {
   const { callId, call, fence } = effect;
-  if (areCut(world, box.settings.box.zone, CLOUD_ZONE)) {
+  if (arePartitioned(world, box.settings.box.zone, CLOUD_ZONE)) {
     return later(world, CLOUD_TIMEOUT_MS, () =>
       box.emit({ type: 'cloudAnswered', callId, outcome: 'unknown' }),
     );
   }
   later(world, world.scene.storeAnswerMs, () => {
-    const outcome = takeCloudCall(world, { call, holder: box.id, fence });
+    const outcome = handleCloudCall(world, { call, holder: box.id, fence });
     box.emit({ type: 'cloudAnswered', callId, outcome });
   });
 }
@@ -267,9 +278,9 @@
     if (peer === undefined) continue;
     world.record.datagrams += 1;
     const { zone } = peer.settings.box;
-    if (areCut(world, box.settings.box.zone, zone)) continue;
+    if (arePartitioned(world, box.settings.box.zone, zone)) continue;
     if (world.random.chance(world.scene.network.datagramLossShare)) continue;
-    later(world, wayMs(world, box.settings.box.zone, zone), () => {
+    later(world, latencyMs(world, box.settings.box.zone, zone), () => {
       if (peer.isListening) peer.emit(eventOfDatagram(effect.message));
     });
   }
@@ -279,9 +290,9 @@
   const peer = boxAt(world, effect.peer.host);
   if (peer === undefined) return;
   const { zone } = peer.settings.box;
-  const ms = wayMs(world, box.settings.box.zone, zone);
+  const ms = latencyMs(world, box.settings.box.zone, zone);
   later(world, ms, () => {
-    if (!peer.isListening || areCut(world, box.settings.box.zone, zone)) return;
+    if (!peer.isListening || arePartitioned(world, box.settings.box.zone, zone)) return;
     const events = eventsOfShared(sharedStateOf(peer.state, effect.withServers));
     later(world, Math.min(ms, ASK_TIMEOUT_MS), () => events.forEach((event) => box.emit(event)));
   });
--- a/packages/reedlug-simulator/src/boxes/virtualBox.ts
+++ b/packages/reedlug-simulator/src/boxes/virtualBox.ts
@@ -1,4 +1,4 @@
-/** A box of the gateway under virtual time: the real reducer, the real feeds, effects on the world. */
+/** A gateway box in virtual time: it runs the real reducer and feeds, with effects on the simulated world. */
 import {
   handleInTurn,
   isNewEra,
@@ -15,12 +15,12 @@
 } from 'reedlug-gateway';
 import type { CallerAttempt } from '../callers/callerAttempt.js';
 import { stopRun } from '../servers/batchEngine.js';
-import { CONTACT_MS, later, nowMs, type World } from '../world.js';
+import { PROPAGATION_MS, later, nowMs, type World } from '../world.js';
 import { performEffect } from './performEffect.js';
 
-/** Wall clock of the world's start, in ms; any time will do. */
-const WALL_START_MS = 1_700_000_000_000;
-/** Port on which boxes hear each other. */
+/** Wall-clock time at the start of the world, in ms; the value is arbitrary. */
+const WALL_CLOCK_START_MS = 1_700_000_000_000;
+/** Port on which boxes receive messages from each other. */
 export const PEERS_PORT = 7000;
 
 /** A send in progress. */
@@ -36,9 +36,9 @@
   settings: GatewaySettings;
   state: GatewayState;
   isAlive: boolean;
-  /** Listens for callers. */
+  /** Whether the box accepts connections. */
   isListening: boolean;
-  /** How the process ended: a dead port answers, a box without power says nothing. */
+  /** False after a loss of power: connections time out. When only the process has ended, they are refused. */
   hasPower: boolean;
   incarnation: number;
   /** World time of the process's start. */
@@ -46,31 +46,31 @@
   exchanges: Map<number, CallerAttempt>;
   sends: Map<number, VirtualSend>;
   nextExchangeId: number;
-  /** Callers' balancer: checks in a row without a good answer, and whether callers come. */
+  /** Failed health checks in a row, and whether the load balancer sends callers to the box. */
   missedChecks: number;
-  isIn: boolean;
-  /** Time that the reducer has taken, in ms. */
+  isInRotation: boolean;
+  /** Real time spent in the reducer, in ms. */
   reducerMs: number;
-  /** The store as the process has it; undefined until it listens. */
+  /** The process's connection to the store; undefined until it listens. */
   store: PlatformStore | undefined;
   feeds: PlatformFeeds | undefined;
   emit: (body: EventBody) => void;
 }
 
-/** Where a box stands. */
-export interface BoxPlace {
+/** Identity, address and size of a box. */
+export interface BoxSpec {
   id: string;
   host: string;
   zone: string;
   processorCores: number;
 }
 
-/** Starts a box's process; it listens after the time that the scene gives. */
-export function startBox(world: World, place: BoxPlace, incarnation: number): VirtualBox {
-  const settings = settingsOf(world, place);
+/** Starts a box's process; it listens after the scene's start time. */
+export function startBox(world: World, spec: BoxSpec, incarnation: number): VirtualBox {
+  const settings = settingsOf(world, spec);
   const startedAtMs = nowMs(world);
   const box: VirtualBox = {
-    id: place.id,
+    id: spec.id,
     settings,
     state: createGatewayState({
       settings,
@@ -87,7 +87,7 @@
     sends: new Map(),
     nextExchangeId: 1,
     missedChecks: 0,
-    isIn: false,
+    isInRotation: false,
     reducerMs: 0,
     store: undefined,
     feeds: undefined,
@@ -111,7 +111,7 @@
       new Promise((resolve) =>
         later(world, ms, () => {
           if (!box.isAlive) return;
-          world.hasSettled = true;
+          world.hasResolvedPromise = true;
           resolve();
         }),
       ),
@@ -126,7 +126,7 @@
   const logger = (): void => undefined;
   const { settings, state, emit } = box;
   box.feeds = followPlatform({ settings, store, state, clock, logger, emit });
-  world.hasSettled = true;
+  world.hasResolvedPromise = true;
   const tick = (): void => {
     if (!box.isAlive) return;
     emit({ type: 'tick' });
@@ -135,14 +135,18 @@
   later(world, world.random.unit() * TICK_MS, tick);
 }
 
-/** Takes the events of a process that lives. */
+/** Returns a function that passes events to the reducer while the process is alive. */
 function createEmit(world: World, box: VirtualBox): (body: EventBody) => void {
   const enqueue = handleInTurn((body) => {
-    const sinceMs = nowMs(world) - box.startedAtMs;
-    const wallMs = WALL_START_MS + nowMs(world);
-    const begunAtMs = performance.now();
-    const effects = reduce(box.state, { ...body, nowMs: sinceMs, wallClockMs: wallMs });
-    box.reducerMs += performance.now() - begunAtMs;
+    const sinceStartMs = nowMs(world) - box.startedAtMs;
+    const wallClockNowMs = WALL_CLOCK_START_MS + nowMs(world);
+    const reduceStartedAtMs = performance.now();
+    const effects = reduce(box.state, {
+      ...body,
+      nowMs: sinceStartMs,
+      wallClockMs: wallClockNowMs,
+    });
+    box.reducerMs += performance.now() - reduceStartedAtMs;
     for (const effect of effects) performEffect(world, box, effect);
   });
   return (body) => {
@@ -150,13 +154,16 @@
   };
 }
 
-/** Ends a box's process at once; its callers and servers see it, unless it has lost power. */
+/**
+ * Ends a box's process at once: callers lose their connections, and its runs at servers stop.
+ * Without power, later connections time out.
+ */
 export function killBox(world: World, box: VirtualBox, hasPower: boolean): void {
   if (!box.isAlive) return;
   box.isAlive = false;
   box.isListening = false;
   box.hasPower = hasPower;
-  box.isIn = false;
+  box.isInRotation = false;
   for (const attempt of box.exchanges.values()) attempt.onConnectionLost();
   box.exchanges.clear();
   for (const { serverId, runId } of box.sends.values()) {
@@ -166,11 +173,13 @@
   box.sends.clear();
 }
 
-/** Whether a box has run, and heard the others, for long enough to know what they know. */
-export function isInTouch(world: World, box: VirtualBox): boolean {
-  const sinceMs = nowMs(world) - CONTACT_MS;
+/** Whether a box has run without network partitions for long enough to know what the other boxes know. */
+export function isSynchronized(world: World, box: VirtualBox): boolean {
+  const sinceMs = nowMs(world) - PROPAGATION_MS;
   return (
-    box.startedAtMs <= sinceMs && world.cutZones.size === 0 && world.lastCutEndedAtMs <= sinceMs
+    box.startedAtMs <= sinceMs &&
+    world.cutZones.size === 0 &&
+    world.lastPartitionEndedAtMs <= sinceMs
   );
 }
 
@@ -183,8 +192,8 @@
   else server.work.server.stop(runId);
 }
 
-function settingsOf(world: World, place: BoxPlace): GatewaySettings {
-  const { id, host, zone, processorCores } = place;
+function settingsOf(world: World, spec: BoxSpec): GatewaySettings {
+  const { id, host, zone, processorCores } = spec;
   const { scene } = world;
   return {
     box: { id, ip: host, zone, processorCores },
--- a/packages/reedlug-simulator/src/callers/callers.ts
+++ b/packages/reedlug-simulator/src/callers/callers.ts
@@ -1,19 +1,19 @@
 /**
- * Callers: when they come, which box they get, what they do after a refusal or a
- * loss, and what they make of the answer.
+ * Simulates callers: when they arrive, which box they reach, what they do after a
+ * refusal or a lost connection, and how they rate the answer.
  */
 import { isReady } from 'reedlug-gateway';
 import type { VirtualBox } from '../boxes/virtualBox.js';
 import type { SceneClass } from '../scene/scene.js';
 import {
-  noteAnswered,
-  noteAsked,
-  noteBroken,
-  noteEvent,
-  noteFailed,
-  noteRefused,
+  recordAnswered,
+  recordRequest,
+  recordBroken,
+  recordEvent,
+  recordFailed,
+  recordRefused,
 } from '../report/sceneRecord.js';
-import { later, nowMs, takeNumber, type World } from '../world.js';
+import { later, nowMs, nextNumber, type World } from '../world.js';
 import {
   isRepeatable,
   type CallerAttempt,
@@ -21,48 +21,48 @@
   type Refusal,
 } from './callerAttempt.js';
 import {
-  drawRequest,
-  drawSharedParts,
-  type DrawnRequest,
+  generateRequest,
+  generateSharedParts,
+  type GeneratedRequest,
   workspaceName,
   workspaceShares,
   type SharedParts,
-} from './drawRequest.js';
+} from './generateRequest.js';
 
-/** How often the balancer asks each box whether it is ready, in ms, and after how many misses it leaves it out. */
-const CHECK_EVERY_MS = 1000;
-const MISSES = 2;
-/** How long a caller waits for a connection that nobody answers, in ms. */
-const CONNECT_MS = 1000;
-/** Part of the time left up to which a caller waits as it is told. */
-const WAIT_SHARE = 1 / 3;
-/** Pause of a caller after a lost connection, in ms. */
-const RETRY_MS = 50;
-/** A caller gives a stream up after this silence, in ms: the longest of the three. */
-const SILENCE_MS = 2000;
-const SILENCE_TARGETS = 4;
-const SILENCE_GAPS = 8;
+/** Interval of the load balancer's health checks, in ms, and failed checks after which it removes a box. */
+const HEALTH_CHECK_INTERVAL_MS = 1000;
+const MAX_MISSED_CHECKS = 2;
+/** How long a caller waits for a connection that no box answers, in ms. */
+const CONNECT_TIMEOUT_MS = 1000;
+/** Share of the remaining time up to which a caller waits for a Retry-After. */
+const MAX_WAIT_SHARE = 1 / 3;
+/** Delay before a caller's retry after a lost connection, in ms. */
+const RETRY_DELAY_MS = 50;
+/** A caller gives up a stream after the longest of three silences: this one in ms, or a multiple of a target. */
+const MIN_SILENCE_TIMEOUT_MS = 2000;
+const SILENCE_TARGET_FACTOR = 4;
+const SILENCE_GAP_FACTOR = 8;
 
-/** The boxes' own status for a request that is sent to no server any more. */
-const KEPT_OUT = 500;
+/** Status with which boxes answer a request that they block because it crashes servers. */
+const BLOCKED_STATUS = 500;
 
-/** Changes of the load that faults make. */
+/** How the active faults change the load. */
 export interface LoadChanges {
-  /** Factor on the rate of all classes, or of one. */
+  /** Returns the factor on the rate of a class. */
   factorOf: (className: string) => number;
   /** Factor on the first workspace's share. */
   hotFactor: number;
-  /** Share of the callers that leave early. */
+  /** Share of callers that leave early. */
   leaveShare: number;
 }
 
-/** Starts the balancer and the callers of every zone. */
+/** Starts the load balancer and the callers of every zone. */
 export function startCallers(world: World, changes: LoadChanges): void {
   checkBoxes(world);
-  const shared = drawSharedParts(world.scene, world.random);
+  const shared = generateSharedParts(world.scene, world.random);
   const firstAtMs = world.scene.leadS * 1000;
   for (const zone of world.scene.zones) {
-    world.queue.at(firstAtMs, () => comeAgain(world, { zone, shared, changes }));
+    world.queue.at(firstAtMs, () => startClump(world, { zone, shared, changes }));
   }
 }
 
@@ -70,10 +70,10 @@
   for (const box of world.boxes.values()) {
     const isGood = box.isListening && isReady(box.state);
     box.missedChecks = isGood ? 0 : box.missedChecks + 1;
-    if (isGood) box.isIn = true;
-    else if (box.missedChecks >= MISSES) box.isIn = false;
+    if (isGood) box.isInRotation = true;
+    else if (box.missedChecks >= MAX_MISSED_CHECKS) box.isInRotation = false;
   }
-  later(world, CHECK_EVERY_MS, () => checkBoxes(world));
+  later(world, HEALTH_CHECK_INTERVAL_MS, () => checkBoxes(world));
 }
 
 interface ZoneCallers {
@@ -82,8 +82,8 @@
   changes: LoadChanges;
 }
 
-/** Lets a clump of callers come, and the next one after a while. */
-function comeAgain(world: World, callers: ZoneCallers): void {
+/** Starts a clump of callers, and schedules the next one. */
+function startClump(world: World, callers: ZoneCallers): void {
   const { scene, random } = world;
   const trafficS = nowMs(world) / 1000 - scene.leadS;
   if (trafficS >= scene.lengthS) return;
@@ -93,8 +93,9 @@
   const factor = classes.total / classes.usual;
   const ratePerMs = (perSecond * wave * factor) / scene.zones.length / 1000;
   const size = clump <= 1 ? 1 : 1 + Math.floor(random.exponential(clump - 1) + 0.5);
-  for (let index = 0; index < size; index += 1) begin(world, callers, pickClass(world, classes));
-  later(world, random.exponential(clump / ratePerMs), () => comeAgain(world, callers));
+  for (let index = 0; index < size; index += 1)
+    startRequest(world, callers, pickClass(world, classes));
+  later(world, random.exponential(clump / ratePerMs), () => startClump(world, callers));
 }
 
 interface WeightedClasses {
@@ -123,28 +124,28 @@
   return weights.length - 1;
 }
 
-/** A new request: its first try. */
-function begin(world: World, callers: ZoneCallers, spec: SceneClass): void {
+/** Generates a request and sends its first try. */
+function startRequest(world: World, callers: ZoneCallers, spec: SceneClass): void {
   const { changes, zone, shared } = callers;
   const shares = workspaceShares(world.scene.workspaces.count);
   shares[0] = (shares[0] ?? 0) * changes.hotFactor;
   const total = shares.reduce((sum, share) => sum + share, 0);
   const workspace = workspaceName(pickIndex(world, shares, total));
-  const number = takeNumber(world, 'requests');
-  const drawn = drawRequest(world.scene, world.random, { spec, shared, workspace, number });
-  const request = createRequest(world, { ...drawn, spec, zone, workspace });
+  const number = nextNumber(world, 'requests');
+  const generated = generateRequest(world.scene, world.random, { spec, shared, workspace, number });
+  const request = createRequest(world, { ...generated, spec, zone, workspace });
   request.leavesEarly = changes.leaveShare > 0 && world.random.chance(changes.leaveShare);
   if (request.leavesEarly) {
     request.deadlineAtMs = nowMs(world) + world.random.unit() * spec.targetMs;
   }
-  noteAsked(world, request);
-  tryOnce(world, request);
+  recordRequest(world, request);
+  sendTry(world, request);
 }
 
-/** A request as its caller begins it. */
+/** Returns a request that has not been tried yet. */
 export function createRequest(
   world: World,
-  params: DrawnRequest & Pick<CallerRequest, 'spec' | 'zone' | 'workspace'>,
+  params: GeneratedRequest & Pick<CallerRequest, 'spec' | 'zone' | 'workspace'>,
 ): CallerRequest {
   const { spec } = params;
   const startedAtMs = nowMs(world);
@@ -157,58 +158,61 @@
     firstEventAtMs: undefined,
     lastEventAtMs: undefined,
     longestGapMs: 0,
-    runsOfTry: 0,
-    arrivalsOfTry: 0,
-    returnedAtMs: undefined,
-    heldSinceMs: undefined,
+    runsInTry: 0,
+    arrivalsInTry: 0,
+    retriedAfterRefusalAtMs: undefined,
+    reachedBoxAtMs: undefined,
     leavesEarly: false,
-    endsServer: undefined,
+    crashesServer: undefined,
   };
 }
 
-/** Sends a try to a box of the zone; of the nearest zones when none is in there. */
-export function tryOnce(world: World, request: CallerRequest): void {
+/** Sends a try to a box of the caller's zone, or of any zone when the load balancer uses none there. */
+export function sendTry(world: World, request: CallerRequest): void {
   request.tries += 1;
-  request.runsOfTry = 0;
-  request.arrivalsOfTry = 0;
-  request.heldSinceMs = undefined;
+  request.runsInTry = 0;
+  request.arrivalsInTry = 0;
+  request.reachedBoxAtMs = undefined;
   const leftMs = request.deadlineAtMs - nowMs(world);
   const { facts, lastEventId } = request;
   const requestId = `${facts.requestId.split('/')[0] ?? ''}/${request.tries}`;
   request.facts = { ...facts, requestId, deadlineMs: leftMs, lastEventId };
   const box = pickBox(world, request.zone);
   const { callerMs } = world.scene.network;
-  if (box === undefined) return later(world, callerMs, () => lost(world, request, 'noBox'));
+  if (box === undefined)
+    return later(world, callerMs, () => handleLostConnection(world, request, 'noBox'));
   if (!box.isListening) {
-    const waitMs = box.hasPower ? callerMs : CONNECT_MS;
-    return later(world, waitMs, () => lost(world, request, 'noConnection'));
+    const waitMs = box.hasPower ? callerMs : CONNECT_TIMEOUT_MS;
+    return later(world, waitMs, () => handleLostConnection(world, request, 'noConnection'));
   }
-  later(world, callerMs, () => arriveAt(world, request, box));
+  later(world, callerMs, () => arriveAtBox(world, request, box));
 }
 
 function pickBox(world: World, zone: string): VirtualBox | undefined {
   const boxes = [...world.boxes.values()];
   const ofZone = boxes.filter((box) => box.settings.box.zone === zone);
-  const isIn = (box: VirtualBox): boolean => box.isIn;
-  const candidates = ofZone.some(isIn) ? ofZone.filter(isIn) : boxes.filter(isIn);
-  // When fewer than half are in, the balancer uses all of them.
+  const isInRotation = (box: VirtualBox): boolean => box.isInRotation;
+  const candidates = ofZone.some(isInRotation)
+    ? ofZone.filter(isInRotation)
+    : boxes.filter(isInRotation);
+  // With fewer candidates than half of the zone's boxes, the load balancer uses all boxes of the zone.
   const usable = candidates.length * 2 < ofZone.length ? ofZone : candidates;
   return usable.length === 0 ? undefined : world.random.pick(usable);
 }
 
-function arriveAt(world: World, request: CallerRequest, box: VirtualBox): void {
-  if (!box.isListening) return lost(world, request, 'noConnection');
+function arriveAtBox(world: World, request: CallerRequest, box: VirtualBox): void {
+  if (!box.isListening) return handleLostConnection(world, request, 'noConnection');
   const exchangeId = box.nextExchangeId;
   box.nextExchangeId += 1;
-  request.heldSinceMs = nowMs(world);
+  request.reachedBoxAtMs = nowMs(world);
   const attempt = createAttempt(world, request);
   box.exchanges.set(exchangeId, attempt);
-  watchCaller(world, request, { box, exchangeId, attempt });
+  watchTimeouts(world, request, { box, exchangeId, attempt });
   box.emit({ type: 'requestArrived', exchangeId, facts: request.facts });
 }
 
-/** Ends the try when the caller's time is up, or a stream has been silent for too long. */
-function watchCaller(
+/** Ends the try when the caller's deadline passes or a stream is silent for too long. */
+function watchTimeouts(
   world: World,
   request: CallerRequest,
   at: { box: VirtualBox; exchangeId: number; attempt: CallerAttempt },
@@ -216,33 +220,33 @@
   const { box, exchangeId, attempt } = at;
   const { spec } = request;
   const silenceMs = Math.max(
-    SILENCE_MS,
-    SILENCE_TARGETS * spec.targetMs,
-    SILENCE_GAPS * (spec.gapTargetMs ?? 0),
+    MIN_SILENCE_TIMEOUT_MS,
+    SILENCE_TARGET_FACTOR * spec.targetMs,
+    SILENCE_GAP_FACTOR * (spec.gapTargetMs ?? 0),
   );
   const sentAtMs = nowMs(world);
-  const leave = (): void => {
+  const giveUpIfDue = (): void => {
     if (box.exchanges.get(exchangeId) !== attempt) return;
     const silentSinceMs = Math.max(sentAtMs, request.lastEventAtMs ?? 0);
     const isSilent = spec.kind === 'stream' && nowMs(world) - silentSinceMs >= silenceMs - 1;
-    if (nowMs(world) < request.deadlineAtMs - 1 && !isSilent) return plan();
+    if (nowMs(world) < request.deadlineAtMs - 1 && !isSilent) return scheduleCheck();
     box.exchanges.delete(exchangeId);
     box.emit({ type: 'callerGone', exchangeId });
-    noteFailed(world, request, isSilent ? 'callerLeftSilence' : 'deadline');
+    recordFailed(world, request, isSilent ? 'callerLeftSilence' : 'deadline');
   };
-  const plan = (): void => {
+  const scheduleCheck = (): void => {
     const silentSinceMs = Math.max(sentAtMs, request.lastEventAtMs ?? 0);
     const dueMs = spec.kind === 'stream' ? silentSinceMs + silenceMs : Number.POSITIVE_INFINITY;
-    world.queue.at(Math.min(request.deadlineAtMs, dueMs), leave);
+    world.queue.at(Math.min(request.deadlineAtMs, dueMs), giveUpIfDue);
   };
-  plan();
+  scheduleCheck();
 }
 
 function createAttempt(world: World, request: CallerRequest): CallerAttempt {
   const { callerMs } = world.scene.network;
   return {
     request,
-    onAnswer: () => later(world, callerMs, () => noteAnswered(world, request)),
+    onAnswer: () => later(world, callerMs, () => recordAnswered(world, request)),
     onEvent(event) {
       later(world, callerMs, () => {
         const atMs = nowMs(world);
@@ -252,47 +256,48 @@
         }
         request.firstEventAtMs ??= atMs;
         request.lastEventAtMs = atMs;
-        noteEvent(world, request, event);
+        recordEvent(world, request, event);
         request.lastEventId = event;
       });
     },
-    onEnded: () => later(world, callerMs, () => noteAnswered(world, request)),
-    onRefused: (refusal) => later(world, callerMs, () => refused(world, request, refusal)),
-    onConnectionLost: () => later(world, callerMs, () => lost(world, request, 'connection')),
+    onEnded: () => later(world, callerMs, () => recordAnswered(world, request)),
+    onRefused: (refusal) => later(world, callerMs, () => handleRefusal(world, request, refusal)),
+    onConnectionLost: () =>
+      later(world, callerMs, () => handleLostConnection(world, request, 'connection')),
   };
 }
 
-/** A refusal that promises that the request has not run may be tried again, when it is told. */
-function refused(world: World, request: CallerRequest, refusal: Refusal): void {
+/** Retries after a refusal if the request has not run or is repeatable, at the requested Retry-After. */
+function handleRefusal(world: World, request: CallerRequest, refusal: Refusal): void {
   const { status, reason, retryAfterMs } = refusal;
-  const isPromise = status === 429 || status === 503;
-  if (status === KEPT_OUT && request.endsServer === undefined) {
-    noteBroken(world, 'innocentKeptOut', request);
+  const claimsNotRun = status === 429 || status === 503;
+  if (status === BLOCKED_STATUS && request.crashesServer === undefined) {
+    recordBroken(world, 'innocentKeptOut', request);
   }
-  if (isPromise && request.runsOfTry > 0) noteBroken(world, 'refusalAfterRun', request);
-  if (!isPromise && !isRepeatable(request)) {
-    return noteFailed(world, request, `${status} ${reason}`);
+  if (claimsNotRun && request.runsInTry > 0) recordBroken(world, 'refusalAfterRun', request);
+  if (!claimsNotRun && !isRepeatable(request)) {
+    return recordFailed(world, request, `${status} ${reason}`);
   }
   const leftMs = request.deadlineAtMs - nowMs(world);
-  const waitMs = retryAfterMs ?? RETRY_MS;
-  const mayWait = request.tries <= request.spec.retries && waitMs <= leftMs * WAIT_SHARE;
+  const waitMs = retryAfterMs ?? RETRY_DELAY_MS;
+  const mayWait = request.tries <= request.spec.retries && waitMs <= leftMs * MAX_WAIT_SHARE;
   if (!mayWait || status === 401 || status === 404) {
     const label = `${status} ${reason}`;
-    if (isPromise) return noteRefused(world, request, label);
-    return noteFailed(world, request, label);
+    if (claimsNotRun) return recordRefused(world, request, label);
+    return recordFailed(world, request, label);
   }
   later(world, waitMs, () => {
-    request.returnedAtMs = nowMs(world);
-    tryOnce(world, request);
+    request.retriedAfterRefusalAtMs = nowMs(world);
+    sendTry(world, request);
   });
 }
 
-/** A lost connection: what may be repeated is tried again at once. */
-function lost(world: World, request: CallerRequest, reason: string): void {
-  const mayTry = request.heldSinceMs === undefined || isRepeatable(request);
+/** Retries after a short delay if the request never reached a box or is repeatable; otherwise it has failed. */
+function handleLostConnection(world: World, request: CallerRequest, reason: string): void {
+  const mayRetry = request.reachedBoxAtMs === undefined || isRepeatable(request);
   const leftMs = request.deadlineAtMs - nowMs(world);
-  if (!mayTry || request.tries > request.spec.retries || leftMs <= RETRY_MS) {
-    return noteFailed(world, request, reason);
+  if (!mayRetry || request.tries > request.spec.retries || leftMs <= RETRY_DELAY_MS) {
+    return recordFailed(world, request, reason);
   }
-  later(world, RETRY_MS, () => tryOnce(world, request));
+  later(world, RETRY_DELAY_MS, () => sendTry(world, request));
 }
--- a/packages/reedlug-simulator/src/callers/drawRequest.ts
+++ b/packages/reedlug-simulator/src/callers/generateRequest.ts
@@ -1,4 +1,4 @@
-/** Draws requests: kind, workspace, prompt and length. */
+/** Generates requests: their facts, prompt parts and lengths. */
 import type { PromptPart, RequestFacts } from 'reedlug-gateway';
 import type { Random } from 'reedlug-standins';
 import type { Scene, SceneClass, SizeSpec } from '../scene/scene.js';
@@ -6,70 +6,73 @@
 /** Host of every route of a scene. */
 export const SCENE_HOST = 'scene.example';
 
-/** Path of a kind of request. */
+/** Returns the path prefix of a class of requests. */
 export function pathOf(className: string): string {
   return `/${className}/`;
 }
 
-/** Key of a workspace. */
+/** Returns the API key of a workspace. */
 export function keyOf(workspace: string): string {
   return `key-of-${workspace}`;
 }
 
-/** Name of a scene's workspace. */
+/** Returns the name of the workspace with an index from 0. */
 export function workspaceName(index: number): string {
   return `workspace-${index + 1}`;
 }
 
-/** Shares of the workspaces in the load: a few are large. */
+/** Returns each workspace's share of the load; a few are large. */
 export function workspaceShares(count: number): number[] {
   const weights = Array.from({ length: count }, (_, index) => 1 / (index + 1));
   const total = weights.reduce((sum, weight) => sum + weight, 0);
   return weights.map((weight) => weight / total);
 }
 
-/** A size with the given mean and the given spread of its logarithm. */
-export function drawSize(random: Random, { mean, spread }: SizeSpec): number {
+/** Generates a log-normal size with the given mean and the given spread of its logarithm. */
+export function generateSize(random: Random, { mean, spread }: SizeSpec): number {
   return random.logNormal(mean * Math.exp(-(spread ** 2) / 2), spread);
 }
 
-/** Lengths of the parts that requests of a class share; the same in every run of a seed. */
+/**
+ * Lengths, in tokens, of the prompt parts that requests of a class share, by class; the same in
+ * every run of a seed.
+ */
 export type SharedParts = Map<string, readonly (readonly number[])[]>;
 
-/** Draws the shared parts of a scene. */
-export function drawSharedParts(scene: Scene, random: Random): SharedParts {
-  const drawn: SharedParts = new Map();
+/** Generates the shared prompt parts of a scene. */
+export function generateSharedParts(scene: Scene, random: Random): SharedParts {
+  const lengthsByClass: SharedParts = new Map();
   for (const { name, sharedParts } of scene.classes) {
-    drawn.set(
+    lengthsByClass.set(
       name,
       sharedParts.map(({ tokens, things }) =>
-        Array.from({ length: things }, () => tokensOf(drawSize(random, tokens))),
+        Array.from({ length: things }, () => toTokenCount(generateSize(random, tokens))),
       ),
     );
   }
-  return drawn;
+  return lengthsByClass;
 }
 
-function tokensOf(size: number): number {
+function toTokenCount(size: number): number {
   return Math.max(1, Math.round(size));
 }
 
-/** What a request asks for. */
-export interface DrawnRequest {
+/** A generated request: its facts, the work of a plain request in ms, and the number of events. */
+export interface GeneratedRequest {
   facts: RequestFacts;
   workMs: number;
   events: number;
 }
 
-/** Draws one request of a class. */
-export function drawRequest(
+/** Generates one request of a class. */
+export function generateRequest(
   scene: Scene,
   random: Random,
   params: { spec: SceneClass; shared: SharedParts; workspace: string; number: number },
-): DrawnRequest {
+): GeneratedRequest {
   const { spec, shared, workspace, number } = params;
-  const parts = drawParts(random, spec, shared.get(spec.name) ?? [], number);
-  const events = spec.events === undefined ? 1 : tokensOf(drawSize(random, spec.events));
+  const parts = generatePromptParts(random, spec, shared.get(spec.name) ?? [], number);
+  const events = spec.events === undefined ? 1 : toTokenCount(generateSize(random, spec.events));
   const promptTokens = parts.reduce((sum, { tokens }) => sum + tokens, 0);
   const isStream = spec.kind === 'stream';
   return {
@@ -85,12 +88,12 @@
       lastEventId: undefined,
       digest: digestOf(random, spec, number),
     },
-    workMs: spec.workMs === undefined ? 0 : drawSize(random, spec.workMs),
+    workMs: spec.workMs === undefined ? 0 : generateSize(random, spec.workMs),
     events,
   };
 }
 
-/** Requests of a class with few bodies share their digests. */
+/** Returns the digest of a request's body; requests of a class with few bodies share digests. */
 function digestOf(random: Random, { name, bodies }: SceneClass, number: number): string {
   return bodies === undefined ? `digest-${number}` : `${name}-${random.whole(1, bodies)}`;
 }
@@ -100,8 +103,11 @@
   return service?.kind === 'engines' ? service.engine.tokensPerEvent : 1;
 }
 
-/** A later part belongs to one of the earlier part before it, as subjects to a template. */
-function drawParts(
+/**
+ * Returns the prompt's parts. Each variant of a shared part follows one fixed variant of the part
+ * before it, as subjects belong to a template.
+ */
+function generatePromptParts(
   random: Random,
   spec: SceneClass,
   shared: readonly (readonly number[])[],
@@ -109,17 +115,17 @@
 ): PromptPart[] {
   if (spec.ownTokens === undefined) return [];
   const parts: PromptPart[] = [];
-  let thing = random.whole(0, Math.max(1, shared.at(-1)?.length ?? 1) - 1);
+  let variant = random.whole(0, Math.max(1, shared.at(-1)?.length ?? 1) - 1);
   for (let level = shared.length - 1; level >= 0; level -= 1) {
     const lengths = shared[level] ?? [];
-    thing %= Math.max(1, lengths.length);
-    parts.unshift({ id: `${spec.name}-${level}-${thing}`, tokens: lengths[thing] ?? 1 });
+    variant %= Math.max(1, lengths.length);
+    parts.unshift({ id: `${spec.name}-${level}-${variant}`, tokens: lengths[variant] ?? 1 });
   }
-  const tokens = tokensOf(drawSize(random, spec.ownTokens));
+  const tokens = toTokenCount(generateSize(random, spec.ownTokens));
   return [...parts, { id: `own-${number}`, tokens }];
 }
 
-/** Units of a workspace's limit that a mean request of the scene asks for. */
+/** Returns the limit units that a request of the scene needs on average. */
 export function meanUnits(scene: Scene): number {
   let weights = 0;
   let units = 0;
--- a/packages/reedlug-simulator/src/index.ts
+++ b/packages/reedlug-simulator/src/index.ts
@@ -1,14 +1,14 @@
-/** A whole fleet of gateway boxes in one process under virtual time. */
-export { drawCopies } from './scene/drawCopies.js';
-export * from './scene/drawCrashTroubles.js';
-export * from './scene/drawLimitTroubles.js';
-export * from './scene/drawRollout.js';
-export { drawServerLimits } from './scene/drawServerLimits.js';
-export * from './scene/drawStatements.js';
+/** Simulates a whole fleet of gateway boxes in one process in virtual time. */
+export { generateStoreRestores } from './scene/generateStoreRestores.js';
+export * from './scene/generateCrashFaults.js';
+export * from './scene/generateLimitFaults.js';
+export * from './scene/generateRollout.js';
+export { generateServerLimits } from './scene/generateServerLimits.js';
+export * from './scene/generateServerStatements.js';
 export * from './report/outcomes.js';
 export * from './report/sceneReport.js';
-export type { BrokenPromise, LogLine } from './report/sceneRecord.js';
+export type { BrokenGuarantee, LogLine } from './report/sceneRecord.js';
 export * from './runScene.js';
 export type * from './scene/scene.js';
-export { readSceneFile, type SceneRead } from './scene/readSceneFile.js';
-export { validateScene, type SceneFault } from './scene/sceneValidation.js';
+export { readSceneFile, type SceneFileResult } from './scene/readSceneFile.js';
+export { validateScene, type SceneFileError } from './scene/sceneValidation.js';
--- a/packages/reedlug-simulator/src/report/configurationRecord.ts
+++ b/packages/reedlug-simulator/src/report/configurationRecord.ts
@@ -1,19 +1,19 @@
-/** Whether each box has a configuration in time. */
-import { isInTouch } from '../boxes/virtualBox.js';
+/** Checks that each box applies a new configuration in time. */
+import { isSynchronized } from '../boxes/virtualBox.js';
 import { later, nowMs, type World } from '../world.js';
 
-/** Time from a write until boxes in touch have what was written, in ms: the users' figure. */
-const IN_FORCE_MS = 2000;
+/** Time from a write until all synchronized boxes have it in force, in ms, as guaranteed to the users. */
+const IN_FORCE_DEADLINE_MS = 2000;
 
-/** Puts the newest configuration in the store, and looks later whether boxes have it. */
+/** Writes the newest configuration to the store, and checks later whether boxes have it. */
 export function putConfiguration(world: World): void {
   const { store, configuration } = world;
   const writtenAtMs = nowMs(world);
   store.putConfiguration(configuration);
-  later(world, IN_FORCE_MS, () => {
-    if (store.lastAwayAtMs >= writtenAtMs || store.outage !== undefined) return;
+  later(world, IN_FORCE_DEADLINE_MS, () => {
+    if (store.lastOutageChangeAtMs >= writtenAtMs || store.outage !== undefined) return;
     for (const box of world.boxes.values()) {
-      if (!box.isListening || !isInTouch(world, box)) continue;
+      if (!box.isListening || !isSynchronized(world, box)) continue;
       const version = box.state.active?.configuration.version ?? 0;
       if (version >= configuration.version) continue;
       const detail = `${box.id} has version ${version} of ${configuration.version}`;
--- a/packages/reedlug-simulator/src/report/dutyRecord.ts
+++ b/packages/reedlug-simulator/src/report/dutyRecord.ts
@@ -1,34 +1,38 @@
-/** What the platform saw of the duties: who called under which fence, and what was reported for each window. */
+/**
+ * Records the calls that boxes make under the duty lease, which lets one box at a time order
+ * engines and report usage: the holder of each fence, and the report of each window. A fence is a
+ * number that rises with each lease; the platform refuses calls with lower ones.
+ */
 import { usableFence } from 'reedlug-coordination';
 import type { CloudCall, CloudOutcome } from 'reedlug-gateway';
 import { nowMs, type World } from '../world.js';
 import type { VirtualBox } from '../boxes/virtualBox.js';
 
-/** Time beyond the lease's in which some box holds it again, in ms: the stated aim. */
-const HELD_AGAIN_MS = 2000;
-/** Pause between looks whether any box holds the lease, in ms. */
-const LOOK_EVERY_MS = 100;
+/** Maximum time beyond the lease's duration until some box holds it again, in ms. */
+const REACQUIRE_SLACK_MS = 2000;
+/** Interval between checks whether any box holds the lease, in ms. */
+const POLL_INTERVAL_MS = 100;
 
-/** A call that the platform took. */
+/** A call that the platform accepted. */
 interface DutyCall {
   atMs: number;
   holder: string;
 }
 
-/** The record of the duties. */
+/** The record of the duty lease and the calls under it. */
 export interface DutyRecord {
   calls: DutyCall[];
-  /** Highest fence by subject, and whose each fence was. */
+  /** Highest fence by subject, and the holder by subject and fence. */
   highestFences: Map<string, number>;
   holderByFence: Map<string, string>;
-  /** What was reported, by window. */
+  /** The first report of each window, as JSON. */
   reports: Map<number, string>;
-  /** When a box last held the lease; undefined before the first. */
+  /** World time at which a box last held the lease; undefined before the first holder. */
   lastHeldAtMs: number | undefined;
-  /** Until when a trouble explains that no box does. */
-  troubledUntilMs: number;
-  /** True while nobody has held it for too long, so that one span is told once. */
-  wasUnheld: boolean;
+  /** World time until which an injected fault explains that no box holds the lease. */
+  outageUntilMs: number;
+  /** Whether the current span without a holder is recorded, so that it is reported only once. */
+  isUnheldRecorded: boolean;
 }
 
 /** Returns an empty record. */
@@ -39,13 +43,13 @@
     holderByFence: new Map(),
     reports: new Map(),
     lastHeldAtMs: undefined,
-    troubledUntilMs: 0,
-    wasUnheld: false,
+    outageUntilMs: 0,
+    isUnheldRecorded: false,
   };
 }
 
-/** Takes a call as the platform does, or refuses it for its fence. */
-export function noteDutyCall(
+/** Accepts a call as the platform does, or refuses it because of a lower fence. */
+export function recordDutyCall(
   world: World,
   { call, holder, fence }: { call: CloudCall; holder: string; fence: number },
 ): Extract<CloudOutcome, 'done' | 'fenced'> {
@@ -53,9 +57,9 @@
   const subject = subjectOf(call);
   if (fence < (duties.highestFences.get(subject) ?? 0)) return 'fenced';
   duties.highestFences.set(subject, fence);
-  noteFence(world, `${subject} ${fence}`, holder);
-  noteOrder(world, holder);
-  if (call.kind === 'reportUsage') noteReport(world, call.window, call.counts);
+  recordFence(world, `${subject} ${fence}`, holder);
+  recordHolder(world, holder);
+  if (call.kind === 'reportUsage') recordReport(world, call.window, call.counts);
   return 'done';
 }
 
@@ -63,7 +67,7 @@
   return call.kind === 'reportUsage' ? 'usage' : `engines ${call.service} ${call.zone}`;
 }
 
-function noteFence(world: World, fence: string, holder: string): void {
+function recordFence(world: World, fence: string, holder: string): void {
   const { duties, broken } = world.record;
   const other = duties.holderByFence.get(fence) ?? holder;
   duties.holderByFence.set(fence, holder);
@@ -71,8 +75,8 @@
   broken.push({ promise: 'oneHolderAFence', detail: `${fence}: ${other}, ${holder}` });
 }
 
-/** Within the time of one lease nobody acts again after whom another one has acted. */
-function noteOrder(world: World, holder: string): void {
+/** Checks that within one lease's duration no holder calls again after another one has called. */
+function recordHolder(world: World, holder: string): void {
   const { duties, broken } = world.record;
   const sinceMs = nowMs(world) - world.scene.bounds.leaseMs;
   duties.calls = duties.calls.filter(({ atMs }) => atMs > sinceMs);
@@ -84,7 +88,11 @@
   duties.calls.push({ atMs: nowMs(world), holder });
 }
 
-function noteReport(world: World, window: number, counts: Readonly<Record<string, number>>): void {
+function recordReport(
+  world: World,
+  window: number,
+  counts: Readonly<Record<string, number>>,
+): void {
   const { duties, broken } = world.record;
   const text = JSON.stringify(Object.entries(counts).sort(([a], [b]) => a.localeCompare(b)));
   const before = duties.reports.get(window) ?? text;
@@ -93,28 +101,28 @@
   broken.push({ promise: 'oneReportAWindow', detail: `${window}: ${before}, ${text}` });
 }
 
-/** Notes a trouble that lasts so long: a holder is due a lease's time and a little after it. */
-export function noteDutyTrouble(world: World, forMs: number): void {
+/** Records a fault of the given length; the time limit for a new holder starts at its end. */
+export function recordDutyOutage(world: World, forMs: number): void {
   const { duties } = world.record;
-  duties.troubledUntilMs = Math.max(duties.troubledUntilMs, nowMs(world) + forMs);
+  duties.outageUntilMs = Math.max(duties.outageUntilMs, nowMs(world) + forMs);
 }
 
-/** Looks now and then whether a box holds the lease. */
-export function watchDuties(world: World): void {
+/** Checks periodically whether a box holds the lease. */
+export function watchDutyLease(world: World): void {
   const { duties, broken } = world.record;
   const isHeld = [...world.boxes.values()].some((box) => box.isListening && holdsLease(world, box));
   if (isHeld) {
     duties.lastHeldAtMs = nowMs(world);
-    duties.wasUnheld = false;
-  } else if (duties.lastHeldAtMs !== undefined && !duties.wasUnheld) {
-    const sinceMs = Math.max(duties.lastHeldAtMs, duties.troubledUntilMs);
+    duties.isUnheldRecorded = false;
+  } else if (duties.lastHeldAtMs !== undefined && !duties.isUnheldRecorded) {
+    const sinceMs = Math.max(duties.lastHeldAtMs, duties.outageUntilMs);
     const unheldMs = nowMs(world) - sinceMs;
-    duties.wasUnheld = unheldMs > world.scene.bounds.leaseMs + HELD_AGAIN_MS;
-    if (duties.wasUnheld) {
+    duties.isUnheldRecorded = unheldMs > world.scene.bounds.leaseMs + REACQUIRE_SLACK_MS;
+    if (duties.isUnheldRecorded) {
       broken.push({ promise: 'leaseHeldAgain', detail: `not ${Math.round(unheldMs)} ms later` });
     }
   }
-  world.queue.at(nowMs(world) + LOOK_EVERY_MS, () => watchDuties(world));
+  world.queue.at(nowMs(world) + POLL_INTERVAL_MS, () => watchDutyLease(world));
 }
 
 function holdsLease(world: World, { state, startedAtMs }: VirtualBox): boolean {
--- a/packages/reedlug-simulator/src/report/sceneReport.ts
+++ b/packages/reedlug-simulator/src/report/sceneReport.ts
@@ -1,33 +1,37 @@
-/** The report of a run: what callers got, what it cost, what was broken. */
+/** The report of a run: outcomes for callers, costs, and broken guarantees. */
 import { factorInForce } from '../faults/changeLimits.js';
-import { endingRows, MOST_FURTHER_SENDS, type EndingRow } from '../faults/endingRequests.js';
+import {
+  crashingRequestRows,
+  MAX_FURTHER_SENDS,
+  type CrashingRequestRow,
+} from '../faults/crashingRequests.js';
 import { limitedServerRows, type LimitedServerRow } from '../faults/limitedServers.js';
-import { statingServerRows, type StatingServerRow } from '../faults/statingServers.js';
-import { rolloutFaults } from '../faults/rollouts.js';
+import { serverStatementRows, type ServerStatementRow } from '../faults/serverStatements.js';
+import { brokenRolloutGuarantees } from '../faults/rollouts.js';
 import type { World } from '../world.js';
 import { earnedShare, type Outcomes } from './outcomes.js';
-import type { BrokenPromise } from './sceneRecord.js';
+import type { BrokenGuarantee } from './sceneRecord.js';
 import { greatestShare, greatestSum } from './slidingSum.js';
 
-/** The users' window of repeats, in ms. */
+/** Window of the users' retry budget, in ms. */
 const RETRY_WINDOW_MS = 10_000;
-/** Spans that count as the worst ones. */
+/** Number of spans that count as the worst ones. */
 const WORST_SPANS = 2;
-/** Part of the mean requests of a span below which it says nothing. */
-const LEAST_OF_MEAN = 0.2;
+/** Share of the mean number of requests per span below which a span is ignored. */
+const MIN_SHARE_OF_MEAN = 0.2;
 
-/** A share of a whole, and what made it. */
+/** The earned share of a class, zone or span, and its outcomes. */
 export interface OutcomeRow extends Outcomes {
   name: string;
   share: number;
 }
 
-/** Everything that a run tells. */
+/** The report of a run. */
 export interface SceneReport {
   scene: string;
   seed: number;
   boxes: number;
-  /** Shares of the worth that callers got: over all, in the two worst spans, in the worst class and zone. */
+  /** Earned shares of the worth: of the whole, of the worst spans, and of the worst class and zone. */
   earned: { whole: number; worstSpans: number; worstClass: number; worstZone: number };
   whole: OutcomeRow;
   byClass: OutcomeRow[];
@@ -37,9 +41,9 @@
   failedBy: Record<string, number>;
   lateByFirstEvent: number;
   lateByGap: number;
-  /** Time to the first event or the answer, in ms, by class. */
+  /** Time to the first event or the whole answer, in ms, by class. */
   firstEventMs: Record<string, { p50: number; p99: number }>;
-  /** How long requests were held that were not served, in ms. */
+  /** How long boxes held requests that were not served, in ms. */
   heldUnservedMs: { p50: number; p95: number };
   engineSeconds: { onDemand: number; reclaimable: number; priced: number };
   orders: number;
@@ -48,26 +52,26 @@
   readTokens: number;
   readSharedTokens: number;
   repeats: number;
-  /** Mean time of the reducer at a box, in ms a second. */
+  /** Mean real time in the reducer per box, in ms per second. */
   reducerMsPerBoxSecond: number;
-  /** Units of each workspace in the window of limits that is the greatest share of what is allowed. */
+  /** Units and allowance of each workspace, in the window that uses the greatest share of its allowance. */
   limits: { workspace: string; most: number; allowed: number }[];
-  broken: BrokenPromise[];
+  broken: BrokenGuarantee[];
   logs: Record<string, number>;
   rollouts: RolloutRow[];
-  /** Servers that named a limit, and how it was kept. */
+  /** Servers that stated a limit, and how well it was kept. */
   limitedServers: LimitedServerRow[];
-  /** Servers that said they leave, or asked for rest, and what they got after it. */
-  statingServers: StatingServerRow[];
-  /** Requests under which servers end: how many ended, and sends later than allowed after the third. */
-  endings: EndingRow[];
+  /** Servers that announced draining or requested a pause, and the requests that they received afterwards. */
+  statingServers: ServerStatementRow[];
+  /** Requests that crash servers: the number of crashes, and the sends later than allowed after the third one. */
+  endings: CrashingRequestRow[];
 }
 
-/** How a roll-out went. */
+/** The result of a roll-out. */
 export interface RolloutRow {
   version: string;
   end: string;
-  /** From the order to its end, in ms; undefined without one. */
+  /** Time from the order to the end, in ms; undefined if it did not end. */
   tookMs: number | undefined;
   durationMs: number;
   arrivals: number;
@@ -75,10 +79,10 @@
   badAnswers: number;
 }
 
-/** Sums a run up. */
-export function reportOf(world: World, seed: number): SceneReport {
+/** Checks the guarantees that hold over windows and returns the report. */
+export function buildReport(world: World, seed: number): SceneReport {
   const { record, scene } = world;
-  checkBounds(world);
+  checkGuarantees(world);
   const seconds = scene.leadS + scene.lengthS;
   const rows = (map: ReadonlyMap<string | number, Outcomes>): OutcomeRow[] =>
     [...map].map(([name, outcomes]) => rowOf(String(name), outcomes));
@@ -129,16 +133,16 @@
     broken: record.broken,
     logs: Object.fromEntries(record.logs),
     limitedServers: limitedServerRows(world),
-    statingServers: statingServerRows(world),
-    endings: endingRows(world),
-    rollouts: world.rollouts.map((watch) => ({
-      version: watch.version,
-      end: watch.end ?? 'none',
-      tookMs: watch.endedAtMs === undefined ? undefined : watch.endedAtMs - watch.orderedAtMs,
-      durationMs: watch.spec.durationS * 1000,
-      arrivals: watch.arrivals,
-      trialArrivals: watch.trialArrivals,
-      badAnswers: watch.badAnswers,
+    statingServers: serverStatementRows(world),
+    endings: crashingRequestRows(world),
+    rollouts: world.rollouts.map((rollout) => ({
+      version: rollout.version,
+      end: rollout.end ?? 'none',
+      tookMs: rollout.endedAtMs === undefined ? undefined : rollout.endedAtMs - rollout.orderedAtMs,
+      durationMs: rollout.spec.durationS * 1000,
+      arrivals: rollout.arrivals,
+      trialArrivals: rollout.trialArrivals,
+      badAnswers: rollout.badAnswers,
     })),
   };
 }
@@ -149,39 +153,54 @@
 
 function worstSpans(bySpan: readonly OutcomeRow[]): number {
   const mean = bySpan.reduce((sum, { asked }) => sum + asked, 0) / Math.max(1, bySpan.length);
-  const full = bySpan.filter(({ asked }) => asked >= mean * LEAST_OF_MEAN);
+  const full = bySpan.filter(({ asked }) => asked >= mean * MIN_SHARE_OF_MEAN);
   const worst = full.map(({ share }) => share).sort((a, b) => a - b);
   const taken = worst.slice(0, WORST_SPANS);
   return taken.length === 0 ? 1 : taken.reduce((sum, share) => sum + share, 0) / taken.length;
 }
 
-/** Repeats against the users' budget, and units against the workspaces' limits, in any window. */
-function checkBounds(world: World): void {
+/**
+ * Checks the guarantees that hold over windows: retry budget, limits, server statements, roll-outs
+ * and crashing requests.
+ */
+function checkGuarantees(world: World): void {
   const { record, scene } = world;
   const { retryRatio, retrySlack } = scene.bounds;
   for (const [service, repeats] of record.repeats) {
     const requests = record.requests.get(service) ?? [];
     const most = greatestSum(repeats, RETRY_WINDOW_MS);
     const allowed = retryRatio * greatestSum(requests, RETRY_WINDOW_MS) + retrySlack;
-    if (most > allowed) breakBound(world, 'retryBudget', `${service}: ${most} of ${allowed}`);
+    if (most > allowed)
+      recordBrokenGuarantee(world, 'retryBudget', `${service}: ${most} of ${allowed}`);
   }
   for (const { workspace, most, allowed } of limitRows(world)) {
     if (most > allowed) {
-      breakBound(world, 'limit', `${workspace}: ${most} of ${Math.round(allowed)}`);
+      recordBrokenGuarantee(world, 'limit', `${workspace}: ${most} of ${Math.round(allowed)}`);
     }
   }
   for (const { server, perSecond, most, allowed } of limitedServerRows(world)) {
     if (most <= allowed) continue;
-    breakBound(world, 'serverLimit', `${server}, ${perSecond} a second: ${most} of ${allowed}`);
+    recordBrokenGuarantee(
+      world,
+      'serverLimit',
+      `${server}, ${perSecond} a second: ${most} of ${allowed}`,
+    );
   }
-  for (const { server, afterLeaving, inRest, allowedInRest } of statingServerRows(world)) {
-    if (afterLeaving > 0) breakBound(world, 'serverLeaving', `${server}: ${afterLeaving}`);
-    if (inRest > allowedInRest) breakBound(world, 'serverRest', `${server}: ${inRest} in one rest`);
+  for (const { server, afterLeaving, inRest, allowedInRest } of serverStatementRows(world)) {
+    if (afterLeaving > 0)
+      recordBrokenGuarantee(world, 'serverLeaving', `${server}: ${afterLeaving}`);
+    if (inRest > allowedInRest)
+      recordBrokenGuarantee(world, 'serverRest', `${server}: ${inRest} in one rest`);
   }
-  for (const { promise, detail } of rolloutFaults(world)) breakBound(world, promise, detail);
-  for (const { digest, ended, furtherSends } of endingRows(world)) {
-    if (furtherSends <= MOST_FURTHER_SENDS) continue;
-    breakBound(world, 'endingRequest', `${digest}: ${furtherSends} more, ${ended} servers ended`);
+  for (const { promise, detail } of brokenRolloutGuarantees(world))
+    recordBrokenGuarantee(world, promise, detail);
+  for (const { digest, ended, furtherSends } of crashingRequestRows(world)) {
+    if (furtherSends <= MAX_FURTHER_SENDS) continue;
+    recordBrokenGuarantee(
+      world,
+      'endingRequest',
+      `${digest}: ${furtherSends} more, ${ended} servers ended`,
+    );
   }
 }
 
@@ -197,6 +216,6 @@
   });
 }
 
-function breakBound(world: World, promise: string, detail: string): void {
+function recordBrokenGuarantee(world: World, promise: string, detail: string): void {
   world.record.broken.push({ promise, detail });
 }
--- a/packages/reedlug-simulator/src/runScene.ts
+++ b/packages/reedlug-simulator/src/runScene.ts
@@ -8,7 +8,7 @@
   type WorkspaceSpec,
 } from 'reedlug-gateway';
 import { createEventQueue, createRandom } from 'reedlug-standins';
-import { placesOf } from './boxes/boxPlaces.js';
+import { boxSpecsOf } from './boxes/boxSpecs.js';
 import { startBox } from './boxes/virtualBox.js';
 import { startCallers } from './callers/callers.js';
 import {
@@ -18,19 +18,19 @@
   SCENE_HOST,
   workspaceName,
   workspaceShares,
-} from './callers/drawRequest.js';
+} from './callers/generateRequest.js';
 import { scheduleFaults } from './faults/applyFaults.js';
-import { watchDuties } from './report/dutyRecord.js';
+import { watchDutyLease } from './report/dutyRecord.js';
 import { createSceneRecord, type LogLine } from './report/sceneRecord.js';
-import { reportOf, type SceneReport } from './report/sceneReport.js';
+import { buildReport, type SceneReport } from './report/sceneReport.js';
 import type { Scene, SceneService } from './scene/scene.js';
-import { noteStanding, startServers } from './servers/virtualServers.js';
+import { recordRunningServers, startServers } from './servers/virtualServers.js';
 import { createVirtualStore } from './store/virtualStore.js';
 import type { World } from './world.js';
 
-/** Time after the last caller in which answers still come, in s: the longest deadline is near it. */
-const TAIL_S = 16;
-/** Boxes start within this time, in ms. */
+/** Time after the last caller in which answers may still arrive, in s; about the longest deadline. */
+const ANSWER_TAIL_S = 16;
+/** Time within which the boxes start, in ms. */
 const START_SPREAD_MS = 300;
 
 /** Runs a scene to its end. */
@@ -41,23 +41,23 @@
 ): Promise<SceneReport> {
   const world = createWorld(scene, seed);
   world.record.onLog = onLog;
-  const places = placesOf(scene.zones, scene.boxesPerZone, scene.largerBoxesPerZone);
-  for (const { id, host } of places) world.boxIdByHost.set(host, id);
+  const specs = boxSpecsOf(scene.zones, scene.boxesPerZone, scene.largerBoxesPerZone);
+  for (const { id, host } of specs) world.boxIdByHost.set(host, id);
   world.store.putConfiguration(world.configuration);
   startServers(world);
-  for (const place of places) {
-    world.queue.at(world.random.unit() * START_SPREAD_MS, () => startBox(world, place, 1));
+  for (const spec of specs) {
+    world.queue.at(world.random.unit() * START_SPREAD_MS, () => startBox(world, spec, 1));
   }
-  startCallers(world, scheduleFaults(world, places));
-  watchDuties(world);
+  startCallers(world, scheduleFaults(world, specs));
+  watchDutyLease(world);
   const endsAtMs = (scene.leadS + scene.lengthS) * 1000;
   await runUntil(world, endsAtMs);
-  noteStanding(world);
+  recordRunningServers(world);
   const { engineSeconds } = world.record;
   const cost = { ...engineSeconds };
-  await runUntil(world, endsAtMs + TAIL_S * 1000);
+  await runUntil(world, endsAtMs + ANSWER_TAIL_S * 1000);
   world.record.engineSeconds = cost;
-  return reportOf(world, seed);
+  return buildReport(world, seed);
 }
 
 function createWorld(scene: Scene, seed: number): World {
@@ -71,32 +71,32 @@
     store: createVirtualStore(() => world),
     record: createSceneRecord(),
     cutZones: new Set(),
-    lastCutEndedAtMs: Number.NEGATIVE_INFINITY,
-    cuts: [],
+    lastPartitionEndedAtMs: Number.NEGATIVE_INFINITY,
+    partitions: [],
     failShare: 0,
     rollouts: [],
-    dryUntilMs: 0,
+    outOfCapacityUntilMs: 0,
     workspaces,
     configuration: configurationOf(scene, workspaces),
     limitPeriods: [{ fromMs: 0, factor: 1 }],
     boxIdByHost: new Map(),
     booting: new Map(),
     numbers: { servers: 0, runs: 0, requests: 0 },
-    hasSettled: false,
+    hasResolvedPromise: false,
   };
   return world;
 }
 
-/** Runs events in the order of their time; what awaits a settled promise goes on before the next one. */
+/** Runs events in the order of their time; continuations of a resolved Promise run before the next event. */
 async function runUntil(world: World, untilMs: number): Promise<void> {
   while (world.queue.runNext(untilMs)) {
-    if (!world.hasSettled) continue;
-    world.hasSettled = false;
+    if (!world.hasResolvedPromise) continue;
+    world.hasResolvedPromise = false;
     await new Promise((resolve) => setImmediate(resolve));
   }
 }
 
-/** A workspace may use so many times its usual units, and a second of them at once. */
+/** Returns the workspaces; each limit is a multiple of the usual units, with a burst of one second. */
 function workspacesOf(scene: Scene): WorkspaceSpec[] {
   const { count, limitOverUsual, plainTokens } = scene.workspaces;
   const unitsPerSecond = meanUnits(scene) * scene.callers.perSecond;
--- a/packages/reedlug-simulator/src/scene/sceneValidation.ts
+++ b/packages/reedlug-simulator/src/scene/sceneValidation.ts
@@ -1,39 +1,39 @@
-/** Checks a scene's file and tells all of its faults with their lines. */
+/** Validates a scene file and reports all of its errors with their lines. */
 import { parseLocatedYaml } from 'reedlug-gateway';
 import { z } from 'zod';
 import type { Scene } from './scene.js';
 
 const positive = z.number().positive();
-const notNegative = z.number().min(0);
+const nonNegative = z.number().min(0);
 const share = z.number().min(0).max(1);
 const count = z.number().int().positive();
-const size = z.strictObject({ mean: positive, spread: notNegative.default(0) });
+const size = z.strictObject({ mean: positive, spread: nonNegative.default(0) });
 
 const engineSchema = z.strictObject({
   slots: count,
   queue: count.default(100),
   kvTokens: count,
   stepMs: positive,
-  stepMsPerRun: notNegative.default(0),
+  stepMsPerRun: nonNegative.default(0),
   readTokensPerMs: positive,
-  readMsPerMillionPairs: notNegative.default(0),
+  readMsPerMillionPairs: nonNegative.default(0),
   chunkTokens: count.default(2048),
   tokensPerEvent: count.default(1),
-  firstMs: notNegative.default(0),
+  firstMs: nonNegative.default(0),
 });
 
 const serviceSchema = z.discriminatedUnion('kind', [
   z.strictObject({
     kind: z.literal('engines'),
     name: z.string().min(1),
-    /** On-demand engines at the start, in each zone. */
+    /** Number of on-demand engines in each zone at the start. */
     perZone: count,
     engine: engineSchema,
     bootMs: positive,
     maxPerZone: count,
     reclaimablePriceShare: z.number().positive().max(1).optional(),
     heartbeatMs: positive.default(1200),
-    /** Time in which those that stand at the start have entered themselves. */
+    /** Time within which the engines of the start register. */
     entrySpreadMs: positive.default(1200),
   }),
   z.strictObject({
@@ -60,119 +60,128 @@
   priority: z.number().int().min(0).default(0),
   maxAttempts: count.default(1),
   retries: z.number().int().min(0).default(1),
-  /** Different bodies of all its requests; each has its own when left out. */
+  /** Number of different request bodies; each request has its own when omitted. */
   bodies: count.optional(),
-  /** Parts of the prompt that others share, in order: how many there are of each, and how long they are. */
+  /** Prompt parts that requests share, in order: the number of variants of each part, and their lengths. */
   sharedParts: z.array(z.strictObject({ tokens: size, things: count })).default([]),
   ownTokens: size.optional(),
   events: size.optional(),
   workMs: size.optional(),
 });
 
-const at = { atS: notNegative };
-const span = { ...at, forS: positive };
+const startFields = { atS: nonNegative };
+const spanFields = { ...startFields, forS: positive };
 const faultSchema = z.discriminatedUnion('kind', [
-  z.strictObject({ kind: z.literal('killBoxes'), ...at, share, downS: positive }),
-  z.strictObject({ kind: z.literal('rollBoxes'), ...at, share, gapS: positive }),
-  z.strictObject({ kind: z.literal('cutZone'), ...span, zone: z.string() }),
+  z.strictObject({ kind: z.literal('killBoxes'), ...startFields, share, downS: positive }),
+  z.strictObject({ kind: z.literal('rollBoxes'), ...startFields, share, gapS: positive }),
+  z.strictObject({ kind: z.literal('cutZone'), ...spanFields, zone: z.string() }),
   z.strictObject({
     kind: z.literal('reclaimZone'),
-    ...at,
+    ...startFields,
     noticeS: positive,
-    dryS: notNegative,
+    dryS: nonNegative,
     zone: z.string().optional(),
   }),
-  z.strictObject({ kind: z.literal('crashEngines'), ...at, share, silent: z.boolean() }),
-  /** They come back under their ids with nothing of before. */
+  z.strictObject({ kind: z.literal('crashEngines'), ...startFields, share, silent: z.boolean() }),
+  /** Engines restart under the same ids with no state. */
   z.strictObject({
     kind: z.literal('restartEngines'),
-    ...at,
+    ...startFields,
     share,
     downS: positive,
-    /** Whether their entries tell when they were born. */
+    /** Whether their registry entries contain the time of their start. */
     tellsBirth: z.boolean().default(true),
   }),
-  /** Requests under which each server ends that runs them; they come again under other ids. */
+  /** Requests that crash every server that runs them; they are repeated under other ids. */
   z.strictObject({
     kind: z.literal('endingRequests'),
-    ...span,
+    ...spanFields,
     class: z.string(),
-    /** Different ones, and how many of each come at once. */
+    /** Number of different requests, and how many copies of each arrive at once. */
     count: count.default(1),
     copies: count.default(1),
     everyMs: positive.default(300),
-    /** How long a server runs one before it ends, and how long it is away. */
-    runMs: notNegative.default(60),
+    /** How long a server runs such a request before it crashes, and how long the server is down. */
+    runMs: nonNegative.default(60),
     downS: positive.default(2.5),
     tellsBirth: z.boolean().default(true),
   }),
-  /** Servers in need name a limit of requests a second, another one after half of the time, then none. */
+  /**
+   * Overloaded servers state a limit of requests per second, optionally another one after half of
+   * the time, then none.
+   */
   z.strictObject({
     kind: z.literal('limitServers'),
-    ...span,
+    ...spanFields,
     service: z.string().min(1),
     share,
-    perSecond: notNegative,
-    thenPerSecond: notNegative.optional(),
-    /** Whether they turn down, as not run, what comes beyond it within a second. */
+    perSecond: nonNegative,
+    thenPerSecond: nonNegative.optional(),
+    /** Whether they reject, as not run, requests that exceed the limit within a second. */
     turnsDown: z.boolean().default(false),
   }),
-  /** Servers say in their answers alone that they leave, serve on for a while, and end or begin another life. */
+  /** Servers announce only in their answers that they drain, serve for a while longer, and then end or restart. */
   z.strictObject({
     kind: z.literal('leaveServers'),
-    ...at,
+    ...startFields,
     service: z.string().min(1),
     share,
     endAfterS: positive,
     nextLifeAfterS: positive.optional(),
     tellsBirth: z.boolean().default(true),
   }),
-  /** Servers refuse a share of their requests, as not run, and may ask for rest. */
+  /** Servers refuse a share of their requests, as not run, and may request a pause. */
   z.strictObject({
     kind: z.literal('restServers'),
-    ...span,
+    ...spanFields,
     service: z.string().min(1),
     share,
     refuseShare: share.default(1),
     restS: positive.optional(),
   }),
-  z.strictObject({ kind: z.literal('failRequests'), ...span, share }),
+  z.strictObject({ kind: z.literal('failRequests'), ...spanFields, share }),
   z.strictObject({
     kind: z.literal('burst'),
-    ...span,
+    ...spanFields,
     factor: positive,
     class: z.string().optional(),
   }),
-  z.strictObject({ kind: z.literal('hotWorkspace'), ...span, factor: positive }),
-  /** A configuration with limits of so many times the scene's. */
-  z.strictObject({ kind: z.literal('changeLimits'), ...at, factor: positive }),
-  /** Boxes that were never there before join in each zone. */
-  z.strictObject({ kind: z.literal('addBoxes'), ...at, perZone: count }),
-  z.strictObject({ kind: z.literal('storeAway'), ...span }),
-  /** It goes away and comes back from a copy of so long before it went. */
+  z.strictObject({ kind: z.literal('hotWorkspace'), ...spanFields, factor: positive }),
+  /** The operators write a configuration whose limits are the scene's times the factor. */
+  z.strictObject({ kind: z.literal('changeLimits'), ...startFields, factor: positive }),
+  /** New boxes join in each zone. */
+  z.strictObject({ kind: z.literal('addBoxes'), ...startFields, perZone: count }),
+  z.strictObject({ kind: z.literal('storeAway'), ...spanFields }),
+  /** The store goes down and is restored from a backup of age `ageS`. */
   z.strictObject({
     kind: z.literal('copyStore'),
-    ...at,
-    ageS: notNegative,
-    awayS: notNegative.default(0.5),
-    /** Time in which the operator and the servers write again what was lost; 0 for the moment of its return. */
-    againWithinS: notNegative.default(1.2),
-    /** Versions that others use up within a moment of its return. */
+    ...startFields,
+    ageS: nonNegative,
+    awayS: nonNegative.default(0.5),
+    /**
+     * Time within which the operators and the servers rewrite what was lost; 0 rewrites it at the
+     * moment of the restore.
+     */
+    againWithinS: nonNegative.default(1.2),
+    /** Number of versions that other writers use right after the restore. */
     otherWrites: z.number().int().min(0).default(0),
   }),
-  z.strictObject({ kind: z.literal('callersLeave'), ...span, share }),
+  z.strictObject({ kind: z.literal('callersLeave'), ...spanFields, share }),
   z.strictObject({
     kind: z.literal('rollout'),
-    ...at,
+    ...startFields,
     service: z.string().min(1),
     durationS: positive,
-    /** From the order until the servers of the new version stand. */
-    startS: notNegative.default(4),
-    /** Share of its answers that fail, and how many times slower it works; from some time after the order on. */
+    /** Time from the order until the servers of the new version have started. */
+    startS: nonNegative.default(4),
+    /** Share of failed answers and slowdown factor of the new version, starting `badFromS` after the order. */
     failShare: share.default(0),
     slowFactor: positive.default(1),
-    badFromS: notNegative.default(0),
-    /** Only these are failed: requests of one class, or those that find so many others at their server. */
+    badFromS: nonNegative.default(0),
+    /**
+     * Restricts the fault to requests of one class, or to those that find at least this many open
+     * requests at their server.
+     */
     class: z.string().optional(),
     badFromOpen: z.number().int().min(0).default(0),
   }),
@@ -180,21 +189,21 @@
 
 const sceneSchema = z.strictObject({
   name: z.string().min(1),
-  /** From the first caller to the end, and from the start of the boxes to the first caller. */
+  /** Time from the first caller to the end, and from the start of the boxes to the first caller. */
   lengthS: positive,
-  leadS: notNegative,
+  leadS: nonNegative,
   zones: z.array(z.string().min(1)).min(1),
-  /** Price of an engine-second by zone, in turn. */
+  /** Price of an engine-second in each zone, in the order of `zones`; the list repeats if it is shorter. */
   zonePrices: z.array(positive).min(1),
   boxesPerZone: count,
-  /** Boxes with more processor time in each zone, the first ones. */
+  /** Number of boxes with more processor time in each zone; the first ones have it. */
   largerBoxesPerZone: z.number().int().min(0).default(0),
-  /** From the start of a box's process until it listens. */
+  /** Time from the start of a box's process until it listens. */
   boxStartMs: positive,
   network: z.strictObject({
-    sameZoneMs: notNegative,
-    otherZoneMs: notNegative,
-    callerMs: notNegative,
+    sameZoneMs: nonNegative,
+    otherZoneMs: nonNegative,
+    callerMs: nonNegative,
     datagramLossShare: share.default(0),
   }),
   storeAnswerMs: positive,
@@ -202,30 +211,30 @@
     configurationMs: positive,
     drainMs: positive,
     graceMs: positive,
-    retryRatio: notNegative,
-    retrySlack: notNegative,
+    retryRatio: nonNegative,
+    retrySlack: nonNegative,
     limitWindowMs: positive,
-    limitOverShare: notNegative,
-    limitSlackUnits: notNegative,
-    /** What a bad version may get: a share of the requests of its service, and some on top. */
+    limitOverShare: nonNegative,
+    limitSlackUnits: nonNegative,
+    /** Requests that a bad version may receive: a share of its service's requests plus a constant. */
     exposeShare: share.default(0.1),
-    exposeSlack: notNegative.default(50),
+    exposeSlack: nonNegative.default(50),
     leaseMs: positive,
-    usageWindowMs: notNegative,
-    usageDueMs: notNegative,
+    usageWindowMs: nonNegative,
+    usageDueMs: nonNegative,
   }),
   services: z.array(serviceSchema).min(1),
   callers: z.strictObject({
     perSecond: positive,
-    /** Callers come in clumps of so many on the mean. */
+    /** Mean number of callers that arrive at the same moment. */
     clump: positive.default(1),
-    /** The rate goes up and down by this share. */
+    /** Share by which the rate oscillates. */
     swing: share.default(0),
     swingPeriodS: positive.default(40),
   }),
   workspaces: z.strictObject({
     count,
-    /** A workspace's limit over its usual units. */
+    /** Ratio of a workspace's limit to its usual units. */
     limitOverUsual: positive,
     plainTokens: count.default(200),
   }),
@@ -233,26 +242,26 @@
   faults: z.array(faultSchema).default([]),
 });
 
-/** A scene as its file gives it, with defaults filled in. */
+/** A scene as read from its file, with defaults filled in. */
 export type SceneShape = z.output<typeof sceneSchema>;
 
-/** A fault of a scene's file. */
-export interface SceneFault {
-  /** Line in the file, from 1; 0 where none is known. */
+/** An error in a scene file. */
+export interface SceneFileError {
+  /** Line in the file, from 1; 0 if unknown. */
   line: number;
-  /** Path of the field, by dots. */
+  /** Path of the field, separated by dots. */
   field: string;
   message: string;
 }
 
 /**
- * Reads a scene; tells every fault that is found, not only the first.
+ * Parses and validates a scene; reports every error, not only the first.
  * Fields that the text lacks come from `base`.
  */
 export function validateScene(
   text: string,
   base: Readonly<Record<string, unknown>> = {},
-): { kind: 'scene'; scene: Scene } | { kind: 'faulty'; faults: SceneFault[] } {
+): { kind: 'scene'; scene: Scene } | { kind: 'faulty'; faults: SceneFileError[] } {
   const document = parseLocatedYaml(text);
   if (document.kind === 'faulty') {
     return { kind: 'faulty', faults: document.faults.map((fault) => ({ ...fault, field: '' })) };
@@ -260,27 +269,27 @@
   const { lineOf } = document;
   const own = (document.value ?? {}) as Record<string, unknown>;
   const fields = Object.entries({ ...base, ...own }).filter(([name]) => name !== 'extends');
-  const read = sceneSchema.safeParse(Object.fromEntries(fields));
-  if (!read.success) {
-    const faults = read.error.issues.map(({ path, message }) => {
+  const parsed = sceneSchema.safeParse(Object.fromEntries(fields));
+  if (!parsed.success) {
+    const faults = parsed.error.issues.map(({ path, message }) => {
       return { line: lineOf(path), field: path.map(String).join('.'), message };
     });
     return { kind: 'faulty', faults };
   }
-  const faults = crossFaults(read.data).map(({ path, message }) => {
+  const faults = crossFieldErrors(parsed.data).map(({ path, message }) => {
     return { line: lineOf(path), field: path.map(String).join('.'), message };
   });
-  return faults.length > 0 ? { kind: 'faulty', faults } : { kind: 'scene', scene: read.data };
+  return faults.length > 0 ? { kind: 'faulty', faults } : { kind: 'scene', scene: parsed.data };
 }
 
-interface CrossFault {
+interface CrossFieldError {
   path: (string | number)[];
   message: string;
 }
 
-/** Faults between fields: names that nothing has, and parts that a kind of request needs. */
-function crossFaults(scene: SceneShape): CrossFault[] {
-  const faults: CrossFault[] = [];
+/** Returns errors between fields: unknown names, and fields that a kind of request requires. */
+function crossFieldErrors(scene: SceneShape): CrossFieldError[] {
+  const faults: CrossFieldError[] = [];
   const kinds = new Map(scene.services.map(({ name, kind }) => [name, kind]));
   scene.classes.forEach((spec, index) => {
     const path = ['classes', index];
@@ -289,7 +298,7 @@
     if (kind === undefined) {
       faults.push({
         path: [...path, 'service'],
-        message: `no service ${spec.service}: one of ${known}`,
+        message: `no service ${spec.service}: expected one of ${known}`,
       });
     }
     if (spec.kind === 'stream' && (spec.events === undefined || spec.ownTokens === undefined)) {
--- a/packages/reedlug-simulator/src/servers/batchEngine.ts
+++ b/packages/reedlug-simulator/src/servers/batchEngine.ts
@@ -1,30 +1,30 @@
 /**
- * A model engine that works in steps: each step reads a chunk of the prompts that
- * are not read yet, the most urgent first, and makes a token of every request
- * whose prompt is read. What runs beside a long prompt waits for its chunks.
+ * A model engine with chunked prefill: each step processes a chunk of the pending
+ * prompts, the most urgent first, and generates a token for every request whose
+ * prompt is complete. A long prompt slows down the requests that run alongside it.
  */
 import type { PromptPart } from 'reedlug-gateway';
-import type { EngineFigures } from '../scene/scene.js';
+import type { EngineParameters } from '../scene/scene.js';
 import {
   createPromptCache,
-  keepParts,
-  keptTokens,
-  makeRoom,
+  cacheParts,
+  cachedPrefixTokens,
+  evictParts,
   type PromptCache,
 } from './promptCache.js';
 
-/** A request as an engine gets it. */
+/** A request as an engine receives it. */
 export interface EngineRun {
   runId: number;
   urgency: number;
   parts: readonly PromptPart[];
-  /** Events that the caller has already. */
+  /** Number of events that the caller has already received. */
   fromEvent: number;
-  /** Events of the whole answer. */
+  /** Number of events in the whole answer. */
   events: number;
-  /** What comes of it. */
+  /** Called for each event of the answer. */
   onEvent: (event: number, isLast: boolean) => void;
-  /** The engine was full, or leaves: it has not run. */
+  /** Called when the engine's queue is full; the request has not run. */
   onRejected: () => void;
 }
 
@@ -32,17 +32,17 @@
   run: EngineRun;
   order: number;
   promptTokens: number;
-  /** Prompt tokens still to be read, once it is admitted. */
-  readLeft: number;
-  /** Tokens made, those of events that the caller has included. */
-  made: number;
+  /** Prompt tokens that prefill still has to process; set on admission. */
+  prefillLeft: number;
+  /** Generated tokens, including those of events that the caller already has. */
+  generatedTokens: number;
   notBeforeMs: number;
 }
 
-/** One engine's work. */
+/** State of one engine. */
 export interface BatchEngine {
-  figures: EngineFigures;
-  /** How many times longer its steps take than the figures say. */
+  parameters: EngineParameters;
+  /** Factor on the duration of its steps. */
   slowFactor: number;
   waiting: LiveRun[];
   running: LiveRun[];
@@ -50,15 +50,15 @@
   /** End of the step in progress; undefined while idle. */
   stepEndsAtMs: number | undefined;
   nextOrder: number;
-  /** Prompt tokens read, and those of shared parts among them. */
+  /** Prompt tokens processed, and those of shared parts among them. */
   readTokens: number;
   readSharedTokens: number;
 }
 
 /** Returns an idle engine. */
-export function createBatchEngine(figures: EngineFigures): BatchEngine {
+export function createBatchEngine(parameters: EngineParameters): BatchEngine {
   return {
-    figures,
+    parameters,
     slowFactor: 1,
     waiting: [],
     running: [],
@@ -70,23 +70,26 @@
   };
 }
 
-/** Sets how many times longer its steps take from now on. */
-export function slowDown(engine: BatchEngine, factor: number): void {
+/** Sets the factor on the duration of the following steps. */
+export function setSlowFactor(engine: BatchEngine, factor: number): void {
   engine.slowFactor = factor;
 }
 
-/** Takes a request; the engine's next step may have to be scheduled after it. */
+/**
+ * Accepts a request, or rejects it when the queue is full. An idle engine starts a step, which the
+ * caller has to schedule.
+ */
 export function submitRun(engine: BatchEngine, run: EngineRun, nowMs: number): void {
-  if (engine.waiting.length >= engine.figures.queue) return run.onRejected();
+  if (engine.waiting.length >= engine.parameters.queue) return run.onRejected();
   const promptTokens = run.parts.reduce((sum, { tokens }) => sum + tokens, 0);
-  const made = run.fromEvent * engine.figures.tokensPerEvent;
+  const generatedTokens = run.fromEvent * engine.parameters.tokensPerEvent;
   const live: LiveRun = {
     run,
     order: engine.nextOrder,
     promptTokens,
-    readLeft: 0,
-    made,
-    notBeforeMs: nowMs + engine.figures.firstMs,
+    prefillLeft: 0,
+    generatedTokens,
+    notBeforeMs: nowMs + engine.parameters.firstMs,
   };
   engine.nextOrder += 1;
   insertByUrgency(engine.waiting, live);
@@ -103,7 +106,7 @@
   return a.run.urgency !== b.run.urgency ? a.run.urgency < b.run.urgency : a.order < b.order;
 }
 
-/** Stops a request; false when it is not here. */
+/** Stops a request; returns false if the engine does not have it. */
 export function stopRun(engine: BatchEngine, runId: number): boolean {
   for (const runs of [engine.waiting, engine.running]) {
     const index = runs.findIndex(({ run }) => run.runId === runId);
@@ -114,83 +117,85 @@
   return false;
 }
 
-/** Ends the step that is due and starts the next one. */
+/** Finishes the step that is due and starts the next one. */
 export function finishStep(engine: BatchEngine, nowMs: number): void {
-  const ready = engine.running.filter((live) => live.readLeft === 0 && live.notBeforeMs <= nowMs);
+  const ready = engine.running.filter(
+    (live) => live.prefillLeft === 0 && live.notBeforeMs <= nowMs,
+  );
   for (const live of ready) makeToken(engine, live);
   startStep(engine, nowMs);
 }
 
 function makeToken(engine: BatchEngine, live: LiveRun): void {
-  const { tokensPerEvent } = engine.figures;
-  live.made += 1;
-  if (live.made % tokensPerEvent !== 0) return;
-  const event = live.made / tokensPerEvent;
+  const { tokensPerEvent } = engine.parameters;
+  live.generatedTokens += 1;
+  if (live.generatedTokens % tokensPerEvent !== 0) return;
+  const event = live.generatedTokens / tokensPerEvent;
   const isLast = event >= live.run.events;
   if (isLast) stopRun(engine, live.run.runId);
   live.run.onEvent(event, isLast);
 }
 
-/** Admits what fits, reads a chunk and sets the end of the step. */
+/** Admits the requests that fit, processes a chunk and sets the end of the step. */
 function startStep(engine: BatchEngine, nowMs: number): void {
   admit(engine);
   if (engine.running.length === 0) {
     engine.stepEndsAtMs = undefined;
     return;
   }
-  engine.stepEndsAtMs = nowMs + stepMs(engine);
+  engine.stepEndsAtMs = nowMs + prefillChunk(engine);
 }
 
 function admit(engine: BatchEngine): void {
-  const { slots, kvTokens } = engine.figures;
+  const { slots, kvTokens } = engine.parameters;
   while (engine.running.length < slots) {
     const next = engine.waiting[0];
     if (next === undefined) return;
-    const needed = next.promptTokens + next.made;
+    const needed = next.promptTokens + next.generatedTokens;
     if (engine.running.length > 0 && usedTokens(engine) + needed > kvTokens) return;
     engine.waiting.shift();
-    const kept = keptTokens(engine.cache, next.run.parts.slice(0, -1));
-    next.readLeft = Math.max(1, needed - kept);
+    const cached = cachedPrefixTokens(engine.cache, next.run.parts.slice(0, -1));
+    next.prefillLeft = Math.max(1, needed - cached);
     const shared = next.promptTokens - (next.run.parts.at(-1)?.tokens ?? 0);
-    engine.readSharedTokens += Math.max(0, shared - kept);
+    engine.readSharedTokens += Math.max(0, shared - cached);
     insertByUrgency(engine.running, next);
-    makeRoom(engine.cache, Math.max(0, kvTokens - usedTokens(engine)));
+    evictParts(engine.cache, Math.max(0, kvTokens - usedTokens(engine)));
   }
 }
 
-/** Memory of the requests that run, without the parts that others share. */
+/** Returns the KV tokens of the running requests, without the prompt parts that others share. */
 function usedTokens(engine: BatchEngine): number {
   return engine.running.reduce(
-    (sum, { run, made }) => sum + (run.parts.at(-1)?.tokens ?? 0) + made,
+    (sum, { run, generatedTokens }) => sum + (run.parts.at(-1)?.tokens ?? 0) + generatedTokens,
     0,
   );
 }
 
-/** Reads a chunk, the most urgent prompts first; gives the time that the step takes. */
-function stepMs(engine: BatchEngine): number {
-  const { figures, running } = engine;
-  let left = figures.chunkTokens;
+/** Processes a chunk of the prompts, the most urgent first; returns the duration of the step in ms. */
+function prefillChunk(engine: BatchEngine): number {
+  const { parameters, running } = engine;
+  let left = parameters.chunkTokens;
   let pairs = 0;
   for (const live of running) {
     if (left === 0) break;
-    if (live.readLeft === 0) continue;
-    const tokens = Math.min(left, live.readLeft);
-    pairs += tokens * (live.promptTokens - live.readLeft + tokens / 2);
-    live.readLeft -= tokens;
+    if (live.prefillLeft === 0) continue;
+    const tokens = Math.min(left, live.prefillLeft);
+    pairs += tokens * (live.promptTokens - live.prefillLeft + tokens / 2);
+    live.prefillLeft -= tokens;
     left -= tokens;
-    if (live.readLeft === 0) keepRead(engine, live);
+    if (live.prefillLeft === 0) cachePrompt(engine, live);
   }
-  const tokens = figures.chunkTokens - left;
+  const tokens = parameters.chunkTokens - left;
   engine.readTokens += tokens;
   const usualMs =
-    figures.stepMs +
-    figures.stepMsPerRun * running.length +
-    tokens / figures.readTokensPerMs +
-    (Math.max(0, pairs) / 1e6) * figures.readMsPerMillionPairs;
+    parameters.stepMs +
+    parameters.stepMsPerRun * running.length +
+    tokens / parameters.readTokensPerMs +
+    (Math.max(0, pairs) / 1e6) * parameters.readMsPerMillionPairs;
   return usualMs * engine.slowFactor;
 }
 
-function keepRead(engine: BatchEngine, live: LiveRun): void {
-  const room = Math.max(0, engine.figures.kvTokens - usedTokens(engine));
-  keepParts(engine.cache, live.run.parts.slice(0, -1), room);
+function cachePrompt(engine: BatchEngine, live: LiveRun): void {
+  const spareTokens = Math.max(0, engine.parameters.kvTokens - usedTokens(engine));
+  cacheParts(engine.cache, live.run.parts.slice(0, -1), spareTokens);
 }
--- a/packages/reedlug-simulator/src/servers/promptCache.ts
+++ b/packages/reedlug-simulator/src/servers/promptCache.ts
@@ -1,9 +1,9 @@
-/** Prompt parts that an engine keeps, the least recently used giving way first. */
+/** Cache of an engine's prompt parts with least-recently-used eviction. */
 import type { PromptPart } from 'reedlug-gateway';
 
-/** The parts of one engine. */
+/** The cached parts of one engine. */
 export interface PromptCache {
-  /** Tokens by part, the least recently used first. */
+  /** Number of tokens by part, the least recently used part first. */
   parts: Map<string, number>;
   tokens: number;
 }
@@ -13,21 +13,21 @@
   return { parts: new Map(), tokens: 0 };
 }
 
-/** Tokens of a prompt that need not be read: parts count only if all before them are kept too. */
-export function keptTokens(cache: PromptCache, parts: readonly PromptPart[]): number {
-  let kept = 0;
+/** Returns the prompt tokens that need no prefill: a part counts only if all parts before it are cached too. */
+export function cachedPrefixTokens(cache: PromptCache, parts: readonly PromptPart[]): number {
+  let cached = 0;
   for (const { id, tokens } of parts) {
     if (!cache.parts.has(id)) break;
-    kept += tokens;
+    cached += tokens;
   }
-  return kept;
+  return cached;
 }
 
-/** Keeps a prompt's parts, and lets the oldest go until the room suffices. */
-export function keepParts(
+/** Caches a prompt's parts, and evicts the least recently used parts beyond the capacity. */
+export function cacheParts(
   cache: PromptCache,
   parts: readonly PromptPart[],
-  roomTokens: number,
+  capacityTokens: number,
 ): void {
   for (const { id, tokens } of parts) {
     cache.tokens -= cache.parts.get(id) ?? 0;
@@ -35,13 +35,13 @@
     cache.parts.set(id, tokens);
     cache.tokens += tokens;
   }
-  makeRoom(cache, roomTokens);
+  evictParts(cache, capacityTokens);
 }
 
-/** Lets the oldest parts go until no more than so many tokens are kept. */
-export function makeRoom(cache: PromptCache, roomTokens: number): void {
+/** Evicts the least recently used parts until the cached tokens fit the capacity. */
+export function evictParts(cache: PromptCache, capacityTokens: number): void {
   for (const [id, tokens] of cache.parts) {
-    if (cache.tokens <= roomTokens) return;
+    if (cache.tokens <= capacityTokens) return;
     cache.parts.delete(id);
     cache.tokens -= tokens;
   }
--- a/packages/reedlug-simulator/src/servers/virtualServers.ts
+++ b/packages/reedlug-simulator/src/servers/virtualServers.ts
@@ -1,8 +1,8 @@
 /**
- * The servers of a world: engines and plain ones, their entries in the registry,
- * orders of engines, and what becomes of requests when a server goes.
+ * The servers of a world: engines and plain servers, their registry entries, orders
+ * of engines, and the loss of requests when a server ends.
  */
-import { noteDutyCall } from '../report/dutyRecord.js';
+import { recordDutyCall } from '../report/dutyRecord.js';
 import {
   RolloutPhase,
   ServerState,
@@ -10,24 +10,24 @@
   type CloudOutcome,
   type ServerEntry,
 } from 'reedlug-gateway';
-import { noteEngineTime, noteRead } from '../report/sceneRecord.js';
-import { areCut, later, nowMs, takeNumber, type World } from '../world.js';
+import { recordEngineTime, recordPrefill } from '../report/sceneRecord.js';
+import { arePartitioned, later, nowMs, nextNumber, type World } from '../world.js';
 import type { EngineService, PlainService, SceneService } from '../scene/scene.js';
 import { createBatchEngine, finishStep, submitRun, type BatchEngine } from './batchEngine.js';
 import { createPlainServer, type PlainServer } from './plainServer.js';
 
-/** Pause between looks whether a leaving server is idle, in ms. */
-const IDLE_CHECK_MS = 200;
-/** Heartbeats without which an entry of the registry goes. */
-const LAPSE_HEARTBEATS = 3;
-/** Pause between heartbeats of a plain server, in ms. */
+/** Interval between checks whether a draining server is idle, in ms. */
+const IDLE_POLL_INTERVAL_MS = 200;
+/** Number of missed heartbeats after which a registry entry expires. */
+const EXPIRY_HEARTBEATS = 3;
+/** Heartbeat interval of a plain server, in ms. */
 const PLAIN_HEARTBEAT_MS = 1200;
-/** Version of the servers that stand at the start. */
+/** Version of the servers at the start. */
 const FIRST_VERSION = 'v1';
-/** Port of every server; addresses differ by their host. */
+/** Port of every server; only the hosts of addresses differ. */
 const SERVER_PORT = 8509;
 
-/** What a server works with. */
+/** The simulated engine or plain server behind an entry. */
 export type ServerWork =
   { kind: 'engine'; engine: BatchEngine } | { kind: 'plain'; server: PlainServer };
 
@@ -36,19 +36,19 @@
   entry: ServerEntry;
   work: ServerWork;
   startedAtMs: number;
-  /** Says nothing and takes nothing any more. */
+  /** Whether the server has stopped responding and accepting connections. */
   isSilent: boolean;
-  /** The limit that its answers name, and whether it turns down what comes beyond it. */
+  /** The limit that its answers state, and whether it rejects requests beyond it. */
   limit: { perSecond: number; turnsDown: boolean } | undefined;
-  /** Says in its answers that it leaves. */
-  isLeaving: boolean;
-  /** The share of requests that it refuses, and the rest that it asks for as it does, if any. */
-  refusing: { share: number; restMs: number | undefined } | undefined;
-  /** Told when it ends while requests are open, by run. */
+  /** Whether it announces in its answers that it drains. */
+  isDraining: boolean;
+  /** The share of requests that it refuses, and the pause that its refusals request, if any. */
+  refusing: { share: number; pauseMs: number | undefined } | undefined;
+  /** Handlers by run id, called for the open requests when the server ends. */
   openRuns: Map<number, () => void>;
 }
 
-/** Starts the servers that stand at the beginning. */
+/** Starts the servers that a scene begins with. */
 export function startServers(world: World): void {
   for (const service of world.scene.services) {
     for (const zone of world.scene.zones) {
@@ -60,7 +60,7 @@
   }
 }
 
-/** What a server of a service begins with. */
+/** Returns an idle engine or plain server of a service. */
 function createWork(world: World, service: SceneService): ServerWork {
   if (service.kind === 'engines') {
     return { kind: 'engine', engine: createBatchEngine(service.engine) };
@@ -89,20 +89,20 @@
   addServer(world, { service: name, zone, slots, reclaimable, work, version });
 }
 
-/** Starts servers of another version, one beside each that stands. */
-export function startBeside(world: World, service: string, version: string): void {
+/** Starts one server of another version for each existing server of a service, in the same zone. */
+export function startAlongside(world: World, service: string, version: string): void {
   const spec = world.scene.services.find(({ name }) => name === service);
-  const standing = [...world.servers.values()].filter(
-    (server) => server.entry.service === service && takesWork(server),
+  const existing = [...world.servers.values()].filter(
+    (server) => server.entry.service === service && acceptsNewWork(server),
   );
-  for (const { entry } of standing) {
+  for (const { entry } of existing) {
     if (spec?.kind === 'plain') startPlain(world, spec, entry.zone, version);
     if (spec?.kind === 'engines') startEngine(world, spec, entry.zone, entry.reclaimable, version);
   }
 }
 
-/** The version that servers have when nothing else is said. */
-function versionInService(world: World, service: string): string {
+/** Returns the default version of a service's servers: that of the last completed roll-out. */
+function currentVersion(world: World, service: string): string {
   const done = world.rollouts.filter(
     ({ spec, end }) => spec.service === service && end === RolloutPhase.completed,
   );
@@ -121,8 +121,8 @@
   },
 ): void {
   const { service, zone, slots, reclaimable, work } = params;
-  const { version = versionInService(world, service) } = params;
-  const number = takeNumber(world, 'servers');
+  const { version = currentVersion(world, service) } = params;
+  const number = nextNumber(world, 'servers');
   const entry: ServerEntry = {
     id: `server-${number}`,
     service,
@@ -138,8 +138,8 @@
   const server = createServer(world, entry, work);
   world.servers.set(entry.id, server);
   const spec = world.scene.services.find(({ name }) => name === service);
-  const isFirst = nowMs(world) === 0;
-  const spreadMs = spec?.kind === 'engines' ? spec[isFirst ? 'entrySpreadMs' : 'heartbeatMs'] : 0;
+  const isInitial = nowMs(world) === 0;
+  const spreadMs = spec?.kind === 'engines' ? spec[isInitial ? 'entrySpreadMs' : 'heartbeatMs'] : 0;
   later(world, world.random.unit() * spreadMs, () => {
     if (world.servers.has(entry.id)) world.store.putServer(server.entry);
   });
@@ -152,7 +152,7 @@
     startedAtMs: nowMs(world),
     isSilent: false,
     limit: undefined,
-    isLeaving: false,
+    isDraining: false,
     refusing: undefined,
     openRuns: new Map(),
   };
@@ -163,7 +163,10 @@
   return service?.kind === 'engines' ? service.heartbeatMs : PLAIN_HEARTBEAT_MS;
 }
 
-/** Engines of one kind in a zone that do not leave; those under roll-out are no part of what is ordered. */
+/**
+ * Returns the engines of one kind in a zone that are not draining, without those of a roll-out in
+ * progress, which orders do not count.
+ */
 function enginesOf(
   world: World,
   params: { service: string; zone: string; reclaimable: boolean },
@@ -173,17 +176,20 @@
       server.entry.service === params.service &&
       server.entry.zone === params.zone &&
       server.entry.reclaimable === params.reclaimable &&
-      server.entry.version === versionInService(world, params.service) &&
-      takesWork(server),
+      server.entry.version === currentVersion(world, params.service) &&
+      acceptsNewWork(server),
   );
 }
 
-/** Whether a server takes new work, as the platform knows it: its entry may say so late. */
-export function takesWork({ entry, isLeaving }: VirtualServer): boolean {
-  return entry.state === ServerState.ready && !isLeaving;
+/** Whether a server accepts new requests, as the platform knows; its registry entry may show it later. */
+export function acceptsNewWork({ entry, isDraining }: VirtualServer): boolean {
+  return entry.state === ServerState.ready && !isDraining;
 }
 
-/** Engines of one kind in a zone that were ordered and have not come yet. */
+/**
+ * Returns the number of ordered engines of one kind in a zone that are still booting, in an object
+ * that callers update.
+ */
 function bootingOf(
   world: World,
   { service, zone, reclaimable }: { service: string; zone: string; reclaimable: boolean },
@@ -194,43 +200,43 @@
   return known;
 }
 
-/** Carries out an order of engines or takes a report. */
-export function takeCloudCall(
+/** Executes an order of engines or accepts a usage report. */
+export function handleCloudCall(
   world: World,
-  made: { call: CloudCall; holder: string; fence: number },
+  request: { call: CloudCall; holder: string; fence: number },
 ): CloudOutcome {
-  const { call } = made;
-  if (noteDutyCall(world, made) === 'fenced') return 'fenced';
+  const { call } = request;
+  if (recordDutyCall(world, request) === 'fenced') return 'fenced';
   if (call.kind === 'reportUsage') return 'done';
   const service = world.scene.services.find(({ name }) => name === call.service);
   if (service?.kind !== 'engines') return 'refused';
   world.record.orders += 1;
   const ordered = bootingOf(world, call);
-  const there = enginesOf(world, call);
-  const missing = call.wanted - there.length - ordered.booting;
+  const existing = enginesOf(world, call);
+  const missing = call.wanted - existing.length - ordered.booting;
   if (missing <= 0) {
-    // The ones that came last go first.
-    for (const server of there.slice(call.wanted)) drainServer(world, server, 0);
+    // The engines that started last drain first.
+    for (const server of existing.slice(call.wanted)) drainServer(world, server, 0);
     return 'done';
   }
-  if (call.reclaimable && nowMs(world) < world.dryUntilMs) return 'refused';
+  if (call.reclaimable && nowMs(world) < world.outOfCapacityUntilMs) return 'refused';
   ordered.booting += missing;
   for (let index = 0; index < missing; index += 1) {
     const orderedAtMs = nowMs(world);
     later(world, service.bootMs, () => {
       ordered.booting -= 1;
-      noteEngineTime(world, call, nowMs(world) - orderedAtMs);
+      recordEngineTime(world, call, nowMs(world) - orderedAtMs);
       startEngine(world, service, call.zone, call.reclaimable);
     });
   }
   return 'done';
 }
 
-/** Says that a server leaves; it ends after the notice, or as soon as it is idle when there is none. */
+/** Announces that a server drains. It ends after the notice; without a notice, when it is idle after the drain time. */
 export function drainServer(world: World, server: VirtualServer, noticeMs: number): void {
   const leavesInMs = noticeMs > 0 ? noticeMs : undefined;
   server.entry = { ...server.entry, state: ServerState.leaving, leavesInMs };
-  server.isLeaving = true;
+  server.isDraining = true;
   world.store.putServer(server.entry);
   const { drainMs } = world.scene.bounds;
   const endsAtMs = nowMs(world) + (noticeMs > 0 ? noticeMs : drainMs);
@@ -239,35 +245,38 @@
 
 function endWhenIdle(world: World, server: VirtualServer, isForced: boolean): void {
   if (isForced || server.openRuns.size === 0) return endServer(world, server);
-  later(world, IDLE_CHECK_MS, () => endWhenIdle(world, server, false));
+  later(world, IDLE_POLL_INTERVAL_MS, () => endWhenIdle(world, server, false));
 }
 
-/** Ends a server; the boxes whose requests are open there see their connections reset. */
+/** Ends a server; boxes with open requests there get a connection reset. */
 export function endServer(world: World, server: VirtualServer): void {
   if (!world.servers.delete(server.entry.id)) return;
-  noteLife(world, server);
+  recordIncarnation(world, server);
   world.store.removeServer(server.entry.id);
-  for (const lose of [...server.openRuns.values()]) lose();
+  for (const loseRun of [...server.openRuns.values()]) loseRun();
   server.openRuns.clear();
 }
 
-/** A server ends without a word and starts again under its id; its entry stays unless three heartbeats pass. */
+/**
+ * Ends a server without notice and restarts it under its id; its entry stays unless it expires
+ * after three heartbeats.
+ */
 export function restartServer(
   world: World,
   server: VirtualServer,
   downMs: number,
-  tellsBirth: boolean,
+  reportsStartTime: boolean,
 ): void {
   const { entry } = server;
   const service = world.scene.services.find(({ name }) => name === entry.service);
   if (service === undefined || !world.servers.delete(entry.id)) return;
-  noteLife(world, server);
-  for (const lose of [...server.openRuns.values()]) lose();
+  recordIncarnation(world, server);
+  for (const loseRun of [...server.openRuns.values()]) loseRun();
   server.openRuns.clear();
-  const lapsesInMs = LAPSE_HEARTBEATS * heartbeatOf(world, entry.service);
-  if (downMs > lapsesInMs) later(world, lapsesInMs, () => world.store.removeServer(entry.id));
+  const expiresInMs = EXPIRY_HEARTBEATS * heartbeatOf(world, entry.service);
+  if (downMs > expiresInMs) later(world, expiresInMs, () => world.store.removeServer(entry.id));
   later(world, downMs, () => {
-    const bornAtMs = tellsBirth ? Math.round(nowMs(world)) : undefined;
+    const bornAtMs = reportsStartTime ? Math.round(nowMs(world)) : undefined;
     const work = createWork(world, service);
     const next = { ...entry, state: ServerState.ready, leavesInMs: undefined, bornAtMs };
     world.servers.set(entry.id, createServer(world, next, work));
@@ -275,35 +284,35 @@
   });
 }
 
-/** A server goes without a word: its entry lapses after three heartbeats, and connections to it hang. */
+/** Makes a server unresponsive without notice: its entry expires after three heartbeats, and connections to it hang. */
 export function silenceServer(world: World, server: VirtualServer): void {
   server.isSilent = true;
-  const lapsesInMs = LAPSE_HEARTBEATS * heartbeatOf(world, server.entry.service);
-  later(world, lapsesInMs, () => {
+  const expiresInMs = EXPIRY_HEARTBEATS * heartbeatOf(world, server.entry.service);
+  later(world, expiresInMs, () => {
     if (!world.servers.delete(server.entry.id)) return;
-    noteLife(world, server);
+    recordIncarnation(world, server);
     world.store.removeServer(server.entry.id);
   });
 }
 
-/** Notes what the engines that still stand have cost. */
-export function noteStanding(world: World): void {
-  for (const server of world.servers.values()) noteLife(world, server);
+/** Records the cost of the engines that are still running. */
+export function recordRunningServers(world: World): void {
+  for (const server of world.servers.values()) recordIncarnation(world, server);
 }
 
-function noteLife(world: World, { entry, work, startedAtMs }: VirtualServer): void {
+function recordIncarnation(world: World, { entry, work, startedAtMs }: VirtualServer): void {
   if (work.kind !== 'engine') return;
   const { service, zone, reclaimable } = entry;
-  noteEngineTime(world, { service, zone, reclaimable }, nowMs(world) - startedAtMs);
-  noteRead(world, work.engine);
+  recordEngineTime(world, { service, zone, reclaimable }, nowMs(world) - startedAtMs);
+  recordPrefill(world, work.engine);
 }
 
-/** Whether a box in a zone gets through to a server. */
-export function reaches(world: World, zone: string, server: VirtualServer): boolean {
-  return !server.isSilent && !areCut(world, zone, server.entry.zone);
+/** Whether a server is reachable for boxes in a zone. */
+export function isReachableFrom(world: World, zone: string, server: VirtualServer): boolean {
+  return !server.isSilent && !arePartitioned(world, zone, server.entry.zone);
 }
 
-/** Hands a request to an engine and lets the engine work. */
+/** Submits a request to an engine, and schedules the engine's steps if it was idle. */
 export function submitToEngine(
   world: World,
   engine: BatchEngine,
--- a/packages/reedlug-simulator/src/store/virtualStore.ts
+++ b/packages/reedlug-simulator/src/store/virtualStore.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's store under virtual time: collections that are followed by long
- * polls, a table, and a count of the calls by what they are for.
+ * The platform's store in virtual time: collections that boxes follow by long
+ * polls, a table, and the number of calls by purpose.
  */
 import {
   ANNOUNCE_TIMEOUT_MS,
@@ -28,26 +28,26 @@
   type TableOp,
 } from 'reedlug-coordination';
 import { applyTableOp, createTableModel } from 'reedlug-standins';
-import { areCut, later, nowMs, type World } from '../world.js';
+import { arePartitioned, later, nowMs, type World } from '../world.js';
 import {
   changesOf,
   createCollection,
   setOrDelete,
-  wake,
-  wholeOf,
+  wakeWaiting,
+  fullPageOf,
   type Collection,
-  type StoreMoment,
+  type StorePosition,
 } from './storeCollection.js';
 import { createStoreHistory, StoreWriter, type StoreChange } from './storeHistory.js';
 
-/** Zone in which the store is reached; no box is in it. */
+/** Zone of the store; it contains no boxes. */
 const STORE_ZONE = '(store)';
-/** The era of a store that never came back from a copy. */
+/** Era of a store that has never been restored from a backup. */
 const FIRST_ERA = 1;
-/** Rows of one answer at most, as the users' store gives them. */
-const ROWS_OF_A_PAGE = 500;
+/** Maximum number of rows per answer, as in the platform's store. */
+const MAX_ROWS_PER_PAGE = 500;
 
-/** What calls are for. */
+/** Purpose of a call. */
 export const StoreCall = {
   operators: 'operators',
   servers: 'servers',
@@ -59,12 +59,12 @@
 } as const;
 export type StoreCall = (typeof StoreCall)[keyof typeof StoreCall];
 
-/** How the store fails its callers: it says nothing, or refuses each call and all that wait. */
+/** How the store fails: it answers nothing, or refuses each call, including those that wait. */
 export const StoreOutage = { silent: 'silent', refusing: 'refusing' } as const;
 export type StoreOutage = (typeof StoreOutage)[keyof typeof StoreOutage];
 
-/** A change of one item. */
-interface Put<T> {
+/** A write or removal of one item. */
+interface ItemWrite<T> {
   key: string;
   itemOf: (revision: number) => T;
   writer: StoreWriter;
@@ -72,7 +72,7 @@
   redo?: () => void;
 }
 
-/** A box's process that calls. */
+/** The box's process that makes a call. */
 interface StoreCaller extends StoreListener {
   zone: string;
   isAlive: () => boolean;
@@ -81,28 +81,31 @@
 /** The store of a world. */
 export interface VirtualStore {
   outage: StoreOutage | undefined;
-  /** Begins or ends an outage. */
+  /** Starts an outage, or ends it with undefined. */
   setOutage: (outage: StoreOutage | undefined) => void;
-  /** When it last did not answer, or came back; before the start of the clock if never. */
-  lastAwayAtMs: number;
-  /** How often it has come back from a copy. */
+  /** World time at which an outage last started or ended; negative infinity if there was none. */
+  lastOutageChangeAtMs: number;
+  /** Number of restores from a backup. */
   copies: number;
-  /** Comes back as it was at a time; versions since then are given out again. Gives what is lost, the newest first. */
-  comeBackAsOf: (atMs: number) => StoreChange[];
-  /** Writes of others: versions rise, nothing else changes. */
+  /** Restores the state of a time; later versions are assigned again. Returns the lost changes, newest first. */
+  restoreTo: (atMs: number) => StoreChange[];
+  /** Advances the version counter, as writes of others do; nothing else changes. */
   skipVersions: (count: number) => void;
   calls: Map<StoreCall, number>;
   putConfiguration: (configuration: Configuration) => void;
   orderRollout: (order: Omit<RolloutOrder, 'revision'>) => void;
-  /** The record of a service's roll-out; undefined while there is none. */
+  /** Returns the record of a service's roll-out; undefined while there is none. */
   rolloutRecord: (service: string) => RolloutRecord | undefined;
   putServer: (entry: ServerEntry) => void;
   removeServer: (id: string) => void;
-  /** The store as a box in a zone has it; `isAlive` ends its calls with the box, `onEra` hears of each answer's era. */
+  /**
+   * Returns the store's client for a box in a zone. Calls end when `isAlive` returns false; `onEra`
+   * receives the era of each answer.
+   */
   openFor: (zone: string, caller: { isAlive: () => boolean } & StoreListener) => PlatformStore;
 }
 
-/** Returns an empty store. `worldOf` gives the world once it is put together. */
+/** Returns an empty store. `worldOf` returns the world, which is created after the store. */
 export function createVirtualStore(worldOf: () => World): VirtualStore {
   let version = 0;
   const operators = createCollection<OperatorEntry>();
@@ -116,26 +119,26 @@
   const calls = new Map<StoreCall, number>();
   const history = createStoreHistory();
 
-  /** Notes what stands before a change, so that it can be taken back. */
-  const noteChange = (
+  /** Records the state before a change, so that a restore can revert it. */
+  const recordChange = (
     change: Pick<StoreChange, 'writer' | 'key' | 'redo'>,
-    restore: () => void,
+    revert: () => void,
   ): void => {
     const versionBefore = version;
     const undo = (): void => {
-      restore();
+      revert();
       version = versionBefore;
     };
-    history.note({ ...change, atMs: nowMs(worldOf()), undo });
+    history.recordChange({ ...change, atMs: nowMs(worldOf()), undo });
   };
-  /** Puts an item, or removes it where `isRemoval` says so. */
+  /** Writes an item, or removes it if `isRemoval` is set. */
   const put = <T>(
     collection: Collection<T>,
-    { key, itemOf, writer, isRemoval = false, redo }: Put<T>,
+    { key, itemOf, writer, isRemoval = false, redo }: ItemWrite<T>,
   ): void => {
     const { items, removed, newestVersion } = collection;
     const [itemBefore, removedBefore] = [items.get(key), removed.get(key)];
-    noteChange({ writer, key, redo }, () => {
+    recordChange({ writer, key, redo }, () => {
       setOrDelete(items, key, itemBefore);
       setOrDelete(removed, key, removedBefore);
       collection.newestVersion = newestVersion;
@@ -144,13 +147,13 @@
     setOrDelete(items, key, isRemoval ? undefined : row);
     setOrDelete(removed, key, isRemoval ? row : undefined);
     collection.newestVersion = row.version;
-    wake(collection);
+    wakeWaiting(collection);
   };
   const changeTable = (given: Extract<TableOp, { kind: 'transact' }>): TableAnswer => {
     const op = withStoreVersions(given);
     const before = op.writes.map(({ key }) => ({ key, row: table.rows.get(key) }));
     const key = op.writes[0]?.key ?? '';
-    noteChange({ writer: StoreWriter.box, key, redo: undefined }, () => {
+    recordChange({ writer: StoreWriter.box, key, redo: undefined }, () => {
       for (const { key, row } of before) setOrDelete(table.rows, key, row);
       table.sortedIsStale = true;
     });
@@ -160,13 +163,13 @@
     calls.set(call, (calls.get(call) ?? 0) + times);
   };
 
-  const isSilentTo = (zone: string): boolean =>
-    store.outage === StoreOutage.silent || areCut(worldOf(), zone, STORE_ZONE);
+  const isUnreachableFrom = (zone: string): boolean =>
+    store.outage === StoreOutage.silent || arePartitioned(worldOf(), zone, STORE_ZONE);
 
-  const eraOfStore = (): number => FIRST_ERA + store.copies;
-  const storeNow = (): StoreMoment => ({ era: eraOfStore(), version });
+  const currentEra = (): number => FIRST_ERA + store.copies;
+  const currentPosition = (): StorePosition => ({ era: currentEra(), version });
 
-  /** Answers a call after the store's time, or never within its limit. */
+  /** Answers a call after the store's latency, or with `silent` after the timeout if the store is unreachable. */
   const answer = <R>(
     caller: StoreCaller,
     timeoutMs: number,
@@ -177,11 +180,11 @@
     return new Promise((resolve) => {
       const settle = (value: R): void => {
         if (!caller.isAlive()) return;
-        if (!isSilentTo(caller.zone)) caller.onEra(eraOfStore());
-        world.hasSettled = true;
+        if (!isUnreachableFrom(caller.zone)) caller.onEra(currentEra());
+        world.hasResolvedPromise = true;
         resolve(value);
       };
-      if (isSilentTo(caller.zone)) return later(world, timeoutMs, () => settle(silent));
+      if (isUnreachableFrom(caller.zone)) return later(world, timeoutMs, () => settle(silent));
       later(world, world.scene.storeAnswerMs, () =>
         settle(store.outage === undefined ? make() : silent),
       );
@@ -196,11 +199,11 @@
     const unavailable: FeedAnswer<T> = { kind: 'unavailable', reason: 'silent' };
     return {
       readAll(timeoutMs) {
-        count(call, Math.max(1, Math.ceil(collection.items.size / ROWS_OF_A_PAGE)));
+        count(call, Math.max(1, Math.ceil(collection.items.size / MAX_ROWS_PER_PAGE)));
         return answer(
           caller,
           timeoutMs,
-          () => wholeOf(worldOf(), collection, storeNow()),
+          () => fullPageOf(worldOf(), collection, currentPosition()),
           unavailable,
         );
       },
@@ -212,16 +215,16 @@
           let isDone = false;
           const finish = (): void => {
             if (isDone) return;
-            if (isSilentTo(caller.zone)) return;
+            if (isUnreachableFrom(caller.zone)) return;
             isDone = true;
             collection.waiting.delete(check);
             later(world, world.scene.storeAnswerMs, () => {
               if (!caller.isAlive()) return;
-              caller.onEra(eraOfStore());
-              world.hasSettled = true;
+              caller.onEra(currentEra());
+              world.hasResolvedPromise = true;
               if (store.outage !== undefined) return resolve(unavailable);
               if (afterVersion > version) return resolve({ kind: 'historyGone' });
-              resolve(changesOf(world, collection, afterVersion, storeNow()));
+              resolve(changesOf(world, collection, afterVersion, currentPosition()));
             });
           };
           const check = (): void => {
@@ -233,7 +236,7 @@
             if (isDone || !caller.isAlive()) return;
             isDone = true;
             collection.waiting.delete(check);
-            world.hasSettled = true;
+            world.hasResolvedPromise = true;
             resolve(unavailable);
           };
           collection.waiting.add(check);
@@ -250,17 +253,17 @@
     outage: undefined,
     setOutage(outage) {
       store.outage = outage;
-      store.lastAwayAtMs = nowMs(worldOf());
+      store.lastOutageChangeAtMs = nowMs(worldOf());
       if (outage === undefined) return;
-      wake(operators);
-      wake(servers);
-      wake(boxes);
+      wakeWaiting(operators);
+      wakeWaiting(servers);
+      wakeWaiting(boxes);
     },
-    lastAwayAtMs: Number.NEGATIVE_INFINITY,
+    lastOutageChangeAtMs: Number.NEGATIVE_INFINITY,
     copies: 0,
-    comeBackAsOf(atMs) {
+    restoreTo(atMs) {
       store.copies += 1;
-      return history.takeBack(atMs);
+      return history.revertAfter(atMs);
     },
     skipVersions(count) {
       version += count;
@@ -304,7 +307,7 @@
         boxes: openFeed(boxes, StoreCall.boxes, caller),
         announceBox(boxId, address, holdsPart) {
           count(StoreCall.announce);
-          const enter = (): boolean => {
+          const register = (): boolean => {
             const itemOf = (revision: number): PeerChange => ({
               boxId,
               address,
@@ -314,14 +317,14 @@
             put(boxes, { key: boxId, itemOf, writer: StoreWriter.box });
             return true;
           };
-          return answer(caller, ANNOUNCE_TIMEOUT_MS, enter, false);
+          return answer(caller, ANNOUNCE_TIMEOUT_MS, register, false);
         },
         table(op, timeoutMs) {
           const key = op.kind === 'transact' ? op.writes[0]?.key : undefined;
           count(purposeOf(key ?? (op.kind === 'read' ? op.keys[0] : undefined)));
           const done = (): StoreTableReply => {
             const found = op.kind === 'transact' ? changeTable(op) : applyTableOp(table, op);
-            const era = eraOfStore();
+            const era = currentEra();
             return {
               answer: answerWithRevisions(op, found, era),
               storeNowMs: nowMs(worldOf()),
--- a/packages/reedlug/src/commands/simulate.ts
+++ b/packages/reedlug/src/commands/simulate.ts
@@ -2,11 +2,11 @@
 import { readFileSync } from 'node:fs';
 import { Command, Option } from 'clipanion';
 import {
-  drawCopies,
-  drawCrashTroubles,
-  drawLimitTroubles,
-  drawServerLimits,
-  drawStatements,
+  generateStoreRestores,
+  generateCrashFaults,
+  generateLimitFaults,
+  generateServerLimits,
+  generateServerStatements,
   readSceneFile,
   runScene,
   type Scene,
@@ -75,11 +75,11 @@
   }
 
   private withGeneratedFaults(scene: Scene, seed: number): Scene {
-    if (this.draw) return drawLimitTroubles(scene, seed);
-    if (this.drawCopies) return drawCopies(scene, seed);
-    if (this.drawStatements) return drawStatements(scene, seed);
-    if (this.drawServerLimits) return drawServerLimits(scene, seed);
-    return this.drawCrashes ? drawCrashTroubles(scene, seed) : scene;
+    if (this.draw) return generateLimitFaults(scene, seed);
+    if (this.drawCopies) return generateStoreRestores(scene, seed);
+    if (this.drawStatements) return generateServerStatements(scene, seed);
+    if (this.drawServerLimits) return generateServerLimits(scene, seed);
+    return this.drawCrashes ? generateCrashFaults(scene, seed) : scene;
   }
 
   private linesOf(reports: readonly SceneReport[]): string[] {
--- a/packages/reedlug/src/commands/simulateRollouts.ts
+++ b/packages/reedlug/src/commands/simulateRollouts.ts
@@ -1,6 +1,6 @@
 /** `reedlug simulate-rollouts`: simulates roll-outs generated from seeds. */
 import { Command, Option } from 'clipanion';
-import { drawRollout, readSceneFile, runScene, type SceneReport } from 'reedlug-simulator';
+import { generateRollout, readSceneFile, runScene, type SceneReport } from 'reedlug-simulator';
 import { parseSeedRange } from './seedRange.js';
 
 /** Results of the roll-outs of good or of bad versions. */
@@ -43,7 +43,7 @@
     const good = createTally();
     const bad = createTally();
     for (let seed = seeds.first; seed <= seeds.last; seed += 1) {
-      const generated = drawRollout(read.scene, seed, this.trouble);
+      const generated = generateRollout(read.scene, seed, this.trouble);
       const report = await runScene(generated.scene, seed);
       this.count(generated.isBad ? bad : good, report, generated.label);
     }
