--- a/packages/reedlug-gateway/src/daemon/__tests__/backendAttempt.test.ts
+++ b/packages/reedlug-gateway/src/daemon/__tests__/backendAttempt.test.ts
@@ -26,24 +26,24 @@
   streaming: false,
 };
 
-/** Sends a request to a server that answers by `respond`; resolves with what the attempt told. */
+/** Sends a request to a server that answers by `respond`; resolves with what the attempt reported. */
 async function outcomeOf(
   respond: (socket: Socket) => void,
   streaming = false,
-): Promise<{ told: string[]; body: string }> {
+): Promise<{ reported: string[]; body: string }> {
   const server: Server = createServer((socket) => {
     socket.on('error', () => undefined);
     socket.once('data', () => respond(socket));
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const pool = createConnectionPool();
-  const told: string[] = [];
+  const reported: string[] = [];
   const { port } = server.address() as AddressInfo;
-  const connection = pool.take('server-1', { host: '127.0.0.1', port }, true);
+  const connection = pool.acquire('server-1', { host: '127.0.0.1', port }, true);
   let text = '';
   await new Promise<void>((resolve) => {
-    const tell = (what: string): void => {
-      told.push(what);
+    const finishWith = (what: string): void => {
+      reported.push(what);
       resolve();
     };
     const attempt = sendAttempt({
@@ -52,135 +52,140 @@
       codec,
       request: { ...REQUEST, streaming },
       listener: {
-        onNotSent: () => tell('notSent'),
-        onBegun: () => undefined,
+        onNotSent: () => finishWith('notSent'),
+        onAnswerHead: () => undefined,
         onAnswered: (verdict) => {
           text = attempt.answer()?.body.toString() ?? '';
-          if (streaming && verdict === 'success') told.push('begun');
-          else tell(verdict);
+          if (streaming && verdict === 'success') reported.push('begun');
+          else finishWith(verdict);
         },
-        onEvents: (events) => told.push(`events${events.map((event) => event.id).join('+')}`),
-        onEnded: () => tell('ended'),
-        onLost: () => tell('lost'),
+        onEvents: (events) => reported.push(`events${events.map((event) => event.id).join('+')}`),
+        onEnded: () => finishWith('ended'),
+        onLost: () => finishWith('lost'),
       },
     });
   });
   pool.closeAll();
   server.close();
-  return { told, body: text };
+  return { reported, body: text };
 }
 
 const HEAD = 'HTTP/1.1 200 OK\r\nid: request-1\r\n';
 
 test('an answer with a length is told whole', async () => {
-  const { told, body } = await outcomeOf((socket) =>
+  const { reported, body } = await outcomeOf((socket) =>
     socket.write(`${HEAD}Content-Length: 5\r\n\r\nwhole`),
   );
-  expect(told).to.deep.equal(['success']);
+  expect(reported).to.deep.equal(['success']);
   expect(body).to.equal('whole');
 });
 
 test('an answer without a length that ends with its connection is whole', async () => {
-  const { told, body } = await outcomeOf((socket) => socket.end(`${HEAD}\r\nwhole`));
-  expect(told).to.deep.equal(['success']);
+  const { reported, body } = await outcomeOf((socket) => socket.end(`${HEAD}\r\nwhole`));
+  expect(reported).to.deep.equal(['success']);
   expect(body).to.equal('whole');
 });
 
 test('an answer without a length that is reset is lost', async () => {
-  const { told } = await outcomeOf((socket) => {
+  const { reported } = await outcomeOf((socket) => {
     socket.write(`${HEAD}\r\npart`, () => setTimeout(() => socket.resetAndDestroy(), 30));
   });
-  expect(told).to.deep.equal(['lost']);
+  expect(reported).to.deep.equal(['lost']);
 });
 
 test('a stream without a length that is reset is lost', async () => {
-  const { told } = await outcomeOf((socket) => {
+  const { reported } = await outcomeOf((socket) => {
     socket.write(`${HEAD}\r\nid: 1\ndata: a\n\n`, () =>
       setTimeout(() => socket.resetAndDestroy(), 30),
     );
   }, true);
-  expect(told).to.deep.equal(['begun', 'events1', 'lost']);
+  expect(reported).to.deep.equal(['begun', 'events1', 'lost']);
 });
 
 test('an answer that is cut short is lost', async () => {
-  const { told } = await outcomeOf((socket) => socket.end(`${HEAD}Content-Length: 50\r\n\r\npart`));
-  expect(told).to.deep.equal(['lost']);
+  const { reported } = await outcomeOf((socket) =>
+    socket.end(`${HEAD}Content-Length: 50\r\n\r\npart`),
+  );
+  expect(reported).to.deep.equal(['lost']);
 });
 
 test('an answer with a length that is cut with a closing connection is lost', async () => {
-  const { told } = await outcomeOf((socket) =>
+  const { reported } = await outcomeOf((socket) =>
     socket.end(`${HEAD}Content-Length: 50\r\nConnection: close\r\n\r\npart`),
   );
-  expect(told).to.deep.equal(['lost']);
+  expect(reported).to.deep.equal(['lost']);
 });
 
 test('an answer with a length that is reset with a closing connection is lost', async () => {
-  const { told } = await outcomeOf((socket) => {
+  const { reported } = await outcomeOf((socket) => {
     socket.write(`${HEAD}Content-Length: 50\r\nConnection: close\r\n\r\npart`, () =>
       setTimeout(() => socket.resetAndDestroy(), 30),
     );
   });
-  expect(told).to.deep.equal(['lost']);
+  expect(reported).to.deep.equal(['lost']);
 });
 
 test('an answer without a length that is reset with its last bytes is lost', async () => {
-  const { told } = await outcomeOf((socket) => {
+  const { reported } = await outcomeOf((socket) => {
     socket.write(`${HEAD}\r\npart`, () => socket.resetAndDestroy());
   });
-  expect(told).to.deep.equal(['lost']);
+  expect(reported).to.deep.equal(['lost']);
 });
 
 test('a stream without a length that ends with its connection is whole', async () => {
-  const { told } = await outcomeOf((socket) => socket.end(`${HEAD}\r\nid: 1\ndata: a\n\n`), true);
-  expect(told).to.deep.equal(['begun', 'events1', 'ended']);
+  const { reported } = await outcomeOf(
+    (socket) => socket.end(`${HEAD}\r\nid: 1\ndata: a\n\n`),
+    true,
+  );
+  expect(reported).to.deep.equal(['begun', 'events1', 'ended']);
 });
 
 const CHUNKED = `${HEAD}Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n`;
 
 test('an answer in chunks that ends with its connection before the last chunk is lost', async () => {
-  const { told } = await outcomeOf((socket) => socket.end(`${CHUNKED}4\r\npart\r\n`));
-  expect(told).to.deep.equal(['lost']);
+  const { reported } = await outcomeOf((socket) => socket.end(`${CHUNKED}4\r\npart\r\n`));
+  expect(reported).to.deep.equal(['lost']);
 });
 
 test('a stream in chunks that ends with its connection before the last chunk is lost', async () => {
   const event = 'id: 1\ndata: a\n\n';
   const chunk = `${event.length.toString(16)}\r\n${event}\r\n`;
-  const { told } = await outcomeOf((socket) => socket.end(`${CHUNKED}${chunk}`), true);
-  expect(told).to.deep.equal(['begun', 'events1', 'lost']);
+  const { reported } = await outcomeOf((socket) => socket.end(`${CHUNKED}${chunk}`), true);
+  expect(reported).to.deep.equal(['begun', 'events1', 'lost']);
 });
 
 test('an answer in chunks with its last chunk is whole, also when its connection ends', async () => {
-  const { told, body } = await outcomeOf((socket) =>
+  const { reported, body } = await outcomeOf((socket) =>
     socket.end(`${CHUNKED}5\r\nwhole\r\n0\r\n\r\n`),
   );
-  expect(told).to.deep.equal(['success']);
+  expect(reported).to.deep.equal(['success']);
   expect(body).to.equal('whole');
 });
 
 test('bytes that are no answer are lost', async () => {
-  const { told } = await outcomeOf((socket) => socket.end('no answer at all\r\n\r\n'));
-  expect(told).to.deep.equal(['lost']);
+  const { reported } = await outcomeOf((socket) => socket.end('no answer at all\r\n\r\n'));
+  expect(reported).to.deep.equal(['lost']);
 });
 
 test('an answer to another request is invalid', async () => {
-  const { told } = await outcomeOf((socket) =>
+  const { reported } = await outcomeOf((socket) =>
     socket.write('HTTP/1.1 200 OK\r\nid: request-0\r\nContent-Length: 0\r\n\r\n'),
   );
-  expect(told).to.deep.equal(['invalid']);
+  expect(reported).to.deep.equal(['invalid']);
 });
 
 test('a stream that ends within an event is lost', async () => {
-  const { told } = await outcomeOf(
+  const { reported } = await outcomeOf(
     (socket) => socket.end(`${HEAD}\r\nid: 1\ndata: a\n\nid: 2\nda`),
     true,
   );
-  expect(told).to.deep.equal(['begun', 'events1', 'lost']);
+  expect(reported).to.deep.equal(['begun', 'events1', 'lost']);
 });
 
 test('a refused connection is not sent', async () => {
   const pool = createConnectionPool();
-  const connection = pool.take('server-1', { host: '127.0.0.1', port: 1 }, true);
-  const told = await new Promise<string>((resolve) => {
+  const connection = pool.acquire('server-1', { host: '127.0.0.1', port: 1 }, true);
+  const reported = await new Promise<string>((resolve) => {
     sendAttempt({
       connection,
       pool,
@@ -188,7 +193,7 @@
       request: REQUEST,
       listener: {
         onNotSent: () => resolve('notSent'),
-        onBegun: () => undefined,
+        onAnswerHead: () => undefined,
         onAnswered: () => resolve('answered'),
         onEvents: () => undefined,
         onEnded: () => resolve('ended'),
@@ -196,5 +201,5 @@
       },
     });
   });
-  expect(told).to.equal('notSent');
+  expect(reported).to.equal('notSent');
 });
--- a/packages/reedlug-gateway/src/daemon/__tests__/boxEntry.test.ts
+++ b/packages/reedlug-gateway/src/daemon/__tests__/boxEntry.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import type { PeerAddress } from '../../types/peer.js';
-import { keepBoxEntry, type BoxEntry } from '../boxEntry.js';
+import { maintainBoxEntry, type BoxEntry } from '../boxEntry.js';
 
 const ADDRESS: PeerAddress = {
   boxId: 'box-1',
@@ -11,13 +11,17 @@
 };
 
 /** A keeper before a store that takes a write after so many that fail. */
-function keep(failures = 0): { entry: BoxEntry; writes: () => number; told: boolean[] } {
+function startMaintaining(failures = 0): {
+  entry: BoxEntry;
+  writes: () => number;
+  announcements: boolean[];
+} {
   let writes = 0;
-  const told: boolean[] = [];
-  const entry = keepBoxEntry({
+  const announcements: boolean[] = [];
+  const entry = maintainBoxEntry({
     store: {
       announceBox(_boxId, _address, holdsPart) {
-        told.push(holdsPart);
+        announcements.push(holdsPart);
         writes += 1;
         return Promise.resolve(writes > failures);
       },
@@ -27,14 +31,14 @@
     address: ADDRESS,
     holdsPart: () => true,
   });
-  return { entry, writes: () => writes, told };
+  return { entry, writes: () => writes, announcements };
 }
 
 const settled = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 const listed = (address: PeerAddress | undefined) => [{ boxId: 'box-1', address }];
 
 test('a box that is listed as it is writes nothing', async () => {
-  const { entry, writes } = keep();
+  const { entry, writes } = startMaintaining();
   entry.onListed({ items: listed({ ...ADDRESS }), whole: true });
   await settled();
   expect(writes()).to.equal(0);
@@ -42,7 +46,7 @@
 
 test('a box that is missing or has moved enters itself', async () => {
   for (const items of [[], listed({ ...ADDRESS, host: '10.1.0.9' })]) {
-    const { entry, writes } = keep();
+    const { entry, writes } = startMaintaining();
     entry.onListed({ items, whole: true });
     await settled();
     expect(writes()).to.equal(1);
@@ -50,7 +54,7 @@
 });
 
 test('a box whose entry was taken out enters itself again', async () => {
-  const { entry, writes } = keep();
+  const { entry, writes } = startMaintaining();
   entry.onListed({ items: listed({ ...ADDRESS }), whole: true });
   entry.onListed({ items: [{ boxId: 'box-2', address: undefined }], whole: false });
   entry.onListed({ items: listed(undefined), whole: false });
@@ -59,15 +63,15 @@
 });
 
 test('an entry that the store did not take is written again', async () => {
-  const { entry, writes } = keep(2);
+  const { entry, writes } = startMaintaining(2);
   entry.onListed({ items: [], whole: true });
   await settled();
   expect(writes()).to.equal(3);
 });
 
 test('a box that is missing says again that it holds its part', async () => {
-  const { entry, told } = keep();
+  const { entry, announcements } = startMaintaining();
   entry.onListed({ items: [], whole: true });
   await settled();
-  expect(told).to.deep.equal([true]);
+  expect(announcements).to.deep.equal([true]);
 });
--- a/packages/reedlug-gateway/src/daemon/__tests__/feedFollower.test.ts
+++ b/packages/reedlug-gateway/src/daemon/__tests__/feedFollower.test.ts
@@ -5,22 +5,22 @@
 import { followFeed, type FeedListener } from '../feedFollower.js';
 
 interface Calls {
-  wholes: number;
+  fullReads: number;
   /** Positions from which changes were asked for. */
-  positions: number[];
+  followPositions: number[];
 }
 
 /** A feed that answers at once: the whole at revision 10, then what `answer` gives. */
-function feedOf(calls: Calls, answer: (call: number) => FeedAnswer<string>): Feed<string> {
+function createFeed(calls: Calls, answer: (call: number) => FeedAnswer<string>): Feed<string> {
   return {
     readAll() {
-      calls.wholes += 1;
+      calls.fullReads += 1;
       return Promise.resolve(page(['whole'], 10));
     },
     async follow({ afterRevision }) {
-      calls.positions.push(afterRevision);
+      calls.followPositions.push(afterRevision);
       await delay(5);
-      return answer(calls.positions.length);
+      return answer(calls.followPositions.length);
     },
   };
 }
@@ -42,16 +42,16 @@
 }
 
 test('a feed that is not needed is read once and then left alone until it is', async () => {
-  const calls: Calls = { wholes: 0, positions: [] };
+  const calls: Calls = { fullReads: 0, followPositions: [] };
   let isNeeded = false;
-  const feed = feedOf(calls, () => page([], 11));
+  const feed = createFeed(calls, () => page([], 11));
   const following = followFeed(feed, 0, listener({ isNeeded: () => isNeeded }));
   await delay(300);
-  expect(calls).to.deep.equal({ wholes: 1, positions: [] });
+  expect(calls).to.deep.equal({ fullReads: 1, followPositions: [] });
   isNeeded = true;
   await delay(300);
   following.stop();
-  expect(calls.positions[0]).to.equal(10);
+  expect(calls.followPositions[0]).to.equal(10);
 });
 
 test('an answer of another era is no change: the whole is read, and nothing of an earlier era', async () => {
@@ -75,11 +75,11 @@
 });
 
 test('a feed that is told to read again leaves a call that waits', async () => {
-  const calls: Calls = { wholes: 0, positions: [] };
+  const calls: Calls = { fullReads: 0, followPositions: [] };
   let ended = 0;
   const feed: Feed<string> = {
     readAll() {
-      calls.wholes += 1;
+      calls.fullReads += 1;
       return Promise.resolve(page(['whole'], 10));
     },
     async follow({ signal }) {
@@ -91,10 +91,10 @@
   const onPage = ({ items }: { items: readonly string[] }) => void read.push(...items);
   const following = followFeed(feed, 10_000, listener({ onPage }));
   await delay(20);
-  following.readAgain();
+  following.restart();
   await delay(20);
   following.stop();
-  expect({ wholes: calls.wholes, ended, read }).to.deep.equal({
+  expect({ wholes: calls.fullReads, ended, read }).to.deep.equal({
     wholes: 2,
     ended: 1,
     read: ['whole', 'whole'],
@@ -102,30 +102,30 @@
 });
 
 test('after a gap in the history the whole is read again', async () => {
-  const calls: Calls = { wholes: 0, positions: [] };
+  const calls: Calls = { fullReads: 0, followPositions: [] };
   const pages: boolean[] = [];
-  const feed = feedOf(calls, (call) =>
+  const feed = createFeed(calls, (call) =>
     call === 1 ? { kind: 'historyGone' } : page(['change'], 12),
   );
   const onPage: FeedListener<string>['onPage'] = ({ whole }) => void pages.push(whole);
   const following = followFeed(feed, 0, listener({ onPage }));
   await delay(60);
   following.stop();
-  expect(calls.wholes).to.equal(2);
+  expect(calls.fullReads).to.equal(2);
   expect(pages.slice(0, 3)).to.deep.equal([true, true, false]);
 });
 
 test('changes that come in a burst are read in few pages where the listener pauses', async () => {
-  const calls: Calls = { wholes: 0, positions: [] };
-  const feed = feedOf(calls, (call) => page(['change'], 10 + call));
+  const calls: Calls = { fullReads: 0, followPositions: [] };
+  const feed = createFeed(calls, (call) => page(['change'], 10 + call));
   const following = followFeed(feed, 0, listener({ pauseAfterPageMs: 100 }));
   await delay(350);
   following.stop();
-  expect(calls.positions.length).to.be.within(1, 4);
+  expect(calls.followPositions.length).to.be.within(1, 4);
 });
 
 test('a feed that is not urgent is asked ever less often while the store turns it away', async () => {
-  const callsWith = async (longestPauseMs: number): Promise<number> => {
+  const callsWith = async (maxPauseMs: number): Promise<number> => {
     let calls = 0;
     let nowMs = 0;
     const unavailable: FeedAnswer<string> = { kind: 'unavailable', reason: 'status 503' };
@@ -144,7 +144,7 @@
         return Promise.resolve();
       },
     };
-    const following = followFeed(feed, 0, listener({ longestPauseMs }), clock);
+    const following = followFeed(feed, 0, listener({ maxPauseMs }), clock);
     await delay(20);
     return calls;
   };
--- a/packages/reedlug-gateway/src/daemon/__tests__/operatorServer.test.ts
+++ b/packages/reedlug-gateway/src/daemon/__tests__/operatorServer.test.ts
@@ -7,8 +7,10 @@
 
 const KEY = 'tiger/a+b/c';
 
-/** A box that keeps one request out; tells what operators asked of it. */
-async function serveBox(use: (url: string, asked: EventBody[]) => Promise<void>): Promise<void> {
+/** A box that keeps one request out; tells what operators emitted of it. */
+async function withOperatorServer(
+  use: (url: string, emitted: EventBody[]) => Promise<void>,
+): Promise<void> {
   const { state } = createServingBox();
   state.crashSuspects.set(KEY, {
     key: KEY,
@@ -18,42 +20,42 @@
     evaluationDueAtMs: undefined,
     seenAtMs: 1000,
   });
-  const asked: EventBody[] = [];
+  const emitted: EventBody[] = [];
   const clock = { nowMs: () => 3000, pause: () => Promise.resolve() };
   const server = createOperatorServer({
     state,
     clock,
     metrics: createGatewayMetrics(),
     logger: () => undefined,
-    emit: (body) => asked.push(body),
+    emit: (body) => emitted.push(body),
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
-  await use(`http://127.0.0.1:${port}`, asked);
+  await use(`http://127.0.0.1:${port}`, emitted);
   server.close();
   server.closeAllConnections();
 }
 
 test('operators see the requests that are kept out', () =>
-  serveBox(async (url) => {
+  withOperatorServer(async (url) => {
     const verdicts: unknown = await (await fetch(`${url}/verdicts`)).json();
     expect(verdicts).to.deep.equal([{ key: KEY, crashes: 0, keptOutForMs: 2000 }]);
   }));
 
 test('a verdict is lifted by its key; one that does not stand is not found', () =>
-  serveBox(async (url, asked) => {
+  withOperatorServer(async (url, emitted) => {
     const lift = (key: string, method = 'DELETE') =>
       fetch(`${url}/verdicts/${encodeURIComponent(key)}`, { method });
     expect((await lift('tiger/other')).status).to.equal(404);
     expect((await lift(KEY, 'POST')).status).to.equal(405);
     expect((await fetch(`${url}/verdicts/%zz`, { method: 'DELETE' })).status).to.equal(404);
-    expect(asked).to.deep.equal([]);
+    expect(emitted).to.deep.equal([]);
     expect((await lift(KEY)).status).to.equal(204);
-    expect(asked).to.deep.equal([{ type: 'verdictLifted', key: KEY }]);
+    expect(emitted).to.deep.equal([{ type: 'verdictLifted', key: KEY }]);
   }));
 
 test('any other path gives the metrics', () =>
-  serveBox(async (url) => {
+  withOperatorServer(async (url) => {
     expect(await (await fetch(`${url}/metrics`)).text()).to.include('reedlug');
     // No URL by itself, and not one to end the process for.
     expect(await (await fetch(`${url}//`)).text()).to.include('reedlug');
--- a/packages/reedlug-gateway/src/daemon/__tests__/peerWire.test.ts
+++ b/packages/reedlug-gateway/src/daemon/__tests__/peerWire.test.ts
@@ -21,8 +21,8 @@
   const older: Partial<PeerMessage> = peerMessage();
   delete older.sendSums;
   const others = ['other', 'constructor', 'toString'].map((kind) => ({ kind, boxId: 'b' }));
-  const strange = [older, {}, null, 5, 'text', { kind: 'news' }, ...others];
-  for (const value of strange) expect(decodeDatagram(encode(value))).to.equal(undefined);
+  const malformed = [older, {}, null, 5, 'text', { kind: 'news' }, ...others];
+  for (const value of malformed) expect(decodeDatagram(encode(value))).to.equal(undefined);
   expect(decodeDatagram(Buffer.from([0xff, 0x00, 0x5b]))).to.equal(undefined);
   expect(decodeDatagram(Buffer.alloc(0))).to.equal(undefined);
 });
@@ -124,21 +124,21 @@
 
 test('a datagram that only looks like statements is none', () => {
   for (const kind of ['serverStatements', 'serverFacts']) {
-    const odd = { kind, boxId: 'box-1', statements: {}, limits: {}, pauses: [] };
-    expect(decodeDatagram(encoder.encode(odd)), kind).to.equal(undefined);
+    const malformed = { kind, boxId: 'box-1', statements: {}, limits: {}, pauses: [] };
+    expect(decodeDatagram(encoder.encode(malformed)), kind).to.equal(undefined);
   }
 });
 
 test('an era or a decision that is none is left out of the news', () => {
-  const sound = { window: 7, counts: { tiger: 3 }, isReported: true };
-  const told = { ...peerMessage({ storeEra: 4 }), decisions: [sound, 5, { window: 'x' }, null] };
-  const read = decodeDatagram(encodeDatagram(told as unknown as PeerMessage));
+  const valid = { window: 7, counts: { tiger: 3 }, isReported: true };
+  const message = { ...peerMessage({ storeEra: 4 }), decisions: [valid, 5, { window: 'x' }, null] };
+  const read = decodeDatagram(encodeDatagram(message as unknown as PeerMessage));
   if (read?.kind !== 'news') throw new Error('no news');
   expect(read.storeEra).to.equal(4);
-  expect(read.decisions).to.deep.equal([sound]);
+  expect(read.decisions).to.deep.equal([valid]);
   for (const storeEra of ['4', -1, 1.5, 1e9, Number.NaN]) {
-    const odd = { ...peerMessage(), storeEra, decisions: 'none' } as unknown as PeerMessage;
-    const decoded = decodeDatagram(encodeDatagram(odd));
+    const malformed = { ...peerMessage(), storeEra, decisions: 'none' } as unknown as PeerMessage;
+    const decoded = decodeDatagram(encodeDatagram(malformed));
     if (decoded?.kind !== 'news') throw new Error('no news');
     expect([decoded.storeEra, decoded.decisions]).to.deep.equal([undefined, undefined]);
   }
--- a/packages/reedlug-gateway/src/daemon/backendAttempt.ts
+++ b/packages/reedlug-gateway/src/daemon/backendAttempt.ts
@@ -13,7 +13,7 @@
 import { createEventSplitter, type StreamEvent } from './eventSplitter.js';
 
 /** Largest plain answer that is read whole, in bytes: well over the users' largest body. */
-const MAX_PLAIN_BYTES = 16 * 1024 * 1024;
+const MAX_PLAIN_ANSWER_BYTES = 16 * 1024 * 1024;
 
 /** The head of an answer, and its body where it is plain. */
 export interface BackendAnswer {
@@ -27,7 +27,7 @@
 export interface AttemptListener {
   onNotSent: (reason: string) => void;
   /** The head of an answer of this server to this request came. */
-  onBegun: (statements: AnswerStatements) => void;
+  onAnswerHead: (statements: AnswerStatements) => void;
   onAnswered: (verdict: AnswerVerdict, status: number) => void;
   onEvents: (events: readonly StreamEvent[]) => void;
   onEnded: () => void;
@@ -66,32 +66,32 @@
   let bytes = 0;
   let sent = false;
   let settled = false;
-  let streamBegun = false;
+  let isStreamStarted = false;
   let verdict: AnswerVerdict | undefined;
   let answer: BackendAnswer | undefined;
 
-  const settle = (tell: () => void): void => {
+  const settle = (report: () => void): void => {
     if (settled) return;
     settled = true;
-    tell();
+    report();
   };
-  const drop = (): void => pool.discard(connection);
+  const discardConnection = (): void => pool.discard(connection);
   const isStream = (): boolean => request.streaming && verdict === 'success';
 
-  const beginStream = (): void => {
-    if (streamBegun) return;
-    streamBegun = true;
+  const startStream = (): void => {
+    if (isStreamStarted) return;
+    isStreamStarted = true;
     if (!settled && answer !== undefined) listener.onAnswered('success', answer.status);
   };
 
-  const finish = (whole: BackendAnswer, told: AnswerVerdict): void => {
+  const finish = (whole: BackendAnswer, finalVerdict: AnswerVerdict): void => {
     if (isStream()) {
       if (splitter.pendingBytes() > 0) return settle(() => listener.onLost('cutInEvent'));
-      beginStream();
+      startStream();
       return settle(() => listener.onEnded());
     }
     whole.body = Buffer.concat(chunks);
-    settle(() => listener.onAnswered(told, whole.status));
+    settle(() => listener.onAnswered(finalVerdict, whole.status));
   };
 
   const handler: Dispatcher.DispatchHandler = {
@@ -103,44 +103,44 @@
       const rawHeaders = textHeaders(controller.rawHeaders);
       const head = { requestId: request.requestId, status, rawHeaders };
       verdict = codec.evaluateAnswer(head);
-      connection.answerEndsWithIt = !isFramed(status, rawHeaders);
+      connection.isCloseDelimited = !isSelfDelimiting(status, rawHeaders);
       answer = { status, statusText: statusText ?? '', rawHeaders, body: Buffer.alloc(0) };
       const statements = codec.statementsOf(head);
-      if (statements !== undefined) listener.onBegun(statements);
+      if (statements !== undefined) listener.onAnswerHead(statements);
       if (verdict !== 'invalid') return;
       settle(() => listener.onAnswered('invalid', status));
-      drop();
+      discardConnection();
     },
     onResponseData(_controller, chunk) {
       if (settled) return;
       if (isStream()) {
         const events = splitter.push(chunk);
         if (events.length === 0) return;
-        beginStream();
+        startStream();
         if (!settled) listener.onEvents(events);
         return;
       }
       bytes += chunk.length;
       chunks.push(chunk);
-      if (bytes <= MAX_PLAIN_BYTES) return;
+      if (bytes <= MAX_PLAIN_ANSWER_BYTES) return;
       settle(() => listener.onLost('answerTooLarge'));
-      drop();
+      discardConnection();
     },
     onResponseEnd() {
       if (settled || answer === undefined || verdict === undefined) return;
-      if (!connection.answerEndsWithIt) {
-        pool.giveBack(connection);
+      if (!connection.isCloseDelimited) {
+        pool.release(connection);
         return finish(answer, verdict);
       }
       const whole = { answer, verdict };
-      void (connection.closedInOrder ?? Promise.resolve(false)).then((inOrder) => {
-        drop();
-        if (inOrder && !connection.failed) return finish(whole.answer, whole.verdict);
+      void (connection.closedCleanly ?? Promise.resolve(false)).then((isClean) => {
+        discardConnection();
+        if (isClean && !connection.failed) return finish(whole.answer, whole.verdict);
         settle(() => listener.onLost('resetInAnswer'));
       });
     },
     onResponseError(_controller, error) {
-      drop();
+      discardConnection();
       settle(() => {
         if (sent) listener.onLost(reasonOf(error));
         else listener.onNotSent(reasonOf(error));
@@ -167,7 +167,7 @@
     answer: () => answer,
     cancel() {
       settled = true;
-      drop();
+      discardConnection();
     },
   };
 }
@@ -195,7 +195,7 @@
 }
 
 /** Whether an answer says itself where it ends. */
-function isFramed(status: number, rawHeaders: readonly string[]): boolean {
+function isSelfDelimiting(status: number, rawHeaders: readonly string[]): boolean {
   if (status === 204 || status === 304) return true;
   return rawHeaders.some((name, index) => {
     const lower = index % 2 === 0 ? name.toLowerCase() : '';
--- a/packages/reedlug-gateway/src/daemon/boxEntry.ts
+++ b/packages/reedlug-gateway/src/daemon/boxEntry.ts
@@ -10,7 +10,7 @@
 import type { Clock } from './clock.js';
 
 /** Pause before this box is entered again after a failed try, in ms. */
-const RETRY_MS = 1000;
+const RETRY_PAUSE_MS = 1000;
 
 /** What keeps an entry. */
 export interface BoxEntry {
@@ -20,7 +20,7 @@
 }
 
 /** Returns a keeper; it writes nothing before it has seen the list. */
-export function keepBoxEntry(params: {
+export function maintainBoxEntry(params: {
   store: Pick<PlatformStore, 'announceBox'>;
   clock: Clock;
   logger: Logger;
@@ -38,7 +38,7 @@
     isWriting = true;
     while (!stopped && !(await store.announceBox(boxId, address, holdsPart()))) {
       logger('announceFailed', { box: boxId });
-      await clock.pause(RETRY_MS);
+      await clock.pause(RETRY_PAUSE_MS);
     }
     isWriting = false;
   };
--- a/packages/reedlug-gateway/src/daemon/callerServer.ts
+++ b/packages/reedlug-gateway/src/daemon/callerServer.ts
@@ -7,7 +7,7 @@
 /** Largest head that is read at all, in bytes; the configuration's limit is checked within. */
 const PARSER_HEADER_BYTES = 64 * 1024;
 /** How often unfinished heads are checked for their time, in ms. */
-const HEADER_CHECK_MS = 500;
+const HEADER_CHECK_INTERVAL_MS = 500;
 
 /** A request with its way back to the caller. */
 export interface CallerExchange {
@@ -26,7 +26,7 @@
   /** A request that breaks a limit; it gets this status at once. */
   onRejected: (status: number, reason: string) => void;
   limits: () => CallerLimits | undefined;
-  isStopping: () => boolean;
+  isShuttingDown: () => boolean;
 }
 
 /** Returns a server that is not yet listening. */
@@ -39,24 +39,24 @@
       keepAliveTimeout: DEFAULT_CALLER_LIMITS.idleTimeoutMs,
       headersTimeout: DEFAULT_CALLER_LIMITS.headerTimeoutMs,
       requestTimeout: 0,
-      connectionsCheckingInterval: HEADER_CHECK_MS,
+      connectionsCheckingInterval: HEADER_CHECK_INTERVAL_MS,
       noDelay: true,
     },
     (request, response) => {
       response.sendDate = false;
-      const inForce = limits();
-      server.keepAliveTimeout = inForce.idleTimeoutMs;
-      server.headersTimeout = inForce.headerTimeoutMs;
-      if (listener.isStopping()) response.shouldKeepAlive = false;
+      const currentLimits = limits();
+      server.keepAliveTimeout = currentLimits.idleTimeoutMs;
+      server.headersTimeout = currentLimits.headerTimeoutMs;
+      if (listener.isShuttingDown()) response.shouldKeepAlive = false;
       const reject = (status: number, reason: string): void => {
         listener.onRejected(status, reason);
         response.shouldKeepAlive = false;
         response.writeHead(status, { 'content-length': 0 });
         response.end();
       };
-      const fault = headFault(request, inForce);
+      const fault = findHeadFault(request, currentLimits);
       if (fault !== undefined) return reject(fault.status, fault.reason);
-      readBody(request, inForce.maxBodyBytes, (body) => {
+      readBody(request, currentLimits.maxBodyBytes, (body) => {
         if (body === undefined) return reject(413, 'bodyTooLarge');
         const id = nextId;
         nextId += 1;
@@ -75,7 +75,7 @@
   return server;
 }
 
-function headFault(
+function findHeadFault(
   request: IncomingMessage,
   limits: CallerLimits,
 ): { status: number; reason: string } | undefined {
@@ -104,18 +104,18 @@
 ): void {
   const chunks: Buffer[] = [];
   let bytes = 0;
-  let over = false;
+  let isTooLarge = false;
   request.on('data', (chunk: Buffer) => {
     bytes += chunk.length;
-    if (over) return;
+    if (isTooLarge) return;
     if (bytes > maxBytes) {
-      over = true;
+      isTooLarge = true;
       return done(undefined);
     }
     chunks.push(chunk);
   });
   request.on('end', () => {
-    if (!over) done(chunks.length === 1 ? (chunks[0] as Buffer) : Buffer.concat(chunks));
+    if (!isTooLarge) done(chunks.length === 1 ? (chunks[0] as Buffer) : Buffer.concat(chunks));
   });
   // A caller that leaves in the middle of its body has asked for nothing yet.
   request.on('error', () => undefined);
--- a/packages/reedlug-gateway/src/daemon/connectionPool.ts
+++ b/packages/reedlug-gateway/src/daemon/connectionPool.ts
@@ -20,17 +20,17 @@
   /** True once its socket failed; undici takes an unframed answer that is reset for a whole one. */
   failed: boolean;
   /** Set while an answer is read that has no length and ends with its connection. */
-  answerEndsWithIt: boolean;
+  isCloseDelimited: boolean;
   /** Whether the server closed the connection in good order; set at the end of such an answer. */
-  closedInOrder: Promise<boolean> | undefined;
+  closedCleanly: Promise<boolean> | undefined;
 }
 
 /** Idle connections by server. */
 export interface ConnectionPool {
   /** An idle connection, or a fresh one; `fresh` asks for a new one in any case. */
-  take: (serverId: string, address: HostPort, fresh: boolean) => Connection;
+  acquire: (serverId: string, address: HostPort, fresh: boolean) => Connection;
   /** Gives a connection back after a whole answer. */
-  giveBack: (connection: Connection) => void;
+  release: (connection: Connection) => void;
   /** Ends a connection whose state is not known. */
   discard: (connection: Connection) => void;
   closeAll: () => void;
@@ -41,7 +41,7 @@
   const idle = new Map<string, Connection[]>();
   const connect = buildConnector({ timeout: CONNECT_TIMEOUT_MS });
 
-  const forget = (connection: Connection): void => {
+  const removeIdle = (connection: Connection): void => {
     const list = idle.get(connection.serverId);
     const index = list?.indexOf(connection) ?? -1;
     if (list === undefined || index < 0) return;
@@ -50,7 +50,7 @@
   };
 
   const discard = (connection: Connection): void => {
-    forget(connection);
+    removeIdle(connection);
     // The requests of a destroyed client have been told; there is nothing left to report.
     connection.client.destroy().catch(() => undefined);
   };
@@ -60,7 +60,7 @@
       pipelining: 1,
       connect: (options, callback) =>
         connect(options, (...result) => {
-          if (result[1]) watchClose(connection, result[1]);
+          if (result[1]) detectUncleanClose(connection, result[1]);
           callback(...result);
         }),
       keepAliveTimeout: IDLE_TIMEOUT_MS,
@@ -74,26 +74,27 @@
       serverId,
       address,
       failed: false,
-      answerEndsWithIt: false,
-      closedInOrder: undefined,
+      isCloseDelimited: false,
+      closedCleanly: undefined,
     };
     client.on('disconnect', () => discard(connection));
     return connection;
   };
 
   return {
-    take(serverId, address, fresh) {
-      const isThere = (connection: Connection): boolean =>
+    acquire(serverId, address, fresh) {
+      const hasSameAddress = (connection: Connection): boolean =>
         connection.address.host === address.host && connection.address.port === address.port;
       // A server that started again under its id may stand elsewhere.
-      const moved = idle.get(serverId)?.filter((connection) => !isThere(connection)) ?? [];
-      moved.forEach(discard);
+      const outdated =
+        idle.get(serverId)?.filter((connection) => !hasSameAddress(connection)) ?? [];
+      outdated.forEach(discard);
       const found = fresh ? undefined : idle.get(serverId)?.at(-1);
       if (found === undefined) return open(serverId, address);
-      forget(found);
+      removeIdle(found);
       return found;
     },
-    giveBack(connection) {
+    release(connection) {
       if (connection.client.destroyed || connection.client.closed) return;
       const list = idle.get(connection.serverId) ?? [];
       list.push(connection);
@@ -112,14 +113,14 @@
  * the last bytes, libuv reports an ordinary end; only a write tells them apart,
  * since it fails on a reset connection. An empty line between requests is harmless.
  */
-function watchClose(connection: Connection, socket: Socket): void {
+function detectUncleanClose(connection: Connection, socket: Socket): void {
   socket.prependListener('error', (error: NodeJS.ErrnoException) => {
     // undici ends a connection that is not used again by an error of its own.
     if (error.code !== 'UND_ERR_INFO') connection.failed = true;
   });
   socket.prependListener('end', () => {
-    if (!connection.answerEndsWithIt) return;
-    connection.closedInOrder = new Promise((resolve) => {
+    if (!connection.isCloseDelimited) return;
+    connection.closedCleanly = new Promise((resolve) => {
       socket.write('\r\n', (error) => resolve(!error));
     });
   });
--- a/packages/reedlug-gateway/src/daemon/daemonTimes.ts
+++ b/packages/reedlug-gateway/src/daemon/daemonTimes.ts
@@ -11,4 +11,4 @@
 /** Longest wait for a connection: a server's full queue drops the opening packet for seconds. */
 export const CONNECT_TIMEOUT_MS = 400;
 /** Longest wait for a peer's answer: several round trips between zones. */
-export const ASK_TIMEOUT_MS = 500;
+export const PEER_REQUEST_TIMEOUT_MS = 500;
--- a/packages/reedlug-gateway/src/daemon/effects.ts
+++ b/packages/reedlug-gateway/src/daemon/effects.ts
@@ -33,7 +33,7 @@
     case 'callCloud':
       return callCloud(runtime, effect);
     case 'readStoreAgain':
-      return runtime.feeds?.readAgain();
+      return runtime.feeds?.restart();
     case 'sendPeers':
       return runtime.peers.send(effect.message, effect.to);
     case 'askPeer':
@@ -59,7 +59,7 @@
   const ids = { exchangeId, attemptId };
   const end = (): void => void runtime.attempts.delete(attemptId);
   const attempt = sendAttempt({
-    connection: runtime.pool.take(order.serverId, order.address, order.needsFreshConnection),
+    connection: runtime.pool.acquire(order.serverId, order.address, order.needsFreshConnection),
     pool: runtime.pool,
     codec: runtime.adapter.headers,
     request: {
@@ -75,7 +75,7 @@
         end();
         runtime.emit({ type: 'attemptNotSent', ...ids, reason });
       },
-      onBegun(statements) {
+      onAnswerHead(statements) {
         runtime.emit({ type: 'answerBegun', ...ids, statements });
       },
       onAnswered(verdict, status) {
@@ -151,8 +151,8 @@
 /** What comes of it is seen in the list; the reducer asks again until it is. */
 function enterBox(runtime: Runtime, effect: EffectOf<'enterBox'>): void {
   const { boxId, address, holdsPart } = effect;
-  void runtime.store.announceBox(boxId, address, holdsPart).then((isTaken) => {
-    if (!isTaken) runtime.logger('announceFailed', { box: boxId });
+  void runtime.store.announceBox(boxId, address, holdsPart).then((isWritten) => {
+    if (!isWritten) runtime.logger('announceFailed', { box: boxId });
   });
 }
 
--- a/packages/reedlug-gateway/src/daemon/eventSplitter.ts
+++ b/packages/reedlug-gateway/src/daemon/eventSplitter.ts
@@ -19,20 +19,20 @@
 
 /** Returns a splitter at the start of a stream. */
 export function createEventSplitter(): EventSplitter {
-  let rest: Buffer = Buffer.alloc(0);
+  let remainder: Buffer = Buffer.alloc(0);
   return {
     push(chunk) {
-      rest = rest.length === 0 ? chunk : Buffer.concat([rest, chunk]);
+      remainder = remainder.length === 0 ? chunk : Buffer.concat([remainder, chunk]);
       const events: StreamEvent[] = [];
       for (;;) {
-        const end = rest.indexOf(EVENT_END);
+        const end = remainder.indexOf(EVENT_END);
         if (end < 0) return events;
-        const bytes = rest.subarray(0, end + EVENT_END.length);
-        rest = rest.subarray(bytes.length);
+        const bytes = remainder.subarray(0, end + EVENT_END.length);
+        remainder = remainder.subarray(bytes.length);
         events.push({ bytes, id: idOf(bytes) });
       }
     },
-    pendingBytes: () => rest.length,
+    pendingBytes: () => remainder.length,
   };
 }
 
--- a/packages/reedlug-gateway/src/daemon/feedFollower.ts
+++ b/packages/reedlug-gateway/src/daemon/feedFollower.ts
@@ -12,8 +12,8 @@
 /** Pause before asking again whether a feed is needed, in ms: short against the users' 2 s. */
 const NOT_NEEDED_PAUSE_MS = 200;
 /** Pause after a call that failed, in ms; doubled up to the longest. */
-const FIRST_PAUSE_MS = 100;
-const LONGEST_PAUSE_MS = 500;
+const INITIAL_PAUSE_MS = 100;
+const MAX_PAUSE_MS = 500;
 
 /** What a follower tells. */
 export interface FeedListener<T> {
@@ -25,7 +25,7 @@
   /** Asked before each call once the whole has been read; while it says no, nothing is asked. */
   isNeeded?: () => boolean;
   /** Longest pause after calls that failed, in ms; each failed call is paid for as well. */
-  longestPauseMs?: number;
+  maxPauseMs?: number;
   /** Pause after a page with changes, in ms, so that a burst of changes comes in few pages. */
   pauseAfterPageMs?: number;
 }
@@ -33,13 +33,13 @@
 /** A feed that is followed. */
 export interface FollowedFeed {
   /** Drops the position and the call that waits, and reads the whole anew. */
-  readAgain: () => void;
+  restart: () => void;
   stop: () => void;
 }
 
 /** One reading of the whole and what follows it; the answer of a call that was given up is dropped. */
-interface Following {
-  isOver: boolean;
+interface FollowRun {
+  isCancelled: boolean;
   call: AbortController;
 }
 
@@ -50,18 +50,18 @@
   listener: FeedListener<T>,
   clock: Clock = PROCESS_CLOCK,
 ): FollowedFeed {
-  let current: Following = { isOver: false, call: new AbortController() };
+  let current: FollowRun = { isCancelled: false, call: new AbortController() };
   let hasReadWhole = false;
   let position: number | undefined;
-  let pauseMs = FIRST_PAUSE_MS;
+  let pauseMs = INITIAL_PAUSE_MS;
 
-  const ask = (signal: AbortSignal): Promise<FeedAnswer<T>> => {
+  const requestPage = (signal: AbortSignal): Promise<FeedAnswer<T>> => {
     if (position === undefined) return feed.readAll(ANSWER_MARGIN_MS);
     const timeoutMs = waitMs + ANSWER_MARGIN_MS;
     return feed.follow({ afterRevision: position, waitMs, timeoutMs, signal });
   };
 
-  const takePage = async (page: FeedPage<T>): Promise<void> => {
+  const applyPage = async (page: FeedPage<T>): Promise<void> => {
     const { items, revision, newestRevision, storeNowMs } = page;
     if (eraOf(revision) < (listener.storeEra?.() ?? 0)) return fail('answer of an earlier era');
     const whole = position === undefined;
@@ -69,7 +69,7 @@
       position = undefined;
       return;
     }
-    pauseMs = FIRST_PAUSE_MS;
+    pauseMs = INITIAL_PAUSE_MS;
     position = revision;
     hasReadWhole = true;
     listener.onContact(true, '');
@@ -82,19 +82,19 @@
   const fail = async (reason: string): Promise<void> => {
     listener.onContact(false, reason);
     await clock.pause(pauseMs);
-    pauseMs = Math.min(listener.longestPauseMs ?? LONGEST_PAUSE_MS, pauseMs * 2);
+    pauseMs = Math.min(listener.maxPauseMs ?? MAX_PAUSE_MS, pauseMs * 2);
   };
 
-  const step = async (following: Following): Promise<void> => {
+  const step = async (following: FollowRun): Promise<void> => {
     if (hasReadWhole && listener.isNeeded?.() === false) {
       return clock.pause(NOT_NEEDED_PAUSE_MS);
     }
     following.call = new AbortController();
-    const answer = await ask(following.call.signal);
-    if (following.isOver) return;
+    const answer = await requestPage(following.call.signal);
+    if (following.isCancelled) return;
     switch (answer.kind) {
       case 'page':
-        return takePage(answer.page);
+        return applyPage(answer.page);
       case 'historyGone':
         position = undefined;
         return;
@@ -103,23 +103,23 @@
     }
   };
 
-  const run = async (following: Following): Promise<void> => {
-    while (!following.isOver) await step(following);
+  const run = async (following: FollowRun): Promise<void> => {
+    while (!following.isCancelled) await step(following);
   };
-  const end = (): void => {
-    current.isOver = true;
+  const cancel = (): void => {
+    current.isCancelled = true;
     current.call.abort();
   };
   void run(current);
   return {
-    readAgain() {
-      if (current.isOver) return;
-      end();
-      current = { isOver: false, call: new AbortController() };
+    restart() {
+      if (current.isCancelled) return;
+      cancel();
+      current = { isCancelled: false, call: new AbortController() };
       position = undefined;
-      pauseMs = FIRST_PAUSE_MS;
+      pauseMs = INITIAL_PAUSE_MS;
       void run(current);
     },
-    stop: end,
+    stop: cancel,
   };
 }
--- a/packages/reedlug-gateway/src/daemon/gatewayDaemon.ts
+++ b/packages/reedlug-gateway/src/daemon/gatewayDaemon.ts
@@ -21,7 +21,7 @@
 import { TICK_MS } from './daemonTimes.js';
 import { eventOfDatagram } from './datagramEvent.js';
 import { performEffect } from './effects.js';
-import { handleInTurn } from './handleInTurn.js';
+import { createSequentialHandler } from './sequentialHandler.js';
 import { followPlatform, type PlatformFeeds } from './platformFeeds.js';
 import { createOperatorServer } from './operatorServer.js';
 import { openPeerSocket, type PeerSocket } from './peerSocket.js';
@@ -70,7 +70,7 @@
   // The clock's zero is the begin of the process.
   const nowMs = clock.nowMs();
   const state = createGatewayState({ settings, incarnation, nowMs, processAgeMs: nowMs });
-  const emit = handleInTurn((body) => {
+  const emit = createSequentialHandler((body) => {
     const event = { ...body, nowMs: clock.nowMs(), wallClockMs: Date.now() };
     for (const effect of reduce(state, event)) performEffect(runtime, effect);
   });
@@ -128,14 +128,14 @@
 async function listenAll(runtime: Runtime): Promise<Server[]> {
   const { settings, state } = runtime;
   const callers = createCallerServer({
-    onRequest: (exchange) => takeRequest(runtime, exchange),
+    onRequest: (exchange) => acceptRequest(runtime, exchange),
     onCallerGone: (exchangeId) => {
       runtime.exchanges.delete(exchangeId);
       runtime.emit({ type: 'callerGone', exchangeId });
     },
     onRejected: (status, reason) => runtime.logger('requestRejected', { status, reason }),
     limits: () => state.active?.configuration.limits,
-    isStopping: () => state.stoppingSinceMs !== undefined,
+    isShuttingDown: () => state.stoppingSinceMs !== undefined,
   });
   const readiness = createServer((_request, response) => {
     response.writeHead(isReady(state) ? 200 : 503, { 'content-length': 0 });
@@ -156,7 +156,7 @@
   });
 }
 
-function takeRequest(runtime: Runtime, exchange: CallerExchange): void {
+function acceptRequest(runtime: Runtime, exchange: CallerExchange): void {
   const decoded = runtime.adapter.headers.decodeRequest(exchange.head);
   if (decoded.kind === 'malformed') {
     runtime.logger('requestRejected', { status: 400, reason: decoded.message });
--- a/packages/reedlug-gateway/src/daemon/operatorServer.ts
+++ b/packages/reedlug-gateway/src/daemon/operatorServer.ts
@@ -15,7 +15,7 @@
 const VERDICTS_PATH = '/verdicts';
 
 /** What the server shows and acts on. */
-export interface OperatedBox {
+export interface OperatorServerContext {
   state: GatewayState;
   clock: Clock;
   metrics: GatewayMetrics;
@@ -24,7 +24,7 @@
 }
 
 /** Returns the server; it does not listen yet. */
-export function createOperatorServer(box: OperatedBox): Server {
+export function createOperatorServer(box: OperatorServerContext): Server {
   return createServer((request, response) => {
     const path = (request.url ?? '/').split('?', 1)[0] ?? '/';
     if (request.method === 'GET' && path === VERDICTS_PATH) return showVerdicts(box, response);
@@ -35,25 +35,25 @@
   });
 }
 
-function showVerdicts({ state, clock }: OperatedBox, response: ServerResponse): void {
+function showVerdicts({ state, clock }: OperatorServerContext, response: ServerResponse): void {
   response.setHeader('Content-Type', 'application/json');
   response.end(JSON.stringify(blockedSuspects(state, clock.nowMs())));
 }
 
 function liftVerdict(
-  box: OperatedBox,
+  box: OperatorServerContext,
   { method, key }: { method: string | undefined; key: string | undefined },
   response: ServerResponse,
 ): void {
-  if (method !== 'DELETE') return end(response, 405, 'DELETE lifts a verdict');
+  if (method !== 'DELETE') return respond(response, 405, 'DELETE lifts a verdict');
   const isKnown = blockedSuspects(box.state, box.clock.nowMs()).some(
     (verdict) => verdict.key === key,
   );
   if (key === undefined || !isKnown) {
-    return end(response, 404, 'no such verdict: GET /verdicts names those that stand');
+    return respond(response, 404, 'no such verdict: GET /verdicts names those that stand');
   }
   box.emit({ type: 'verdictLifted', key });
-  end(response, 204, '');
+  respond(response, 204, '');
 }
 
 function keyOf(path: string): string | undefined {
@@ -65,12 +65,12 @@
   }
 }
 
-function end(response: ServerResponse, status: number, text: string): void {
+function respond(response: ServerResponse, status: number, text: string): void {
   response.writeHead(status);
   response.end(text);
 }
 
-function showMetrics(box: OperatedBox, response: ServerResponse): void {
+function showMetrics(box: OperatorServerContext, response: ServerResponse): void {
   const { state, clock, metrics, logger } = box;
   metrics.versions.set({ of: 'configuration' }, state.active?.configuration.version ?? 0);
   metrics.versions.set({ of: 'servers' }, versionOf(state.serversRevision));
--- a/packages/reedlug-gateway/src/daemon/peerSocket.ts
+++ b/packages/reedlug-gateway/src/daemon/peerSocket.ts
@@ -8,11 +8,11 @@
 import type { PeerDatagram } from '../types/peer.js';
 import type { SharedState } from '../slices/sharedState.js';
 import type { HostPort } from '../types/server.js';
-import { ASK_TIMEOUT_MS } from './daemonTimes.js';
+import { PEER_REQUEST_TIMEOUT_MS } from './daemonTimes.js';
 import { decodeDatagram, decoder, encodeDatagram, encoder } from './peerWire.js';
 
 /** Paths of what peers ask for; boxes of an earlier version know the first alone and give it for both. */
-const WHOLE_PATH = '/state';
+const SHARED_STATE_PATH = '/state';
 const CONFIGURATION_PATH = '/configuration';
 
 /** A box's end of the link. */
@@ -55,8 +55,8 @@
     async ask(peer, withServers) {
       const client = new Client(`http://${peer.host}:${peer.port}`);
       try {
-        const signal = AbortSignal.timeout(ASK_TIMEOUT_MS);
-        const path = withServers ? WHOLE_PATH : CONFIGURATION_PATH;
+        const signal = AbortSignal.timeout(PEER_REQUEST_TIMEOUT_MS);
+        const path = withServers ? SHARED_STATE_PATH : CONFIGURATION_PATH;
         const { body } = await client.request({ method: 'GET', path, signal });
         return decoder.decode(Buffer.from(await body.arrayBuffer())) as SharedState;
       } catch (error) {
--- a/packages/reedlug-gateway/src/daemon/peerWire.ts
+++ b/packages/reedlug-gateway/src/daemon/peerWire.ts
@@ -26,7 +26,7 @@
 type WireKind = Exclude<PeerDatagram['kind'], 'serverStatements'>;
 
 /** Kinds of datagrams, with what each must hold to be taken. */
-const PARTS_OF_KINDS: Readonly<Record<WireKind, readonly string[]>> = {
+const REQUIRED_OBJECTS: Readonly<Record<WireKind, readonly string[]>> = {
   news: ['loads', 'sendSums', 'admitted', 'usage'],
   usage: ['usage'],
   unitsAsked: [],
@@ -46,13 +46,13 @@
   return encoder.encode({
     ...message,
     loads: {},
-    loadRows: Object.entries(loads).map(rowOf),
+    loadRows: Object.entries(loads).map(loadRowOf),
     registry: registry === undefined ? undefined : { ...registry, changes: [] },
     changeRows: registry?.changes.map(changeRowOf),
   });
 }
 
-function rowOf([id, load]: [string, ServerLoad]): LoadRow {
+function loadRowOf([id, load]: [string, ServerLoad]): LoadRow {
   const { running, prefillTokens, unread = 0, unreadByUrgency = [] } = load;
   return [id, running, prefillTokens, unread, ...unreadByUrgency];
 }
@@ -68,11 +68,11 @@
   }
   if (isStatementRows(value)) return statementsOfRows(value);
   if (!isDatagram(value)) return undefined;
-  const { loadRows, changeRows, ...told } = value as PeerDatagram & Rows;
-  if (told.kind !== 'news') return told;
-  const message = withSoundParts(told);
+  const { loadRows, changeRows, ...datagram } = value as PeerDatagram & GossipRows;
+  if (datagram.kind !== 'news') return datagram;
+  const message = withoutInvalidFields(datagram);
   if (!Array.isArray(loadRows)) return message;
-  const loads = Object.fromEntries(loadRows.filter(isRow).map(loadOf));
+  const loads = Object.fromEntries(loadRows.filter(isLoadRow).map(loadOf));
   const { registry } = message;
   if (registry === undefined || !Array.isArray(changeRows)) return { ...message, loads };
   const changes = changeRows.filter(isChangeRow).map(changeOf);
@@ -80,13 +80,13 @@
 }
 
 /** What news hold in place of loads and changes; a box of an earlier version sends none. */
-interface Rows {
+interface GossipRows {
   loadRows?: unknown;
   changeRows?: unknown;
 }
 
 /** Numbers that a kind must hold to be taken. */
-const NUMBERS_OF_KINDS: Readonly<Record<WireKind, readonly string[]>> = {
+const REQUIRED_NUMBERS: Readonly<Record<WireKind, readonly string[]>> = {
   news: ['incarnation', 'sequence'],
   usage: ['incarnation'],
   unitsAsked: ['incarnation', 'askId', 'units', 'hops', 'port'],
@@ -96,7 +96,7 @@
 };
 
 /** Leaves out what news may hold and is not as it should be, as a box of an earlier version does not tell it. */
-function withSoundParts(message: PeerMessage): PeerMessage {
+function withoutInvalidFields(message: PeerMessage): PeerMessage {
   const { storeEra, decisions, ...others } = message;
   return {
     ...others,
@@ -125,16 +125,16 @@
 /** Whether a value is of a known kind and has that kind's parts. */
 function isDatagram(value: unknown): value is PeerDatagram {
   if (typeof value !== 'object' || value === null) return false;
-  const parts = value as Record<string, unknown>;
-  const kind = String(parts['kind']);
-  if (!Object.hasOwn(PARTS_OF_KINDS, kind) || typeof parts['boxId'] !== 'string') return false;
-  const required = PARTS_OF_KINDS[kind as WireKind];
-  const numbers = NUMBERS_OF_KINDS[kind as WireKind];
-  if (!numbers.every((name) => Number.isFinite(parts[name]))) return false;
-  return required.every((name) => typeof parts[name] === 'object' && parts[name] !== null);
+  const fields = value as Record<string, unknown>;
+  const kind = String(fields['kind']);
+  if (!Object.hasOwn(REQUIRED_OBJECTS, kind) || typeof fields['boxId'] !== 'string') return false;
+  const required = REQUIRED_OBJECTS[kind as WireKind];
+  const numbers = REQUIRED_NUMBERS[kind as WireKind];
+  if (!numbers.every((name) => Number.isFinite(fields[name]))) return false;
+  return required.every((name) => typeof fields[name] === 'object' && fields[name] !== null);
 }
 
-function isRow(row: unknown): row is LoadRow {
+function isLoadRow(row: unknown): row is LoadRow {
   if (!Array.isArray(row) || row.length < 4 || typeof row[0] !== 'string') return false;
   return row.slice(1).every(Number.isFinite);
 }
@@ -165,15 +165,15 @@
 /** Values of a change with an entry; boxes of an earlier version do not tell the last, when a server was born. */
 const CHANGE_ROW_LENGTHS: readonly number[] = [11, 12];
 /** Stands for what a server did not tell. */
-const NOT_TOLD = -1;
+const ABSENT = -1;
 
 function changeRowOf({ number, id, entry }: NumberedChange): ChangeRow {
   if (entry === undefined) return [number, id];
   const { service, address, zone, slots, state, reclaimable } = entry;
-  const { leavesInMs = NOT_TOLD, version = '', bornAtMs = NOT_TOLD } = entry;
+  const { leavesInMs = ABSENT, version = '', bornAtMs = ABSENT } = entry;
   const { host, port } = address;
-  const told = [slots, state, reclaimable, leavesInMs, version, bornAtMs] as const;
-  return [number, id, service, host, port, zone, ...told];
+  const entryValues = [slots, state, reclaimable, leavesInMs, version, bornAtMs] as const;
+  return [number, id, service, host, port, zone, ...entryValues];
 }
 
 /** A row that is none leaves a gap in the numbers, so that the whole registry is asked for. */
@@ -185,15 +185,26 @@
 function changeOf(row: ChangeRow): NumberedChange {
   const [number, id] = row;
   if (row.length === 2) return { number, id, entry: undefined };
-  const [, , service, host, port, zone, slots, state, reclaimable, leaves, versionText] = row;
-  const [, , , , , , , , , , , born = NOT_TOLD] = row;
+  const [, , service, host, port, zone, slots, state, reclaimable, leavesValue, versionText] = row;
+  const [, , , , , , , , , , , bornValue = ABSENT] = row;
   const address = { host, port };
-  const leavesInMs = leaves === NOT_TOLD ? undefined : leaves;
+  const leavesInMs = leavesValue === ABSENT ? undefined : leavesValue;
   const version = versionText === '' ? undefined : versionText;
-  const life = born === NOT_TOLD ? {} : { bornAtMs: born };
+  const startTime = bornValue === ABSENT ? {} : { bornAtMs: bornValue };
   return {
     number,
     id,
-    entry: { id, service, address, zone, slots, state, reclaimable, leavesInMs, version, ...life },
+    entry: {
+      id,
+      service,
+      address,
+      zone,
+      slots,
+      state,
+      reclaimable,
+      leavesInMs,
+      version,
+      ...startTime,
+    },
   };
 }
--- a/packages/reedlug-gateway/src/daemon/platformFeeds.ts
+++ b/packages/reedlug-gateway/src/daemon/platformFeeds.ts
@@ -5,18 +5,18 @@
 import type { EventBody, PeerChange } from '../types/event.js';
 import type { GatewaySettings } from '../types/settings.js';
 import { followsStore, ownAddress, startDelayMs } from '../slices/fleet.js';
-import { keepBoxEntry } from './boxEntry.js';
+import { maintainBoxEntry } from './boxEntry.js';
 import type { Clock } from './clock.js';
 import { followFeed, type FeedListener } from './feedFollower.js';
 
 /** How long a poll of configuration or registry is held, in ms: a lost answer is noticed within the users' 2 s. */
-const WATCH_WAIT_MS = 2000;
+const POLL_WAIT_MS = 2000;
 /** How long a poll of the boxes is held, in ms: the longest that the users' store holds one; boxes also hear of each other directly. */
-const BOXES_WAIT_MS = 30_000;
+const BOXES_POLL_WAIT_MS = 30_000;
 /** Pause after a change of the boxes, in ms: at a start all of them enter themselves at once, and each would wake all others. */
 const BOXES_PAUSE_MS = 1000;
 /** Longest pause of that poll after failed ones, in ms: nothing of a box depends on it for a while; at half a second each box that is turned away for 9 s asks 20 times, so 7. */
-const BOXES_LONGEST_PAUSE_MS = 4000;
+const BOXES_MAX_PAUSE_MS = 4000;
 /** Pause after a change of the registry, in ms: dozens of engines come and go within a second, and members hear of them each 0.2 s anyway. */
 const SERVERS_PAUSE_MS = 200;
 
@@ -33,14 +33,14 @@
 /** The store's collections, followed. */
 export interface PlatformFeeds {
   /** Reads all of them anew, since the store came back from a copy. */
-  readAgain: () => void;
+  restart: () => void;
   stop: () => void;
 }
 
 /** Starts to follow. */
 export function followPlatform(runtime: FeedRuntime): PlatformFeeds {
   const { store, emit, logger, settings, clock } = runtime;
-  const entry = keepBoxEntry({
+  const entry = maintainBoxEntry({
     store,
     clock,
     logger,
@@ -57,7 +57,7 @@
   const isNeeded = (): boolean => followsStore(runtime.state, clock.nowMs());
   const operators = followFeed(
     store.operators,
-    WATCH_WAIT_MS,
+    POLL_WAIT_MS,
     {
       ...common('operators'),
       isNeeded,
@@ -66,14 +66,14 @@
         if (!reachable) logger('feedFault', { feed: 'operators', reason });
       },
       onPage({ items }) {
-        for (const item of rolloutsFirst(items)) takeOperatorEntry(runtime, item);
+        for (const item of rolloutsFirst(items)) emitOperatorEntry(runtime, item);
       },
     },
     clock,
   );
   const servers = followFeed(
     store.servers,
-    WATCH_WAIT_MS,
+    POLL_WAIT_MS,
     {
       ...common('servers'),
       isNeeded,
@@ -87,11 +87,11 @@
   );
   const boxes = followFeed(
     store.boxes,
-    BOXES_WAIT_MS,
+    BOXES_POLL_WAIT_MS,
     {
       ...common('boxes'),
       pauseAfterPageMs: BOXES_PAUSE_MS,
-      longestPauseMs: BOXES_LONGEST_PAUSE_MS,
+      maxPauseMs: BOXES_MAX_PAUSE_MS,
       onPage({ items, whole, newestRevision }) {
         const revision = newestRevision;
         if (whole || items.length > 0)
@@ -102,16 +102,16 @@
     clock,
   );
   const { listen, seeds } = settings;
-  const seedPeers = seeds.map(({ host }) => seedOf(host, listen.peersPort));
+  const seedPeers = seeds.map(({ host }) => seedPeer(host, listen.peersPort));
   if (seedPeers.length > 0) emit({ type: 'peersListed', changes: seedPeers });
   let isStopped = false;
   return {
-    readAgain() {
-      operators.readAgain();
-      servers.readAgain();
+    restart() {
+      operators.restart();
+      servers.restart();
       // Every box of a large fleet follows the list of boxes, and nothing waits for it.
       void clock.pause(startDelayMs(runtime.state)).then(() => {
-        if (!isStopped) boxes.readAgain();
+        if (!isStopped) boxes.restart();
       });
     },
     stop() {
@@ -130,7 +130,7 @@
   return [...items.filter(isFirst), ...items.filter((item) => !isFirst(item))];
 }
 
-function takeOperatorEntry({ emit, logger }: FeedRuntime, entry: OperatorEntry): void {
+function emitOperatorEntry({ emit, logger }: FeedRuntime, entry: OperatorEntry): void {
   switch (entry.kind) {
     case 'configuration': {
       const { configuration } = entry;
@@ -144,6 +144,6 @@
 }
 
 /** A box of which the settings tell only the address; its real name replaces the address once it is known. */
-function seedOf(host: string, port: number): PeerChange {
+function seedPeer(host: string, port: number): PeerChange {
   return { boxId: host, address: { boxId: host, host, port, zone: undefined, processorCores: 0 } };
 }
--- a/packages/reedlug-gateway/src/daemon/runGateway.ts
+++ b/packages/reedlug-gateway/src/daemon/runGateway.ts
@@ -10,9 +10,9 @@
 import { startGatewayDaemon } from './gatewayDaemon.js';
 
 /** Bytes of log that may wait for their reader, in bytes: about a second of lines. */
-const LOG_WAITING_BYTES = 256 * 1024;
+const MAX_BUFFERED_LOG_BYTES = 256 * 1024;
 /** Exit codes. */
-const EXIT_SETTINGS = 2;
+const EXIT_INVALID_SETTINGS = 2;
 
 /** Runs until a planned stop has ended. */
 export async function runGateway(params: {
@@ -23,7 +23,7 @@
   const settings = await readSettings(settingsPath);
   if (settings === undefined) return;
   const metrics = createGatewayMetrics();
-  const sink = streamSink(process.stdout, LOG_WAITING_BYTES);
+  const sink = streamSink(process.stdout, MAX_BUFFERED_LOG_BYTES);
   const logger = createBoundedLog({
     logger: createLogger({ box: settings.box.id }, sink.write),
     isFull: sink.isFull,
@@ -47,7 +47,7 @@
   const result = validateGatewaySettings(await readFile(path, 'utf8'));
   if (result.kind === 'valid') return result.settings;
   for (const fault of result.faults) process.stderr.write(`${path}: ${fault}\n`);
-  process.exitCode = EXIT_SETTINGS;
+  process.exitCode = EXIT_INVALID_SETTINGS;
   return undefined;
 }
 
--- a/packages/reedlug-gateway/src/daemon/handleInTurn.ts
+++ b/packages/reedlug-gateway/src/daemon/sequentialHandler.ts
@@ -2,7 +2,9 @@
 import type { EventBody } from '../types/event.js';
 
 /** Makes the function that takes a box's events; `handle` is never called within itself. */
-export function handleInTurn(handle: (body: EventBody) => void): (body: EventBody) => void {
+export function createSequentialHandler(
+  handle: (body: EventBody) => void,
+): (body: EventBody) => void {
   const pending: EventBody[] = [];
   let busy = false;
   return (body) => {
--- a/packages/reedlug-gateway/src/daemon/statementWire.ts
+++ b/packages/reedlug-gateway/src/daemon/statementWire.ts
@@ -20,7 +20,7 @@
  * Server, start of its life, how much longer it rests, and how long ago that was asked, probed and served;
  * boxes of the version before tell the first three alone.
  */
-type RestRow = readonly [
+type PauseRow = readonly [
   string,
   number | null,
   number,
@@ -30,7 +30,7 @@
 ];
 
 /** A server that leaves, and start of its life. */
-type LeavingRow = readonly [string, number | null];
+type DrainingRow = readonly [string, number | null];
 
 /** A server that refused, start of its life, and how long ago that was. */
 type RefusalRow = readonly [string, number | null, number];
@@ -40,17 +40,17 @@
   kind: typeof STATEMENTS_WIRE_KIND;
   boxId: string;
   limits: readonly LimitRow[];
-  pauses: readonly RestRow[];
+  pauses: readonly PauseRow[];
   /** Boxes of the version before neither send nor read it. */
-  leaving: readonly LeavingRow[];
+  leaving: readonly DrainingRow[];
   refusals: readonly RefusalRow[];
 }
 
 /** The rows of a message. */
 export function statementRows({ boxId, statements }: ServerStatementsMessage): StatementRows {
   const limits: LimitRow[] = [];
-  const pauses: RestRow[] = [];
-  const leaving: LeavingRow[] = [];
+  const pauses: PauseRow[] = [];
+  const leaving: DrainingRow[] = [];
   const refusals: RefusalRow[] = [];
   for (const { serverId, bornAtMs = null, statement } of statements) {
     switch (statement.kind) {
@@ -84,15 +84,15 @@
   if (!Array.isArray(limits) || !Array.isArray(pauses) || !Array.isArray(leaving)) return undefined;
   if (!Array.isArray(refusals)) return undefined;
   const statements = [
-    ...limits.flatMap((row) => read(row, limitOf)),
-    ...pauses.flatMap((row) => read(row, restOf)),
-    ...refusals.flatMap((row) => read(row, refusalOf)),
-    ...leaving.flatMap((row) => read(row, () => ({ kind: 'leaving' }))),
+    ...limits.flatMap((row) => readRow(row, limitOf)),
+    ...pauses.flatMap((row) => readRow(row, pauseOf)),
+    ...refusals.flatMap((row) => readRow(row, refusalOf)),
+    ...leaving.flatMap((row) => readRow(row, () => ({ kind: 'leaving' }))),
   ];
   return { kind: 'serverStatements', boxId, statements };
 }
 
-function read(
+function readRow(
   row: unknown,
   statementOf: (values: readonly unknown[]) => ServerStatement | undefined,
 ): IncarnationStatement[] {
@@ -114,7 +114,7 @@
   return isFiniteNumber(ageMs) ? { kind: 'refusal', ageMs } : undefined;
 }
 
-function restOf(values: readonly unknown[]): ServerStatement | undefined {
+function pauseOf(values: readonly unknown[]): ServerStatement | undefined {
   const [leftMs, askedAgeMs = 0, probeAgeMs = null, servedAgeMs = null] = values;
   if (!isFiniteNumber(leftMs) || !isFiniteNumber(askedAgeMs)) return undefined;
   if (!isFiniteNumberOrNull(probeAgeMs) || !isFiniteNumberOrNull(servedAgeMs)) return undefined;
--- a/packages/reedlug-gateway/src/daemon/tableEvents.ts
+++ b/packages/reedlug-gateway/src/daemon/tableEvents.ts
@@ -10,8 +10,8 @@
   { purpose, sentAtMs, reply }: { purpose: TablePurpose; sentAtMs: number; reply: StoreTableReply },
 ): EventBody[] {
   const { storeNowMs, era } = reply;
-  const isOver = era !== undefined && storeEra !== undefined && era < storeEra;
-  const answer: TableAnswer = isOver ? { kind: 'unknown' } : reply.answer;
+  const isPastEra = era !== undefined && storeEra !== undefined && era < storeEra;
+  const answer: TableAnswer = isPastEra ? { kind: 'unknown' } : reply.answer;
   const events: EventBody[] = [{ type: 'tableAnswered', purpose, answer, sentAtMs }];
   if (storeNowMs !== undefined) events.unshift({ type: 'storeClock', storeNowMs });
   return events;
--- a/packages/reedlug-gateway/src/index.ts
+++ b/packages/reedlug-gateway/src/index.ts
@@ -6,7 +6,7 @@
 export type { Clock } from './daemon/clock.js';
 export * from './daemon/daemonTimes.js';
 export { eventOfDatagram } from './daemon/datagramEvent.js';
-export { handleInTurn } from './daemon/handleInTurn.js';
+export { createSequentialHandler as handleInTurn } from './daemon/sequentialHandler.js';
 export { followPlatform, type PlatformFeeds } from './daemon/platformFeeds.js';
 export { eventsOfTable } from './daemon/tableEvents.js';
 export {
--- a/packages/reedlug-simulator/src/boxes/performEffect.ts
+++ b/packages/reedlug-simulator/src/boxes/performEffect.ts
@@ -1,6 +1,6 @@
 /** Carries out the effects of a box's reducer in the world. */
 import {
-  ASK_TIMEOUT_MS,
+  PEER_REQUEST_TIMEOUT_MS,
   CLOUD_TIMEOUT_MS,
   CONNECT_TIMEOUT_MS,
   eventOfDatagram,
@@ -62,7 +62,7 @@
     case 'callCloud':
       return callCloud(world, box, effect);
     case 'readStoreAgain':
-      return box.feeds?.readAgain();
+      return box.feeds?.restart();
     case 'sendPeers':
       return sendPeers(world, box, effect);
     case 'askPeer':
@@ -283,6 +283,8 @@
   later(world, ms, () => {
     if (!peer.isListening || areCut(world, box.settings.box.zone, zone)) return;
     const events = eventsOfShared(sharedStateOf(peer.state, effect.withServers));
-    later(world, Math.min(ms, ASK_TIMEOUT_MS), () => events.forEach((event) => box.emit(event)));
+    later(world, Math.min(ms, PEER_REQUEST_TIMEOUT_MS), () =>
+      events.forEach((event) => box.emit(event)),
+    );
   });
 }
