--- a/packages/reedlug-gateway/src/daemon/runGateway.ts
+++ b/packages/reedlug-gateway/src/daemon/runGateway.ts
@@ -28,7 +28,7 @@
     logger: createLogger({ box: settings.box.id }, sink.write),
     isFull: sink.isFull,
     nowMs: () => performance.now(),
-    onLeftOut: () => metrics.linesLeftOut.inc(),
+    onDropped: () => metrics.linesLeftOut.inc(),
   });
   const daemon = await startGatewayDaemon({
     settings,
--- a/packages/reedlug-gateway/src/index.ts
+++ b/packages/reedlug-gateway/src/index.ts
@@ -6,7 +6,7 @@
 export type { Clock } from './daemon/clock.js';
 export * from './daemon/daemonTimes.js';
 export { eventOfDatagram } from './daemon/datagramEvent.js';
-export { createSequentialHandler as handleInTurn } from './daemon/sequentialHandler.js';
+export { createSequentialHandler } from './daemon/sequentialHandler.js';
 export { followPlatform, type PlatformFeeds } from './daemon/platformFeeds.js';
 export { eventsOfTable } from './daemon/tableEvents.js';
 export {
@@ -20,7 +20,7 @@
 export { runGateway } from './daemon/runGateway.js';
 export { startGatewayDaemon, type GatewayDaemon } from './daemon/gatewayDaemon.js';
 export { explainRequest, type Explanation } from './observe/explainRequest.js';
-export { limitAccount, limitRefusals } from './observe/limitAccount.js';
+export { summarizeLimitRefusals, limitRefusals } from './observe/limitRefusals.js';
 export { createLogger, quoted, type Logger, type LogValue } from './observe/logger.js';
 export { parseHostPort, validateGatewaySettings } from './settings/gatewaySettingsValidation.js';
 export { CHECKPOINT_KEY } from './types/checkpoint.js';
--- a/packages/reedlug-gateway/src/observe/__tests__/boundedLog.test.ts
+++ b/packages/reedlug-gateway/src/observe/__tests__/boundedLog.test.ts
@@ -7,28 +7,28 @@
   fields: Readonly<Record<string, LogValue>>;
 }
 
-function boundedLog(clock: { nowMs: number; full: boolean }) {
+function createTestLog(clock: { nowMs: number; full: boolean }) {
   const written: Written[] = [];
-  let leftOut = 0;
+  let dropped = 0;
   const log = createBoundedLog({
     logger: (event, fields) => written.push({ event, fields }),
     isFull: () => clock.full,
     nowMs: () => clock.nowMs,
-    onLeftOut: () => {
-      leftOut += 1;
+    onDropped: () => {
+      dropped += 1;
     },
   });
-  return { log, written, leftOut: () => leftOut };
+  return { log, written, dropped: () => dropped };
 }
 
 test('a flood of one kind is bounded, counted, and told in the next second', () => {
   const clock = { nowMs: 0, full: false };
-  const { log, written, leftOut } = boundedLog(clock);
+  const { log, written, dropped } = createTestLog(clock);
   for (let index = 0; index < 1000; index += 1) log('requestRefused', {});
   log('serverGone', {});
   expect(written.filter(({ event }) => event === 'requestRefused')).to.have.length(100);
   expect(written.at(-1)?.event).to.equal('serverGone');
-  expect(leftOut()).to.equal(900);
+  expect(dropped()).to.equal(900);
   clock.nowMs = 1001;
   log('serverAdded', {});
   const told = written.find(({ event }) => event === 'linesLeftOut');
@@ -37,10 +37,10 @@
 
 test('a full pipe takes no lines and blocks nothing', () => {
   const clock = { nowMs: 0, full: true };
-  const { log, written, leftOut } = boundedLog(clock);
+  const { log, written, dropped } = createTestLog(clock);
   log('requestSent', {});
   expect(written).to.have.length(0);
-  expect(leftOut()).to.equal(1);
+  expect(dropped()).to.equal(1);
   clock.full = false;
   clock.nowMs = 2000;
   log('requestSent', {});
--- a/packages/reedlug-gateway/src/observe/__tests__/limitAccount.test.ts
+++ b/packages/reedlug-gateway/src/observe/__tests__/limitRefusals.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { limitAccount, limitRefusals } from '../limitAccount.js';
+import { summarizeLimitRefusals, limitRefusals } from '../limitRefusals.js';
 
 const WINDOW_MS = 8000;
 
@@ -28,7 +28,7 @@
   ].join('\n');
   const refusals = limitRefusals(log, WINDOW_MS);
   expect(refusals.map(({ fleetUsed }) => fleetUsed)).to.deep.equal([70, 70, 40]);
-  expect(limitAccount(refusals)).to.deep.equal([
+  expect(summarizeLimitRefusals(refusals)).to.deep.equal([
     { workspace: 'tiger', refusals: 3, within: 2, withinAfterStart: 0, medianUsedShare: 0.7 },
   ]);
 });
--- a/packages/reedlug-gateway/src/observe/boundedLog.ts
+++ b/packages/reedlug-gateway/src/observe/boundedLog.ts
@@ -31,29 +31,29 @@
   logger: Logger;
   isFull: () => boolean;
   nowMs: () => number;
-  onLeftOut: () => void;
+  onDropped: () => void;
 }): Logger {
-  const { logger, isFull, nowMs, onLeftOut } = params;
+  const { logger, isFull, nowMs, onDropped } = params;
   let secondStartMs = nowMs();
   let written = new Map<string, number>();
-  let leftOut = new Map<string, number>();
+  let dropped = new Map<string, number>();
 
-  const nextSecond = (): void => {
+  const startSecondIfDue = (): void => {
     if (nowMs() - secondStartMs < SECOND_MS) return;
     secondStartMs = nowMs();
     written = new Map();
-    if (leftOut.size === 0 || isFull()) return;
-    const counts: Record<string, LogValue> = Object.fromEntries(leftOut);
-    leftOut = new Map();
+    if (dropped.size === 0 || isFull()) return;
+    const counts: Record<string, LogValue> = Object.fromEntries(dropped);
+    dropped = new Map();
     logger('linesLeftOut', counts);
   };
 
   return (event, fields) => {
-    nextSecond();
+    startSecondIfDue();
     const count = written.get(event) ?? 0;
     if (count >= LINES_PER_SECOND || isFull()) {
-      leftOut.set(event, (leftOut.get(event) ?? 0) + 1);
-      return onLeftOut();
+      dropped.set(event, (dropped.get(event) ?? 0) + 1);
+      return onDropped();
     }
     written.set(event, count + 1);
     logger(event, fields);
--- a/packages/reedlug-gateway/src/observe/explainRequest.ts
+++ b/packages/reedlug-gateway/src/observe/explainRequest.ts
@@ -14,12 +14,12 @@
 }
 
 /** A pair; a value with blanks is quoted as in JSON. */
-const PAIR = /([\w.]+)=("(?:[^"\\]|\\.)*"|\S*)/g;
+const KEY_VALUE_PAIR = /([\w.]+)=("(?:[^"\\]|\\.)*"|\S*)/g;
 
 /** Reads a line of key=value pairs; undefined when it is none of ours. */
 export function parseLogLine(text: string): LogLine | undefined {
   const fields = new Map<string, string>();
-  for (const [, key = '', raw = ''] of text.matchAll(PAIR)) {
+  for (const [, key = '', raw = ''] of text.matchAll(KEY_VALUE_PAIR)) {
     fields.set(key, raw.startsWith('"') ? String(JSON.parse(raw)) : raw);
   }
   const time = fields.get('time');
@@ -51,7 +51,7 @@
     case 'requestFinished':
       return `answered with ${field('outcome')} after ${field('heldMs')} ms; ${sentTo}`;
     case 'requestRefused':
-      return `refused with ${field('status')} (${field('reason')})${limitOf(lines)}; ${sentTo}`;
+      return `refused with ${field('status')} (${field('reason')})${describeLimit(lines)}; ${sentTo}`;
     case 'streamCut':
       return `cut after event ${field('lastEvent')} (${field('reason')}); ${sentTo}`;
     case 'callerGone':
@@ -62,7 +62,7 @@
 }
 
 /** The account that a limit decided by, where one did. */
-function limitOf(lines: readonly LogLine[]): string {
+function describeLimit(lines: readonly LogLine[]): string {
   const limit = lines.find(({ event }) => event === 'limitReached');
   if (limit === undefined) return '';
   const field = (name: string): string => limit.fields.get(name) ?? '?';
--- a/packages/reedlug-gateway/src/observe/limitAccount.ts
+++ b/packages/reedlug-gateway/src/observe/limitRefusals.ts
@@ -18,7 +18,7 @@
 }
 
 /** Refusals of one workspace. */
-export interface LimitAccountRow {
+export interface LimitRefusalSummary {
   workspace: string;
   refusals: number;
   /** Those that the whole limit would have held, and how many of them came at a box right after its start. */
@@ -28,7 +28,7 @@
   medianUsedShare: number;
 }
 
-interface Sent {
+interface SentUnits {
   atMs: number;
   units: number;
 }
@@ -40,13 +40,13 @@
     .filter((text) => /limitReached|requestSent|partHeld/.test(text));
   const parsed = lines.map(parseLogLine).filter((line) => line !== undefined);
   parsed.sort((a, b) => a.time.localeCompare(b.time));
-  const sent = new Map<string, Sent[]>();
-  const heldAtMs = new Map<string, number>();
+  const sent = new Map<string, SentUnits[]>();
+  const shareHeldAtMs = new Map<string, number>();
   const refusals: LimitRefusal[] = [];
   for (const line of parsed) {
     const atMs = Date.parse(line.time);
     const [box, workspace] = [textOf(line, 'box'), textOf(line, 'workspace')];
-    if (line.event === 'partHeld') heldAtMs.set(box, atMs);
+    if (line.event === 'partHeld') shareHeldAtMs.set(box, atMs);
     if (line.event === 'requestSent') {
       const known = sent.get(workspace) ?? [];
       known.push({ atMs, units: numberOf(line, 'units') });
@@ -59,16 +59,16 @@
       units: numberOf(line, 'units'),
       fleetUsed: usedSince(sent.get(workspace) ?? [], atMs - windowMs),
       fleetAllowed: numberOf(line, 'allowed') * numberOf(line, 'divisor'),
-      isAfterStart: atMs - (heldAtMs.get(box) ?? Number.NEGATIVE_INFINITY) < windowMs,
+      isAfterStart: atMs - (shareHeldAtMs.get(box) ?? Number.NEGATIVE_INFINITY) < windowMs,
     });
   }
   return refusals;
 }
 
-function usedSince(sent: readonly Sent[], sinceMs: number): number {
+function usedSince(sent: readonly SentUnits[], sinceMs: number): number {
   let units = 0;
   for (let index = sent.length - 1; index >= 0; index -= 1) {
-    const { atMs, units: more } = sent[index] as Sent;
+    const { atMs, units: more } = sent[index] as SentUnits;
     if (atMs <= sinceMs) break;
     units += more;
   }
@@ -76,7 +76,7 @@
 }
 
 /** Sums refusals up by workspace, the one with the most first. */
-export function limitAccount(refusals: readonly LimitRefusal[]): LimitAccountRow[] {
+export function summarizeLimitRefusals(refusals: readonly LimitRefusal[]): LimitRefusalSummary[] {
   const names = [...new Set(refusals.map(({ workspace }) => workspace))];
   const rows = names.map((workspace) => {
     const own = refusals.filter((refusal) => refusal.workspace === workspace);
--- a/packages/reedlug-gateway/src/settings/gatewaySettingsValidation.ts
+++ b/packages/reedlug-gateway/src/settings/gatewaySettingsValidation.ts
@@ -32,7 +32,7 @@
 const seconds = z.number().check(z.nonnegative());
 
 /** A number that a template may leave empty. */
-function givenOr(schema: z.ZodMiniType<number>, fallback: number) {
+function withDefault(schema: z.ZodMiniType<number>, fallback: number) {
   return z.pipe(
     z.optional(z.nullable(schema)),
     z.transform((value) => value ?? fallback),
@@ -65,10 +65,10 @@
     graceSeconds: seconds,
     retryRatio: ms,
     retrySlack: ms,
-    limitWindowSeconds: givenOr(z.number().check(z.positive()), DEFAULT_LIMIT_WINDOW_SECONDS),
-    limitOverShare: givenOr(z.number().check(z.nonnegative()), 0),
-    limitSlackUnits: givenOr(z.number().check(z.nonnegative()), 0),
-    exposeShare: givenOr(z.number().check(z.nonnegative(), z.maximum(1)), 0),
+    limitWindowSeconds: withDefault(z.number().check(z.positive()), DEFAULT_LIMIT_WINDOW_SECONDS),
+    limitOverShare: withDefault(z.number().check(z.nonnegative()), 0),
+    limitSlackUnits: withDefault(z.number().check(z.nonnegative()), 0),
+    exposeShare: withDefault(z.number().check(z.nonnegative(), z.maximum(1)), 0),
     leaseMs: z.number().check(z.positive()),
     usageWindowSeconds: z._default(seconds, 0),
     usageDueSeconds: z._default(seconds, 0),
--- a/packages/reedlug-simulator/src/boxes/virtualBox.ts
+++ b/packages/reedlug-simulator/src/boxes/virtualBox.ts
@@ -1,6 +1,6 @@
 /** A box of the gateway under virtual time: the real reducer, the real feeds, effects on the world. */
 import {
-  handleInTurn,
+  createSequentialHandler,
   isNewEra,
   createGatewayState,
   followPlatform,
@@ -137,7 +137,7 @@
 
 /** Takes the events of a process that lives. */
 function createEmit(world: World, box: VirtualBox): (body: EventBody) => void {
-  const enqueue = handleInTurn((body) => {
+  const enqueue = createSequentialHandler((body) => {
     const sinceMs = nowMs(world) - box.startedAtMs;
     const wallMs = WALL_START_MS + nowMs(world);
     const begunAtMs = performance.now();
--- a/packages/reedlug/src/commands/explainLimits.ts
+++ b/packages/reedlug/src/commands/explainLimits.ts
@@ -1,7 +1,7 @@
 /** `reedlug explain-limits`: whether refusals by limits were within them, from the logs of all boxes. */
 import { readFile } from 'node:fs/promises';
 import { Command, Option } from 'clipanion';
-import { limitAccount, limitRefusals } from 'reedlug-gateway';
+import { summarizeLimitRefusals, limitRefusals } from 'reedlug-gateway';
 import { table } from './textTable.js';
 
 const MS_PER_SECOND = 1000;
@@ -23,7 +23,9 @@
       this.context.stderr.write('--window-seconds must be a positive number\n');
       return 1;
     }
-    const rows = limitAccount(limitRefusals(await readFile(this.logFile, 'utf8'), windowMs));
+    const rows = summarizeLimitRefusals(
+      limitRefusals(await readFile(this.logFile, 'utf8'), windowMs),
+    );
     const header = ['workspace', 'refused', 'within the limit', 'after a start', 'used, median'];
     const cells = rows.map(({ workspace, refusals, within, withinAfterStart, medianUsedShare }) => {
       return [workspace, refusals, within, withinAfterStart, medianUsedShare.toFixed(2)];
