--- a/packages/reedlug-soak/src/injectFault.ts
+++ b/packages/reedlug-soak/src/injectFault.ts
@@ -1,7 +1,7 @@
 /** Carries a planned fault out on the world and writes down whom it troubles, and how long. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { createRandom } from 'reedlug-standins';
-import { enterOddServer, removeServerEntry } from 'reedlug-platform/standins';
+import { enterMalformedServer, removeServerEntry } from 'reedlug-platform/standins';
 import type { Fault } from './faultPlan.js';
 import type { SoakRecord, Span } from './soakRecord.js';
 import { configure, enter, revive, type SoakServer, type SoakWorld } from './soakWorld.js';
@@ -79,9 +79,9 @@
       });
     case 'storeAway':
       return troubling(record, [...world.boxes.keys()], async () => {
-        world.store.isAway = true;
+        world.store.isDown = true;
         await delay(fault.forMs);
-        world.store.isAway = false;
+        world.store.isDown = false;
       });
     case 'storeCopy':
       return troubling(record, [...world.boxes.keys()], () => copyStore(world, record, fault));
@@ -94,9 +94,9 @@
     case 'storeLosesAnswers':
       return troubling(record, [...world.boxes.keys()], async () => {
         const random = createRandom(LOST_ANSWERS_SEED);
-        world.store.losesAnswer = () => random.chance(fault.share);
+        world.store.dropsAnswer = () => random.chance(fault.share);
         await delay(fault.forMs);
-        world.store.losesAnswer = () => false;
+        world.store.dropsAnswer = () => false;
       });
     case 'oddEntry':
       return enterOdd(world, fault.odd);
@@ -146,9 +146,9 @@
   fault: Extract<Fault, { kind: 'storeCopy' }>,
 ): Promise<void> {
   const { store } = world;
-  store.goAway();
+  store.goDown();
   await delay(fault.forMs);
-  const lost = store.comeBackFromCopy(fault.ageMs);
+  const lost = store.restoreFromBackup(fault.ageMs);
   const random = createRandom(fault.ageMs);
   const writes = lost.map(async ({ table, isRemoval, again }) => {
     const afterMs = isRemoval ? ENTRY_STAYS_MS : random.unit() * fault.againWithinMs;
@@ -307,7 +307,7 @@
 
 function enterOdd(world: SoakWorld, odd: number): void {
   const value = ODD_ENTRIES[odd % ODD_ENTRIES.length];
-  enterOddServer(world.store, `odd-${odd}`, value);
+  enterMalformedServer(world.store, `odd-${odd}`, value);
 }
 
 /** Ends a server, with notice or without, and starts its next life after a while. */
