--- a/packages/reedlug-gateway/src/daemon/__tests__/backendAttempt.test.ts
+++ b/packages/reedlug-gateway/src/daemon/__tests__/backendAttempt.test.ts
@@ -26,7 +26,7 @@
   streaming: false,
 };
 
-/** Sends a request to a server that answers by `respond`; resolves with what the attempt reported. */
+/** Sends a request to a server that answers by `respond`; resolves with the attempt's reports. */
 async function outcomeOf(
   respond: (socket: Socket) => void,
   streaming = false,
@@ -72,7 +72,7 @@
 
 const HEAD = 'HTTP/1.1 200 OK\r\nid: request-1\r\n';
 
-test('an answer with a length is told whole', async () => {
+test('an answer with a length is reported complete', async () => {
   const { reported, body } = await outcomeOf((socket) =>
     socket.write(`${HEAD}Content-Length: 5\r\n\r\nwhole`),
   );
@@ -80,7 +80,7 @@
   expect(body).to.equal('whole');
 });
 
-test('an answer without a length that ends with its connection is whole', async () => {
+test('an answer without a length that ends when the connection closes is complete', async () => {
   const { reported, body } = await outcomeOf((socket) => socket.end(`${HEAD}\r\nwhole`));
   expect(reported).to.deep.equal(['success']);
   expect(body).to.equal('whole');
@@ -102,14 +102,14 @@
   expect(reported).to.deep.equal(['begun', 'events1', 'lost']);
 });
 
-test('an answer that is cut short is lost', async () => {
+test('a truncated answer is lost', async () => {
   const { reported } = await outcomeOf((socket) =>
     socket.end(`${HEAD}Content-Length: 50\r\n\r\npart`),
   );
   expect(reported).to.deep.equal(['lost']);
 });
 
-test('an answer with a length that is cut with a closing connection is lost', async () => {
+test('a truncated answer with a length on a closing connection is lost', async () => {
   const { reported } = await outcomeOf((socket) =>
     socket.end(`${HEAD}Content-Length: 50\r\nConnection: close\r\n\r\npart`),
   );
@@ -132,7 +132,7 @@
   expect(reported).to.deep.equal(['lost']);
 });
 
-test('a stream without a length that ends with its connection is whole', async () => {
+test('a stream without a length that ends when the connection closes is complete', async () => {
   const { reported } = await outcomeOf(
     (socket) => socket.end(`${HEAD}\r\nid: 1\ndata: a\n\n`),
     true,
@@ -142,19 +142,19 @@
 
 const CHUNKED = `${HEAD}Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n`;
 
-test('an answer in chunks that ends with its connection before the last chunk is lost', async () => {
+test('a chunked answer whose connection closes before the last chunk is lost', async () => {
   const { reported } = await outcomeOf((socket) => socket.end(`${CHUNKED}4\r\npart\r\n`));
   expect(reported).to.deep.equal(['lost']);
 });
 
-test('a stream in chunks that ends with its connection before the last chunk is lost', async () => {
+test('a chunked stream whose connection closes before the last chunk is lost', async () => {
   const event = 'id: 1\ndata: a\n\n';
   const chunk = `${event.length.toString(16)}\r\n${event}\r\n`;
   const { reported } = await outcomeOf((socket) => socket.end(`${CHUNKED}${chunk}`), true);
   expect(reported).to.deep.equal(['begun', 'events1', 'lost']);
 });
 
-test('an answer in chunks with its last chunk is whole, also when its connection ends', async () => {
+test('a chunked answer with its last chunk is complete, even if the connection closes', async () => {
   const { reported, body } = await outcomeOf((socket) =>
     socket.end(`${CHUNKED}5\r\nwhole\r\n0\r\n\r\n`),
   );
@@ -162,7 +162,7 @@
   expect(body).to.equal('whole');
 });
 
-test('bytes that are no answer are lost', async () => {
+test('an answer that is not HTTP is lost', async () => {
   const { reported } = await outcomeOf((socket) => socket.end('no answer at all\r\n\r\n'));
   expect(reported).to.deep.equal(['lost']);
 });
@@ -174,7 +174,7 @@
   expect(reported).to.deep.equal(['invalid']);
 });
 
-test('a stream that ends within an event is lost', async () => {
+test('a stream that ends in the middle of an event is lost', async () => {
   const { reported } = await outcomeOf(
     (socket) => socket.end(`${HEAD}\r\nid: 1\ndata: a\n\nid: 2\nda`),
     true,
@@ -182,7 +182,7 @@
   expect(reported).to.deep.equal(['begun', 'events1', 'lost']);
 });
 
-test('a refused connection is not sent', async () => {
+test('a request whose connection is refused is not sent', async () => {
   const pool = createConnectionPool();
   const connection = pool.acquire('server-1', { host: '127.0.0.1', port: 1 }, true);
   const reported = await new Promise<string>((resolve) => {
--- a/packages/reedlug-gateway/src/daemon/__tests__/boxEntry.test.ts
+++ b/packages/reedlug-gateway/src/daemon/__tests__/boxEntry.test.ts
@@ -10,7 +10,7 @@
   processorCores: 0.3,
 };
 
-/** A keeper before a store that takes a write after so many that fail. */
+/** Starts a maintainer with a store that accepts a write after the given number of failed ones. */
 function startMaintaining(failures = 0): {
   entry: BoxEntry;
   writes: () => number;
@@ -37,14 +37,14 @@
 const settled = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 const listed = (address: PeerAddress | undefined) => [{ boxId: 'box-1', address }];
 
-test('a box that is listed as it is writes nothing', async () => {
+test('a box that is listed with its address writes nothing', async () => {
   const { entry, writes } = startMaintaining();
   entry.onListed({ items: listed({ ...ADDRESS }), whole: true });
   await settled();
   expect(writes()).to.equal(0);
 });
 
-test('a box that is missing or has moved enters itself', async () => {
+test('a box that is missing or has another address writes its entry', async () => {
   for (const items of [[], listed({ ...ADDRESS, host: '10.1.0.9' })]) {
     const { entry, writes } = startMaintaining();
     entry.onListed({ items, whole: true });
@@ -53,7 +53,7 @@
   }
 });
 
-test('a box whose entry was taken out enters itself again', async () => {
+test('a box whose entry was removed writes it again', async () => {
   const { entry, writes } = startMaintaining();
   entry.onListed({ items: listed({ ...ADDRESS }), whole: true });
   entry.onListed({ items: [{ boxId: 'box-2', address: undefined }], whole: false });
@@ -62,14 +62,14 @@
   expect(writes()).to.equal(1);
 });
 
-test('an entry that the store did not take is written again', async () => {
+test('an entry that the store did not accept is written again', async () => {
   const { entry, writes } = startMaintaining(2);
   entry.onListed({ items: [], whole: true });
   await settled();
   expect(writes()).to.equal(3);
 });
 
-test('a box that is missing says again that it holds its part', async () => {
+test('a missing box states again that it holds its share of the limits', async () => {
   const { entry, announcements } = startMaintaining();
   entry.onListed({ items: [], whole: true });
   await settled();
--- a/packages/reedlug-gateway/src/daemon/__tests__/feedFollower.test.ts
+++ b/packages/reedlug-gateway/src/daemon/__tests__/feedFollower.test.ts
@@ -6,11 +6,11 @@
 
 interface Calls {
   fullReads: number;
-  /** Positions from which changes were asked for. */
+  /** Positions after which changes were requested. */
   followPositions: number[];
 }
 
-/** A feed that answers at once: the whole at revision 10, then what `answer` gives. */
+/** Creates a feed that answers immediately: the whole collection at revision 10, then the results of `answer`. */
 function createFeed(calls: Calls, answer: (call: number) => FeedAnswer<string>): Feed<string> {
   return {
     readAll() {
@@ -41,7 +41,7 @@
   };
 }
 
-test('a feed that is not needed is read once and then left alone until it is', async () => {
+test('a feed that is not needed is read once, and followed only when it is needed', async () => {
   const calls: Calls = { fullReads: 0, followPositions: [] };
   let isNeeded = false;
   const feed = createFeed(calls, () => page([], 11));
@@ -54,7 +54,7 @@
   expect(calls.followPositions[0]).to.equal(10);
 });
 
-test('an answer of another era is no change: the whole is read, and nothing of an earlier era', async () => {
+test('an answer of another era causes a complete read, and answers of an earlier era are dropped', async () => {
   const inEra = (era: number, version: number): number => storeRevision({ era, version });
   let storeEra = 1;
   const wholes = [page(['of era 1'], inEra(1, 90)), page(['late'], inEra(1, 95))];
@@ -74,7 +74,7 @@
   expect(read).to.deep.equal(['of era 1', 'of era 2']);
 });
 
-test('a feed that is told to read again leaves a call that waits', async () => {
+test('a restarted feed aborts its pending call', async () => {
   const calls: Calls = { fullReads: 0, followPositions: [] };
   let ended = 0;
   const feed: Feed<string> = {
@@ -101,7 +101,7 @@
   });
 });
 
-test('after a gap in the history the whole is read again', async () => {
+test('after a gap in the history the collection is read completely again', async () => {
   const calls: Calls = { fullReads: 0, followPositions: [] };
   const pages: boolean[] = [];
   const feed = createFeed(calls, (call) =>
@@ -115,7 +115,7 @@
   expect(pages.slice(0, 3)).to.deep.equal([true, true, false]);
 });
 
-test('changes that come in a burst are read in few pages where the listener pauses', async () => {
+test('a burst of changes is read in few pages if the listener pauses', async () => {
   const calls: Calls = { fullReads: 0, followPositions: [] };
   const feed = createFeed(calls, (call) => page(['change'], 10 + call));
   const following = followFeed(feed, 0, listener({ pauseAfterPageMs: 100 }));
@@ -124,7 +124,7 @@
   expect(calls.followPositions.length).to.be.within(1, 4);
 });
 
-test('a feed that is not urgent is asked ever less often while the store turns it away', async () => {
+test('a feed with a longer maximum pause makes fewer calls while the store refuses them', async () => {
   const callsWith = async (maxPauseMs: number): Promise<number> => {
     let calls = 0;
     let nowMs = 0;
--- a/packages/reedlug-gateway/src/daemon/__tests__/operatorServer.test.ts
+++ b/packages/reedlug-gateway/src/daemon/__tests__/operatorServer.test.ts
@@ -7,7 +7,7 @@
 
 const KEY = 'tiger/a+b/c';
 
-/** A box that keeps one request out; tells what operators emitted of it. */
+/** Runs a test against the operator server of a box that blocks one request; `emitted` collects the box's events. */
 async function withOperatorServer(
   use: (url: string, emitted: EventBody[]) => Promise<void>,
 ): Promise<void> {
@@ -36,13 +36,13 @@
   server.closeAllConnections();
 }
 
-test('operators see the requests that are kept out', () =>
+test('operators see the blocked requests', () =>
   withOperatorServer(async (url) => {
     const verdicts: unknown = await (await fetch(`${url}/verdicts`)).json();
     expect(verdicts).to.deep.equal([{ key: KEY, crashes: 0, keptOutForMs: 2000 }]);
   }));
 
-test('a verdict is lifted by its key; one that does not stand is not found', () =>
+test('a verdict is lifted by its key; an unknown key is not found', () =>
   withOperatorServer(async (url, emitted) => {
     const lift = (key: string, method = 'DELETE') =>
       fetch(`${url}/verdicts/${encodeURIComponent(key)}`, { method });
@@ -54,9 +54,9 @@
     expect(emitted).to.deep.equal([{ type: 'verdictLifted', key: KEY }]);
   }));
 
-test('any other path gives the metrics', () =>
+test('any other path returns the metrics', () =>
   withOperatorServer(async (url) => {
     expect(await (await fetch(`${url}/metrics`)).text()).to.include('reedlug');
-    // No URL by itself, and not one to end the process for.
+    // `//` alone is not a valid URL and must not crash the process.
     expect(await (await fetch(`${url}//`)).text()).to.include('reedlug');
   }));
--- a/packages/reedlug-gateway/src/daemon/__tests__/peerWire.test.ts
+++ b/packages/reedlug-gateway/src/daemon/__tests__/peerWire.test.ts
@@ -11,13 +11,13 @@
   return Buffer.from(encoder.encode(value));
 }
 
-test('news are read as they were sent', () => {
+test('gossip is decoded as it was sent', () => {
   const message = peerMessage();
   const decoded = decodeDatagram(encode(message));
   expect(decoded).to.include({ kind: 'news', boxId: 'box-2', sequence: 1 });
 });
 
-test('what is no datagram of this version is not taken', () => {
+test('a value that is not a datagram of this version is rejected', () => {
   const older: Partial<PeerMessage> = peerMessage();
   delete older.sendSums;
   const others = ['other', 'constructor', 'toString'].map((kind) => ({ kind, boxId: 'b' }));
@@ -27,7 +27,7 @@
   expect(decodeDatagram(Buffer.alloc(0))).to.equal(undefined);
 });
 
-/** Loads of so many servers, as a hub of a busy fleet tells them. */
+/** Returns the loads of the given number of servers, as a hub of a busy fleet sends them. */
 function loadsOf(servers: number): PeerMessage['loads'] {
   const entries = Array.from({ length: servers }, (_, index) => {
     const load = { running: 30, prefillTokens: 9000 + index, unread: 4 };
@@ -36,20 +36,20 @@
   return Object.fromEntries(entries) as PeerMessage['loads'];
 }
 
-test('loads are read as they were sent, in a third of the bytes', () => {
+test('loads are decoded as they were sent, in less than half of the bytes', () => {
   const message = peerMessage({ loads: loadsOf(100) });
   const bytes = encodeDatagram(message);
   expect(decodeDatagram(bytes)).to.deep.equal(message);
-  // With names 7,684 bytes, as rows 2,895.
+  // 7,684 bytes with names, 2,895 as rows.
   expect(bytes.length).to.be.lessThan(encode(message).length * 0.45);
 });
 
-test('loads of boxes of an earlier version are read', () => {
+test('loads of older boxes are decoded', () => {
   const loads = { 'i-1': { running: 2, prefillTokens: 500 } };
   expect(decodeDatagram(encode(peerMessage({ loads })))).to.deep.include({ loads });
 });
 
-test('rows that are none leave no load behind', () => {
+test('malformed rows yield no load', () => {
   const rows = [['i-1', 1, 2], ['i-2', 1, Number.NaN, 0], [3, 1, 2, 0], 'i-4', ['i-5', 1, 2, 0]];
   const decoded = decodeDatagram(encode({ ...peerMessage(), loadRows: rows }));
   expect(decoded).to.deep.include({
@@ -57,7 +57,7 @@
   });
 });
 
-test('changes of the registry are read as they were sent, in a third of the bytes', () => {
+test('changes of the registry are decoded as they were sent, in half of the bytes', () => {
   const changes = Array.from({ length: 40 }, (_, index) => {
     const id = `i-${1_000_000 + index}`;
     const leavesInMs = index % 2 === 0 ? 2000 : undefined;
@@ -70,7 +70,7 @@
   expect(bytes.length).to.be.lessThan(encode(message).length * 0.5);
 });
 
-test('rows of changes that are none leave a gap', () => {
+test('malformed rows of changes leave a gap in the numbers', () => {
   const registry = { lastNumber: 3, changes: [] };
   const changeRows = [[1, 'i-1'], 'x', [2], [3, 4], [3, 'i-3', 'engines']];
   const decoded = decodeDatagram(
@@ -80,7 +80,7 @@
   expect(decoded).to.deep.include({ registry: { lastNumber: 3, changes } });
 });
 
-test('statements of servers are read as they were sent', () => {
+test('server statements are decoded as they were sent', () => {
   const message: ServerStatementsMessage = {
     kind: 'serverStatements',
     boxId: 'box-1',
@@ -108,7 +108,7 @@
   expect(decodeDatagram(encodeDatagram(message))).to.deep.equal(message);
 });
 
-test('statements of a box of the version before are read', () => {
+test('server statements of an older box are decoded', () => {
   const rows = { kind: 'serverFacts', boxId: 'box-1', limits: [], pauses: [['a', 5, 900]] };
   const read = decodeDatagram(encoder.encode(rows));
   const statement = {
@@ -122,14 +122,14 @@
   expect(read).to.deep.equal({ kind: 'serverStatements', boxId: 'box-1', statements });
 });
 
-test('a datagram that only looks like statements is none', () => {
+test('a datagram that only resembles server statements is rejected', () => {
   for (const kind of ['serverStatements', 'serverFacts']) {
     const malformed = { kind, boxId: 'box-1', statements: {}, limits: {}, pauses: [] };
     expect(decodeDatagram(encoder.encode(malformed)), kind).to.equal(undefined);
   }
 });
 
-test('an era or a decision that is none is left out of the news', () => {
+test('a malformed era or decision is dropped from gossip', () => {
   const valid = { window: 7, counts: { tiger: 3 }, isReported: true };
   const message = { ...peerMessage({ storeEra: 4 }), decisions: [valid, 5, { window: 'x' }, null] };
   const read = decodeDatagram(encodeDatagram(message as unknown as PeerMessage));
--- a/packages/reedlug-gateway/src/daemon/__tests__/probeServer.test.ts
+++ b/packages/reedlug-gateway/src/daemon/__tests__/probeServer.test.ts
@@ -8,7 +8,7 @@
   return { host: '127.0.0.1', port: (server.address() as AddressInfo).port };
 }
 
-test('a port that takes connections is told from one that refuses them', async () => {
+test('a port that accepts connections is distinguished from one that refuses them', async () => {
   const server = createServer((socket) => socket.on('error', () => undefined));
   const address = await listen(server);
   expect(await probeServer(address)).to.equal('accepted');
@@ -16,7 +16,7 @@
   expect(await probeServer(address)).to.equal('refused');
 });
 
-test('a forwarder that closes at once has no server behind it', async () => {
+test('a forwarder that closes the connection immediately counts as refused', async () => {
   const server = createServer((socket) => socket.resetAndDestroy());
   expect(await probeServer(await listen(server))).to.equal('refused');
   server.close();
--- a/packages/reedlug-gateway/src/daemon/__tests__/requestDigest.test.ts
+++ b/packages/reedlug-gateway/src/daemon/__tests__/requestDigest.test.ts
@@ -6,7 +6,7 @@
   return digestOf({ head: { method, path, rawHeaders: [] }, body: Buffer.from(body) }, host);
 }
 
-test('a digest differs with method, host, path and body, and with nothing else', () => {
+test('a digest depends on method, host, path and body only', () => {
   const changed = [
     digest(),
     digest({ method: 'PUT' }),
--- a/packages/reedlug-gateway/src/daemon/backendAttempt.ts
+++ b/packages/reedlug-gateway/src/daemon/backendAttempt.ts
@@ -1,9 +1,9 @@
 /**
- * One send of a request to a backend server, and its answer.
+ * Sends a request to a backend server once and reads the answer.
  *
- * A plain answer is read whole before anything is told, so that a cut one can
- * be made good by a repeat. A stream is told with its first whole event; what
- * follows is told event by event.
+ * A plain (non-streaming) answer is buffered completely before it is reported, so that a
+ * truncated answer can be replaced by a retry. A stream is reported when its first complete
+ * event arrives; later events are reported as they arrive.
  */
 import type { Dispatcher } from 'undici';
 import type { HeaderCodec } from '../adapter.js';
@@ -12,10 +12,10 @@
 import type { Connection, ConnectionPool } from './connectionPool.js';
 import { createEventSplitter, type StreamEvent } from './eventSplitter.js';
 
-/** Largest plain answer that is read whole, in bytes: well over the users' largest body. */
+/** Maximum size of a buffered plain answer, in bytes; well over the largest body that the users send. */
 const MAX_PLAIN_ANSWER_BYTES = 16 * 1024 * 1024;
 
-/** The head of an answer, and its body where it is plain. */
+/** Head of an answer, and its body if the answer is plain. */
 export interface BackendAnswer {
   status: number;
   statusText: string;
@@ -23,10 +23,10 @@
   body: Buffer;
 }
 
-/** What an attempt tells. */
+/** Receives the progress of an attempt. */
 export interface AttemptListener {
   onNotSent: (reason: string) => void;
-  /** The head of an answer of this server to this request came. */
+  /** Called when the head of this server's answer to this request has arrived. */
   onAnswerHead: (statements: AnswerStatements) => void;
   onAnswered: (verdict: AnswerVerdict, status: number) => void;
   onEvents: (events: readonly StreamEvent[]) => void;
@@ -34,7 +34,7 @@
   onLost: (reason: string) => void;
 }
 
-/** What is sent. */
+/** Request to send to a backend server. */
 export interface AttemptRequest {
   requestId: string;
   method: string;
@@ -44,15 +44,15 @@
   streaming: boolean;
 }
 
-/** A send in progress. */
+/** Attempt in progress. */
 export interface BackendAttempt {
-  /** Complete for a plain answer once answered; for a stream without its body. */
+  /** Returns the answer: complete once a plain answer has been reported, without a body for a stream. */
   answer: () => BackendAnswer | undefined;
-  /** Ends the connection, so that the server stops; nothing more is told. */
+  /** Closes the connection, so that the server stops working, and reports nothing more. */
   cancel: () => void;
 }
 
-/** Sends a request. */
+/** Sends a request on a connection and reports the progress to the listener. */
 export function sendAttempt(params: {
   connection: Connection;
   pool: ConnectionPool;
@@ -160,7 +160,7 @@
       handler,
     );
   } catch (error) {
-    // The request cannot be written as it is; it has not left this box.
+    // The client rejected the request before sending it: nothing has left this box.
     queueMicrotask(() => settle(() => listener.onNotSent(reasonOf(error as Error))));
   }
   return {
@@ -177,7 +177,7 @@
   return raw.map((item) => (Buffer.isBuffer(item) ? item.toString('latin1') : String(item)));
 }
 
-/** What the codes of undici, llhttp and the system mean for a request. */
+/** Log reasons for the error codes of undici, llhttp and the operating system. */
 const REASONS: Readonly<Record<string, string>> = {
   UND_ERR_SOCKET: 'connectionClosed',
   ECONNRESET: 'connectionReset',
@@ -187,14 +187,14 @@
   UND_ERR_RES_CONTENT_LENGTH_MISMATCH: 'answerCutShort',
 };
 
-/** A reason for the logs; an unknown code stands as it is. */
+/** Returns the reason for the logs; an unknown code is returned unchanged. */
 function reasonOf(error: Error): string {
   const { code } = error as Error & { code?: string };
   if (code?.startsWith('HPE_') === true) return 'unreadableAnswer';
   return REASONS[code ?? ''] ?? code ?? error.message;
 }
 
-/** Whether an answer says itself where it ends. */
+/** Whether the head of an answer says where its body ends. */
 function isSelfDelimiting(status: number, rawHeaders: readonly string[]): boolean {
   if (status === 204 || status === 304) return true;
   return rawHeaders.some((name, index) => {
--- a/packages/reedlug-gateway/src/daemon/boxEntry.ts
+++ b/packages/reedlug-gateway/src/daemon/boxEntry.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps this box's entry among the boxes in the store. An entry outlives the
- * process, so a box that starts anew writes it only where it is missing or
- * differs: each write wakes every box that follows the list.
+ * Maintains this box's entry in the store's list of boxes. An entry outlives the
+ * process, so a restarted box writes it only if it is missing or differs: each
+ * write wakes every box that follows the list.
  */
 import type { PlatformStore } from '../adapter.js';
 import type { Logger } from '../observe/logger.js';
@@ -9,23 +9,23 @@
 import type { PeerAddress } from '../types/peer.js';
 import type { Clock } from './clock.js';
 
-/** Pause before this box is entered again after a failed try, in ms. */
+/** Pause before the entry is written again after a failed write, in ms. */
 const RETRY_PAUSE_MS = 1000;
 
-/** What keeps an entry. */
+/** Maintainer of this box's entry. */
 export interface BoxEntry {
-  /** Takes a page of the list: the whole, or changes. */
+  /** Processes a page of the list: either the whole list or changes. */
   onListed: (page: { items: readonly PeerChange[]; whole: boolean }) => void;
   stop: () => void;
 }
 
-/** Returns a keeper; it writes nothing before it has seen the list. */
+/** Returns a maintainer, which writes nothing before it has seen the list. */
 export function maintainBoxEntry(params: {
   store: Pick<PlatformStore, 'announceBox'>;
   clock: Clock;
   logger: Logger;
   address: PeerAddress;
-  /** Whether the box holds its part of the limits, which an entry that was lost must say again. */
+  /** Whether the box holds its share of the limits, which a lost entry has to state again. */
   holdsPart: () => boolean;
 }): BoxEntry {
   const { store, clock, logger, address, holdsPart } = params;
--- a/packages/reedlug-gateway/src/daemon/callerServer.ts
+++ b/packages/reedlug-gateway/src/daemon/callerServer.ts
@@ -1,35 +1,35 @@
-/** The server towards callers: reads requests whole, answers in order, tells when a caller leaves. */
+/** HTTP server for callers: reads complete requests, answers in order, and reports when a caller disconnects. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { RequestHead } from '../adapter.js';
 import { DEFAULT_CALLER_LIMITS } from '../settings/defaults.js';
 import type { CallerLimits } from '../types/configuration.js';
 
-/** Largest head that is read at all, in bytes; the configuration's limit is checked within. */
+/** Maximum size of a head that the parser accepts, in bytes; the configuration's lower limit is checked afterwards. */
 const PARSER_HEADER_BYTES = 64 * 1024;
-/** How often unfinished heads are checked for their time, in ms. */
+/** Interval at which incomplete heads are checked for timeouts, in ms. */
 const HEADER_CHECK_INTERVAL_MS = 500;
 
-/** A request with its way back to the caller. */
+/** Request and the response object that answers its caller. */
 export interface CallerExchange {
   id: number;
   head: RequestHead;
   body: Buffer;
   response: ServerResponse;
-  /** Id of the last event that was written, for a stream. */
+  /** Id of the last event written to the caller of a stream. */
   lastEventId: number | undefined;
 }
 
-/** What the server tells, and what it asks. */
+/** Receives the server's events and provides its limits. */
 export interface CallerListener {
   onRequest: (exchange: CallerExchange) => void;
   onCallerGone: (exchangeId: number) => void;
-  /** A request that breaks a limit; it gets this status at once. */
+  /** Called for a request that breaks a limit and is answered immediately with this status. */
   onRejected: (status: number, reason: string) => void;
   limits: () => CallerLimits | undefined;
   isShuttingDown: () => boolean;
 }
 
-/** Returns a server that is not yet listening. */
+/** Creates the server without listening. */
 export function createCallerServer(listener: CallerListener): Server {
   let nextId = 1;
   const limits = (): CallerLimits => listener.limits() ?? DEFAULT_CALLER_LIMITS;
@@ -90,13 +90,13 @@
   return undefined;
 }
 
-/** Bytes of the request line and the fields, with their separators. */
+/** Returns the size of the request line and the header fields, including separators, in bytes. */
 function headBytes(request: IncomingMessage): number {
   const requestLine = (request.method?.length ?? 0) + (request.url?.length ?? 0) + 12;
   return request.rawHeaders.reduce((sum, text) => sum + text.length + 2, requestLine);
 }
 
-/** Reads a body whole; gives undefined when it is too large. A caller that leaves gets nothing. */
+/** Reads the complete body and passes it to `done`, or undefined if it is too large. `done` isn't called if the caller disconnects. */
 function readBody(
   request: IncomingMessage,
   maxBytes: number,
@@ -117,6 +117,6 @@
   request.on('end', () => {
     if (!isTooLarge) done(chunks.length === 1 ? (chunks[0] as Buffer) : Buffer.concat(chunks));
   });
-  // A caller that leaves in the middle of its body has asked for nothing yet.
+  // A caller that disconnects before its body is complete has not made a request yet.
   request.on('error', () => undefined);
 }
--- a/packages/reedlug-gateway/src/daemon/clock.ts
+++ b/packages/reedlug-gateway/src/daemon/clock.ts
@@ -1,14 +1,14 @@
-/** The time that feeds run on: the process's own, or a virtual one in a simulation. */
+/** Clock of the feeds: that of the process, or a virtual one in a simulation. */
 import { performance } from 'node:perf_hooks';
 import { setTimeout as delay } from 'node:timers/promises';
 
-/** Time on a steady clock, and pauses on it. */
+/** Monotonic clock that can also pause. */
 export interface Clock {
   nowMs: () => number;
   pause: (ms: number) => Promise<void>;
 }
 
-/** The clock of the process. */
+/** Monotonic clock of the process. */
 export const PROCESS_CLOCK: Clock = {
   nowMs: () => performance.now(),
   pause: async (ms) => void (await delay(ms)),
--- a/packages/reedlug-gateway/src/daemon/connectionPool.ts
+++ b/packages/reedlug-gateway/src/daemon/connectionPool.ts
@@ -1,42 +1,42 @@
 /**
- * Connections to backend servers: one undici client a connection, one request
- * at a time on each, so that an answer can only belong to the request in progress.
+ * Connections to backend servers. Each connection is an undici client of its own that carries
+ * one request at a time, so that an answer can only belong to the request in progress.
  */
 import type { Socket } from 'node:net';
 import { buildConnector, Client } from 'undici';
 import type { HostPort } from '../types/server.js';
 import { CONNECT_TIMEOUT_MS } from './daemonTimes.js';
 
-/** Idle time after which a connection is closed where the server names none, in ms. */
+/** Idle time after which a connection is closed if the server states none, in ms. */
 const IDLE_TIMEOUT_MS = 4000;
-/** Taken off the idle time that a server names, in ms: a send must not cross its close. */
+/** Subtracted from the idle time that a server states, in ms, so that the server does not close a connection on which a request is being sent. */
 const IDLE_MARGIN_MS = 1000;
 
-/** A connection and what it goes to. */
+/** Connection to a backend server. */
 export interface Connection {
   client: Client;
   serverId: string;
   address: HostPort;
-  /** True once its socket failed; undici takes an unframed answer that is reset for a whole one. */
+  /** True once the socket has failed: undici treats a close-delimited answer that was reset as complete. */
   failed: boolean;
-  /** Set while an answer is read that has no length and ends with its connection. */
+  /** True while the answer being read has no length and ends when the connection closes. */
   isCloseDelimited: boolean;
-  /** Whether the server closed the connection in good order; set at the end of such an answer. */
+  /** Whether the server closed the connection without a reset; set at the end of a close-delimited answer. */
   closedCleanly: Promise<boolean> | undefined;
 }
 
-/** Idle connections by server. */
+/** Pool of idle connections by server. */
 export interface ConnectionPool {
-  /** An idle connection, or a fresh one; `fresh` asks for a new one in any case. */
+  /** Returns an idle connection or opens one; with `fresh` it always opens one. */
   acquire: (serverId: string, address: HostPort, fresh: boolean) => Connection;
-  /** Gives a connection back after a whole answer. */
+  /** Returns a connection to the pool after a complete answer. */
   release: (connection: Connection) => void;
-  /** Ends a connection whose state is not known. */
+  /** Closes a connection whose state is unknown. */
   discard: (connection: Connection) => void;
   closeAll: () => void;
 }
 
-/** Returns an empty pool. */
+/** Creates an empty pool. */
 export function createConnectionPool(): ConnectionPool {
   const idle = new Map<string, Connection[]>();
   const connect = buildConnector({ timeout: CONNECT_TIMEOUT_MS });
@@ -51,7 +51,7 @@
 
   const discard = (connection: Connection): void => {
     removeIdle(connection);
-    // The requests of a destroyed client have been told; there is nothing left to report.
+    // The outcome of the client's request has been reported already, so errors of closing it are ignored.
     connection.client.destroy().catch(() => undefined);
   };
 
@@ -65,7 +65,7 @@
         }),
       keepAliveTimeout: IDLE_TIMEOUT_MS,
       keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
-      // The gateway keeps the time itself: a server's silence is no reason to end an answer.
+      // The gateway enforces the deadlines itself; a silent server alone does not end an answer.
       headersTimeout: 0,
       bodyTimeout: 0,
     });
@@ -85,7 +85,7 @@
     acquire(serverId, address, fresh) {
       const hasSameAddress = (connection: Connection): boolean =>
         connection.address.host === address.host && connection.address.port === address.port;
-      // A server that started again under its id may stand elsewhere.
+      // A server that restarted under its id may have another address.
       const outdated =
         idle.get(serverId)?.filter((connection) => !hasSameAddress(connection)) ?? [];
       outdated.forEach(discard);
@@ -109,13 +109,13 @@
 }
 
 /**
- * Finds out how a server closed a connection. When a reset arrives together with
- * the last bytes, libuv reports an ordinary end; only a write tells them apart,
- * since it fails on a reset connection. An empty line between requests is harmless.
+ * Detects whether a server closed a connection cleanly or reset it. If a reset arrives together
+ * with the last bytes, libuv reports an ordinary end. A write distinguishes the two, since it
+ * fails on a reset connection; an empty line between requests is harmless.
  */
 function detectUncleanClose(connection: Connection, socket: Socket): void {
   socket.prependListener('error', (error: NodeJS.ErrnoException) => {
-    // undici ends a connection that is not used again by an error of its own.
+    // undici itself ends a connection that won't be reused with this error.
     if (error.code !== 'UND_ERR_INFO') connection.failed = true;
   });
   socket.prependListener('end', () => {
--- a/packages/reedlug-gateway/src/daemon/daemonTimes.ts
+++ b/packages/reedlug-gateway/src/daemon/daemonTimes.ts
@@ -1,14 +1,14 @@
-/** Pauses and time limits of the daemon, in ms; simulated boxes keep the same ones. */
+/** Intervals and timeouts of the daemon, in ms; simulated boxes use the same ones. */
 
-/** Pause between ticks: the precision of time limits, against the price of a wake-up. */
+/** Interval between ticks: a compromise between the precision of timeouts and the cost of a wake-up. */
 export const TICK_MS = 50;
-/** Longest wait for the table: its answer takes 4 ms, a slow one 250. */
+/** Timeout of a table operation; the table usually answers in 4 ms and sometimes takes 250 ms. */
 export const TABLE_TIMEOUT_MS = 1500;
-/** Longest wait for the cloud. */
+/** Timeout of a call to the cloud. */
 export const CLOUD_TIMEOUT_MS = 1500;
-/** Longest wait for the entry of this box in the store. */
+/** Timeout of writing this box's entry to the store. */
 export const ANNOUNCE_TIMEOUT_MS = 1500;
-/** Longest wait for a connection: a server's full queue drops the opening packet for seconds. */
+/** Timeout of opening a connection: a server whose accept queue is full drops the opening packet for seconds. */
 export const CONNECT_TIMEOUT_MS = 400;
-/** Longest wait for a peer's answer: several round trips between zones. */
+/** Timeout of a request to a peer: several round trips between zones. */
 export const PEER_REQUEST_TIMEOUT_MS = 500;
--- a/packages/reedlug-gateway/src/daemon/datagramEvent.ts
+++ b/packages/reedlug-gateway/src/daemon/datagramEvent.ts
@@ -1,8 +1,8 @@
-/** Datagrams of peers as events. */
+/** Converts datagrams of peers to events. */
 import type { EventBody } from '../types/event.js';
 import type { PeerDatagram } from '../types/peer.js';
 
-/** The event by which a box takes a datagram. */
+/** Returns the event that delivers a datagram to the reducer. */
 export function eventOfDatagram(message: PeerDatagram): EventBody {
   switch (message.kind) {
     case 'news':
--- a/packages/reedlug-gateway/src/daemon/effects.ts
+++ b/packages/reedlug-gateway/src/daemon/effects.ts
@@ -1,4 +1,4 @@
-/** Carries out the reducer's effects. */
+/** Performs the reducer's effects. */
 import { performance } from 'node:perf_hooks';
 import type { Effect } from '../types/effect.js';
 import type { Runtime } from './gatewayDaemon.js';
@@ -10,7 +10,7 @@
 import { probeServer } from './probeServer.js';
 import { writeEvents, writePlainAnswer, writeRefusal, writeStreamHead } from './exchanges.js';
 
-/** Carries out one effect; what comes of it is a later event. */
+/** Performs one effect; its result arrives as a later event. */
 export function performEffect(runtime: Runtime, effect: Effect): void {
   switch (effect.type) {
     case 'send':
@@ -148,7 +148,7 @@
   });
 }
 
-/** What comes of it is seen in the list; the reducer asks again until it is. */
+/** Writes this box's entry to the store. The box sees the result in the list, and the reducer repeats the effect until it does. */
 function enterBox(runtime: Runtime, effect: EffectOf<'enterBox'>): void {
   const { boxId, address, holdsPart } = effect;
   void runtime.store.announceBox(boxId, address, holdsPart).then((isWritten) => {
--- a/packages/reedlug-gateway/src/daemon/eventSplitter.ts
+++ b/packages/reedlug-gateway/src/daemon/eventSplitter.ts
@@ -1,23 +1,23 @@
-/** Cuts a `text/event-stream` into whole events, byte by byte as they came. */
+/** Splits a `text/event-stream` into complete events without changing their bytes. */
 
-/** A whole event with its trailing blank line. */
+/** Complete event, including its trailing blank line. */
 export interface StreamEvent {
   bytes: Buffer;
-  /** Undefined when the event names none. */
+  /** Undefined if the event has no numeric id. */
   id: number | undefined;
 }
 
-/** Collects bytes and gives out whole events. */
+/** Collects bytes and returns the events that are complete. */
 export interface EventSplitter {
   push: (chunk: Buffer) => StreamEvent[];
-  /** Bytes of an event that is not whole yet. */
+  /** Returns the number of bytes of the incomplete event. */
   pendingBytes: () => number;
 }
 
 const EVENT_END = Buffer.from('\n\n');
 const ID_LINE = /^id: ?(\d+)\r?$/m;
 
-/** Returns a splitter at the start of a stream. */
+/** Creates a splitter for a new stream. */
 export function createEventSplitter(): EventSplitter {
   let remainder: Buffer = Buffer.alloc(0);
   return {
--- a/packages/reedlug-gateway/src/daemon/exchanges.ts
+++ b/packages/reedlug-gateway/src/daemon/exchanges.ts
@@ -1,13 +1,13 @@
-/** Hands answers to callers: whole ones, streams as they come, and this box's own refusals. */
+/** Writes answers to callers: plain answers, events of streams, and this box's own refusals. */
 import type { HeaderCodec } from '../adapter.js';
 import type { BackendAnswer } from './backendAttempt.js';
 import type { CallerExchange } from './callerServer.js';
 import type { StreamEvent } from './eventSplitter.js';
 
-/** Fields that frame a body; a stream may be put together from several answers. */
+/** Header fields that state the length of a body. They are dropped because a stream may combine several answers. */
 const FRAMING_FIELDS = new Set(['content-length']);
 
-/** Writes a whole plain answer as the server gave it. */
+/** Writes a complete plain answer as the server sent it. */
 export function writePlainAnswer(
   exchange: CallerExchange,
   codec: HeaderCodec,
@@ -21,7 +21,7 @@
   response.end(hasBody ? answer.body : undefined);
 }
 
-/** Begins a stream with the head of its first server. */
+/** Starts a stream with the head of its first server's answer. */
 export function writeStreamHead(
   exchange: CallerExchange,
   codec: HeaderCodec,
@@ -32,11 +32,11 @@
   exchange.response.writeHead(answer.status, answer.statusText, headers);
 }
 
-/** How a batch of events went on to the caller. */
+/** Result of writing a batch of events to the caller. */
 export type EventsWritten =
   { kind: 'written'; lastEventId: number | undefined } | { kind: 'gap'; expected: number };
 
-/** Writes events in order; ones that the caller has are left out, a missing one stops. */
+/** Writes events in order. Skips events that the caller already has, and stops at a missing one. */
 export function writeEvents(
   exchange: CallerExchange,
   events: readonly StreamEvent[],
@@ -53,7 +53,7 @@
   return { kind: 'written', lastEventId: exchange.lastEventId };
 }
 
-/** Answers with a status of this box. */
+/** Writes a refusal of this box. */
 export function writeRefusal(
   exchange: CallerExchange,
   codec: HeaderCodec,
--- a/packages/reedlug-gateway/src/daemon/feedFollower.ts
+++ b/packages/reedlug-gateway/src/daemon/feedFollower.ts
@@ -1,49 +1,50 @@
 /**
- * Follows a collection of the store: the whole once, then its changes by long polls, and the whole
- * again where the changes are no longer kept or the store came back from a copy: a position of one
- * era means nothing in the next.
+ * Follows a collection of the store: reads it completely once, then reads its changes by long polls.
+ * It reads the collection completely again if the store no longer keeps the changes, or if the store
+ * was restored from a backup. Each restore starts a new era, and positions of an earlier era are not
+ * valid in a later one.
  */
 import { eraOf } from 'reedlug-coordination';
 import type { Feed, FeedAnswer, FeedPage } from '../adapter.js';
 import { PROCESS_CLOCK, type Clock } from './clock.js';
 
-/** Longest wait for an answer beyond the time it may be held, in ms: the store's answer takes 4 ms, a slow one 250. */
+/** Time to wait for an answer beyond the long poll's wait, in ms; the store usually answers in 4 ms and sometimes takes 250 ms. */
 const ANSWER_MARGIN_MS = 700;
-/** Pause before asking again whether a feed is needed, in ms: short against the users' 2 s. */
+/** Pause before checking again whether a feed is needed, in ms; short compared to the 2 s within which the users expect changes to apply. */
 const NOT_NEEDED_PAUSE_MS = 200;
-/** Pause after a call that failed, in ms; doubled up to the longest. */
+/** Pause after a failed call, in ms; doubled with each further failure up to the maximum. */
 const INITIAL_PAUSE_MS = 100;
 const MAX_PAUSE_MS = 500;
 
-/** What a follower tells. */
+/** Receives the pages of a followed feed and controls how it is followed. */
 export interface FeedListener<T> {
   onPage: (page: { items: readonly T[]; whole: boolean; newestRevision: number }) => void;
   onStoreClock: (storeNowMs: number) => void;
   onContact: (reachable: boolean, reason: string) => void;
-  /** The latest era of the store that is known; an answer of an earlier one comes too late. */
+  /** Returns the latest known era of the store; answers of an earlier era are rejected. */
   storeEra?: () => number | undefined;
-  /** Asked before each call once the whole has been read; while it says no, nothing is asked. */
+  /** Checked before each call once the collection has been read completely; while it returns false, no call is made. */
   isNeeded?: () => boolean;
-  /** Longest pause after calls that failed, in ms; each failed call is paid for as well. */
+  /** Maximum pause after failed calls, in ms; failed calls cost money too. */
   maxPauseMs?: number;
-  /** Pause after a page with changes, in ms, so that a burst of changes comes in few pages. */
+  /** Pause after a page with changes, in ms, so that a burst of changes is read in few pages. */
   pauseAfterPageMs?: number;
 }
 
-/** A feed that is followed. */
+/** Feed that is being followed. */
 export interface FollowedFeed {
-  /** Drops the position and the call that waits, and reads the whole anew. */
+  /** Aborts the pending call, drops the position, and reads the whole collection again. */
   restart: () => void;
   stop: () => void;
 }
 
-/** One reading of the whole and what follows it; the answer of a call that was given up is dropped. */
+/** One complete read and the polls after it; the answer of an aborted call is dropped. */
 interface FollowRun {
   isCancelled: boolean;
   call: AbortController;
 }
 
-/** Follows until told to stop. */
+/** Follows a feed until it is stopped. */
 export function followFeed<T>(
   feed: Feed<T>,
   waitMs: number,
--- a/packages/reedlug-gateway/src/daemon/gatewayDaemon.ts
+++ b/packages/reedlug-gateway/src/daemon/gatewayDaemon.ts
@@ -1,6 +1,6 @@
 /**
- * The daemon of a gateway box: turns sockets and timers into events for the
- * reducer, and its effects into I/O, on one thread.
+ * Daemon of a gateway box: turns socket and timer callbacks into events for the
+ * reducer, and the reducer's effects into I/O, on one thread.
  */
 import { createServer, type Server } from 'node:http';
 import type { PlatformAdapter, PlatformCloud, PlatformStore } from '../adapter.js';
@@ -27,7 +27,7 @@
 import { openPeerSocket, type PeerSocket } from './peerSocket.js';
 import { digestOf } from './requestDigest.js';
 
-/** What a daemon is made of. */
+/** State, connections and services that the parts of a running daemon share. */
 export interface Runtime {
   settings: GatewaySettings;
   adapter: PlatformAdapter;
@@ -37,7 +37,7 @@
   clock: Clock;
   pool: ConnectionPool;
   peers: PeerSocket;
-  /** Undefined until the daemon has begun to follow the store. */
+  /** Undefined until the daemon follows the store. */
   feeds: PlatformFeeds | undefined;
   exchanges: Map<number, CallerExchange>;
   attempts: Map<number, BackendAttempt>;
@@ -49,14 +49,14 @@
 
 /** A running daemon. */
 export interface GatewayDaemon {
-  /** Begins a planned stop. */
+  /** Starts a planned shutdown. */
   stop: () => void;
-  /** Closes everything at once. */
+  /** Closes all connections and servers immediately. */
   close: () => Promise<void>;
   state: GatewayState;
 }
 
-/** Starts a box; resolves once it listens. */
+/** Starts a box and resolves once it is listening. */
 export async function startGatewayDaemon(params: {
   settings: GatewaySettings;
   adapter: PlatformAdapter;
@@ -67,7 +67,7 @@
 }): Promise<GatewayDaemon> {
   const { settings, adapter, incarnation, logger, onStopped } = params;
   const clock = PROCESS_CLOCK;
-  // The clock's zero is the begin of the process.
+  // The clock starts at zero when the process starts.
   const nowMs = clock.nowMs();
   const state = createGatewayState({ settings, incarnation, nowMs, processAgeMs: nowMs });
   const emit = createSequentialHandler((body) => {
--- a/packages/reedlug-gateway/src/daemon/operatorServer.ts
+++ b/packages/reedlug-gateway/src/daemon/operatorServer.ts
@@ -1,6 +1,7 @@
 /**
- * What operators ask of one box over HTTP, on the port of its metrics: `GET /verdicts` and
- * `DELETE /verdicts/KEY` (as `GET` names it, percent-encoded); any other path gives the metrics.
+ * HTTP interface for operators on a box's metrics port: `GET /verdicts` lists the verdicts, and
+ * `DELETE /verdicts/KEY` lifts one (KEY as in the list, percent-encoded). A verdict blocks a request
+ * that crashes its servers. Any other path returns the metrics.
  */
 import { createServer, type Server, type ServerResponse } from 'node:http';
 import { versionOf } from 'reedlug-coordination';
@@ -14,7 +15,7 @@
 
 const VERDICTS_PATH = '/verdicts';
 
-/** What the server shows and acts on. */
+/** Parts of the box that the operator server reads and acts on. */
 export interface OperatorServerContext {
   state: GatewayState;
   clock: Clock;
@@ -23,7 +24,7 @@
   emit: (body: EventBody) => void;
 }
 
-/** Returns the server; it does not listen yet. */
+/** Creates the server without listening. */
 export function createOperatorServer(box: OperatorServerContext): Server {
   return createServer((request, response) => {
     const path = (request.url ?? '/').split('?', 1)[0] ?? '/';
@@ -60,7 +61,7 @@
   try {
     return decodeURIComponent(path.slice(VERDICTS_PATH.length + 1));
   } catch {
-    // Not percent-encoded as it must be: it names no verdict.
+    // A key with invalid percent-encoding matches no verdict.
     return undefined;
   }
 }
--- a/packages/reedlug-gateway/src/daemon/peerSocket.ts
+++ b/packages/reedlug-gateway/src/daemon/peerSocket.ts
@@ -1,6 +1,6 @@
 /**
- * Peer link: news as datagrams, and whole configuration and registry over HTTP
- * for a peer that has lost the store.
+ * Peer link: gossip as datagrams, and the complete configuration and registry over HTTP
+ * for a peer that cannot reach the store.
  */
 import { createSocket } from 'node:dgram';
 import { createServer } from 'node:http';
@@ -11,18 +11,18 @@
 import { PEER_REQUEST_TIMEOUT_MS } from './daemonTimes.js';
 import { decodeDatagram, decoder, encodeDatagram, encoder } from './peerWire.js';
 
-/** Paths of what peers ask for; boxes of an earlier version know the first alone and give it for both. */
+/** Paths of the states that peers request; older boxes know only the first and return it for both paths. */
 const SHARED_STATE_PATH = '/state';
 const CONFIGURATION_PATH = '/configuration';
 
-/** A box's end of the link. */
+/** Endpoint of a box on the peer link. */
 export interface PeerSocket {
   send: (message: PeerDatagram, to: readonly HostPort[]) => void;
   ask: (peer: HostPort, withServers: boolean) => Promise<SharedState | undefined>;
   close: () => void;
 }
 
-/** Opens the link. */
+/** Opens the endpoint and resolves once it is listening. */
 export async function openPeerSocket(params: {
   address: HostPort;
   onMessage: (message: PeerDatagram) => void;
@@ -33,7 +33,7 @@
   const socket = createSocket('udp4');
   socket.on('message', (bytes) => {
     const message = decodeDatagram(bytes);
-    if (message === undefined) onFault('a datagram could not be read');
+    if (message === undefined) onFault('malformed datagram');
     else onMessage(message);
   });
   socket.on('error', (error) => onFault(error.message));
@@ -63,7 +63,7 @@
         onFault(`peer ${peer.host} did not answer: ${(error as Error).message}`);
         return undefined;
       } finally {
-        // Whatever was asked has been answered or given up by now.
+        // The request has been answered or has failed by now, so errors of closing the client are ignored.
         client.destroy().catch(() => undefined);
       }
     },
--- a/packages/reedlug-gateway/src/daemon/peerWire.ts
+++ b/packages/reedlug-gateway/src/daemon/peerWire.ts
@@ -1,10 +1,10 @@
 /**
- * Datagrams of peers as bytes.
+ * Encoding of datagrams between peers.
  *
- * A hub sends the loads of all servers and the latest changes of the registry to each
- * of its members five times a second over a link of some Mbit/s, and a full link loses
- * datagrams. So both go as rows of values without names. Boxes of an earlier version
- * find no loads and no changes in it, and ask for the whole registry.
+ * A hub (a box that exchanges gossip on behalf of its members) sends the loads of all servers and
+ * the latest changes of the registry to each member five times a second over a link of some Mbit/s,
+ * and a saturated link loses datagrams. Both are therefore encoded as rows of values without names.
+ * Older boxes find no loads and no changes in such a datagram, and request the whole registry.
  */
 import { Decoder, Encoder } from 'cbor-x';
 import { MAX_STORE_ERA } from 'reedlug-coordination';
@@ -18,14 +18,14 @@
 import type { ServerState } from '../types/server.js';
 import { statementRows, STATEMENTS_WIRE_KIND, statementsOfRows } from './statementWire.js';
 
-/** CBOR of the peer link, without record definitions: a datagram must be readable alone. */
+/** CBOR encoder of the peer link, without record definitions: each datagram must be decodable on its own. */
 export const encoder = new Encoder({ useRecords: false });
 export const decoder = new Decoder({ useRecords: false });
 
-/** Kinds that travel as they are but for news; statements of servers go as rows of a kind of their own. */
+/** Kinds of datagrams on the wire. Server statements are sent as rows of another kind, see `STATEMENTS_WIRE_KIND`. */
 type WireKind = Exclude<PeerDatagram['kind'], 'serverStatements'>;
 
-/** Kinds of datagrams, with what each must hold to be taken. */
+/** Fields that must hold an object or array for a datagram of each kind to be accepted. */
 const REQUIRED_OBJECTS: Readonly<Record<WireKind, readonly string[]>> = {
   news: ['loads', 'sendSums', 'admitted', 'usage'],
   usage: ['usage'],
@@ -35,10 +35,10 @@
   crashSuspects: ['suspects', 'recent'],
 };
 
-/** A server's id, requests in progress, tokens to be read, prompts to be read, and the tokens by urgency. */
+/** Server id, requests in progress, tokens waiting for prefill, prompts waiting for prefill, and the waiting tokens by urgency. */
 type LoadRow = readonly [string, number, number, number, ...number[]];
 
-/** The bytes of a datagram. */
+/** Encodes a datagram. */
 export function encodeDatagram(message: PeerDatagram): Buffer {
   if (message.kind === 'serverStatements') return encoder.encode(statementRows(message));
   if (message.kind !== 'news') return encoder.encode(message);
@@ -57,13 +57,13 @@
   return [id, running, prefillTokens, unread, ...unreadByUrgency];
 }
 
-/** Reads a datagram; undefined when it is none, or of a version that lacks a part. */
+/** Decodes a datagram; returns undefined if it is malformed or of a version that lacks a required field. */
 export function decodeDatagram(bytes: Buffer): PeerDatagram | undefined {
   let value: unknown;
   try {
     value = decoder.decode(bytes);
   } catch {
-    // Not CBOR: the caller says so in the log.
+    // Not CBOR; the calling function logs it.
     return undefined;
   }
   if (isStatementRows(value)) return statementsOfRows(value);
@@ -79,13 +79,13 @@
   return { ...message, loads, registry: { ...registry, changes } };
 }
 
-/** What news hold in place of loads and changes; a box of an earlier version sends none. */
+/** Rows that gossip holds in place of loads and changes; older boxes send none. */
 interface GossipRows {
   loadRows?: unknown;
   changeRows?: unknown;
 }
 
-/** Numbers that a kind must hold to be taken. */
+/** Fields that must hold a finite number for a datagram of each kind to be accepted. */
 const REQUIRED_NUMBERS: Readonly<Record<WireKind, readonly string[]>> = {
   news: ['incarnation', 'sequence'],
   usage: ['incarnation'],
@@ -95,7 +95,7 @@
   crashSuspects: [],
 };
 
-/** Leaves out what news may hold and is not as it should be, as a box of an earlier version does not tell it. */
+/** Drops optional fields of gossip that are malformed, as if an older box had sent it without them. */
 function withoutInvalidFields(message: PeerMessage): PeerMessage {
   const { storeEra, decisions, ...others } = message;
   return {
@@ -122,7 +122,7 @@
   return (value as { kind?: unknown }).kind === STATEMENTS_WIRE_KIND;
 }
 
-/** Whether a value is of a known kind and has that kind's parts. */
+/** Whether a value is a datagram of a known kind with that kind's required fields. */
 function isDatagram(value: unknown): value is PeerDatagram {
   if (typeof value !== 'object' || value === null) return false;
   const fields = value as Record<string, unknown>;
@@ -144,7 +144,7 @@
   return [id, byUrgency.length === 0 ? load : { ...load, unreadByUrgency: byUrgency }];
 }
 
-/** A change's number and its server's id; with an entry its other fields in turn. */
+/** Number of a change and server id, followed by the entry's other fields in order unless the entry was removed. */
 type ChangeRow =
   | readonly [number, string]
   | readonly [
@@ -162,9 +162,9 @@
       number?,
     ];
 
-/** Values of a change with an entry; boxes of an earlier version do not tell the last, when a server was born. */
+/** Possible lengths of a row with an entry; older boxes omit the last value, the server's start time. */
 const CHANGE_ROW_LENGTHS: readonly number[] = [11, 12];
-/** Stands for what a server did not tell. */
+/** Encodes a value that a server did not state. */
 const ABSENT = -1;
 
 function changeRowOf({ number, id, entry }: NumberedChange): ChangeRow {
@@ -176,7 +176,7 @@
   return [number, id, service, host, port, zone, ...entryValues];
 }
 
-/** A row that is none leaves a gap in the numbers, so that the whole registry is asked for. */
+/** Whether a row is valid. A malformed row is dropped and leaves a gap in the numbers, so that the box requests the whole registry. */
 function isChangeRow(row: unknown): row is ChangeRow {
   if (!Array.isArray(row) || !Number.isInteger(row[0]) || typeof row[1] !== 'string') return false;
   return row.length === 2 || CHANGE_ROW_LENGTHS.includes(row.length);
--- a/packages/reedlug-gateway/src/daemon/platformFeeds.ts
+++ b/packages/reedlug-gateway/src/daemon/platformFeeds.ts
@@ -1,4 +1,4 @@
-/** Follows the store's collections and enters this box among the boxes. */
+/** Follows the store's collections and maintains this box's entry in the list of boxes. */
 import type { OperatorEntry, PlatformStore } from '../adapter.js';
 import type { Logger } from '../observe/logger.js';
 import type { GatewayState } from '../state.js';
@@ -9,18 +9,18 @@
 import type { Clock } from './clock.js';
 import { followFeed, type FeedListener } from './feedFollower.js';
 
-/** How long a poll of configuration or registry is held, in ms: a lost answer is noticed within the users' 2 s. */
+/** Wait of a long poll of configuration or registry, in ms; a lost answer is noticed within the 2 s that the users require. */
 const POLL_WAIT_MS = 2000;
-/** How long a poll of the boxes is held, in ms: the longest that the users' store holds one; boxes also hear of each other directly. */
+/** Wait of a long poll of the boxes, in ms: the maximum that the users' store allows. Boxes also learn of each other directly by gossip. */
 const BOXES_POLL_WAIT_MS = 30_000;
-/** Pause after a change of the boxes, in ms: at a start all of them enter themselves at once, and each would wake all others. */
+/** Pause after a change of the boxes, in ms: when a fleet starts, all boxes register at the same time, and each entry would wake all others. */
 const BOXES_PAUSE_MS = 1000;
-/** Longest pause of that poll after failed ones, in ms: nothing of a box depends on it for a while; at half a second each box that is turned away for 9 s asks 20 times, so 7. */
+/** Maximum pause after failed polls of the boxes, in ms. Boxes can work for a while without this list. A box that is refused for 9 s makes 7 calls; with a maximum of 0.5 s it would make 20. */
 const BOXES_MAX_PAUSE_MS = 4000;
-/** Pause after a change of the registry, in ms: dozens of engines come and go within a second, and members hear of them each 0.2 s anyway. */
+/** Pause after a change of the registry, in ms: dozens of engines start and stop within a second, and members receive the changes only every 0.2 s anyway. */
 const SERVERS_PAUSE_MS = 200;
 
-/** A box as its feeds need it. */
+/** Parts of a box that its feeds use. */
 export interface FeedRuntime {
   settings: GatewaySettings;
   store: PlatformStore;
@@ -30,14 +30,14 @@
   emit: (body: EventBody) => void;
 }
 
-/** The store's collections, followed. */
+/** Feeds of the store's collections. */
 export interface PlatformFeeds {
-  /** Reads all of them anew, since the store came back from a copy. */
+  /** Reads all collections again, because the store was restored from a backup. */
   restart: () => void;
   stop: () => void;
 }
 
-/** Starts to follow. */
+/** Starts to follow the store's collections. */
 export function followPlatform(runtime: FeedRuntime): PlatformFeeds {
   const { store, emit, logger, settings, clock } = runtime;
   const entry = maintainBoxEntry({
@@ -109,7 +109,7 @@
     restart() {
       operators.restart();
       servers.restart();
-      // Every box of a large fleet follows the list of boxes, and nothing waits for it.
+      // Every box of a large fleet follows this list and nothing waits for it, so boxes spread their reads over time.
       void clock.pause(startDelayMs(runtime.state)).then(() => {
         if (!isStopped) boxes.restart();
       });
@@ -124,7 +124,7 @@
   };
 }
 
-/** A box that begins to serve with a configuration must know of the roll-outs by then. */
+/** Moves roll-outs before the configuration: a box must know them when it starts to serve with a configuration. */
 function rolloutsFirst(items: readonly OperatorEntry[]): readonly OperatorEntry[] {
   const isFirst = ({ kind }: OperatorEntry): boolean => kind !== 'configuration';
   return [...items.filter(isFirst), ...items.filter((item) => !isFirst(item))];
@@ -143,7 +143,7 @@
   }
 }
 
-/** A box of which the settings tell only the address; its real name replaces the address once it is known. */
+/** Returns a peer for a seed of the settings. Its address serves as its id until the real id is known. */
 function seedPeer(host: string, port: number): PeerChange {
   return { boxId: host, address: { boxId: host, host, port, zone: undefined, processorCores: 0 } };
 }
--- a/packages/reedlug-gateway/src/daemon/probeServer.ts
+++ b/packages/reedlug-gateway/src/daemon/probeServer.ts
@@ -1,16 +1,16 @@
-/** Whether anything listens where a server was. */
+/** Probes whether a process is listening at a server's address. */
 import { connect } from 'node:net';
 import type { ProbeOutcome } from '../types/event.js';
 import type { HostPort } from '../types/server.js';
 import { CONNECT_TIMEOUT_MS } from './daemonTimes.js';
 
-/** How long a connection has to stay open, in ms: before a process that is gone, a forwarder accepts and closes at once. */
+/** Time for which a connection has to stay open, in ms: a port forwarder whose target is gone accepts a connection and closes it immediately. */
 const MIN_OPEN_MS = 30;
 
-/** Errors by which a host says that nothing is there; a cut or a host that is down says others. */
+/** Errors that mean that the host is up but nothing is listening; a network partition or a host that is down causes others. */
 const REFUSAL_ERROR_CODES: ReadonlySet<string> = new Set(['ECONNREFUSED', 'ECONNRESET', 'EPIPE']);
 
-/** Opens a connection and closes it after a moment; resolves in any case. */
+/** Opens a connection and closes it shortly afterwards; the promise never rejects. */
 export function probeServer({ host, port }: HostPort): Promise<ProbeOutcome> {
   return new Promise((resolve) => {
     const socket = connect({ host, port });
--- a/packages/reedlug-gateway/src/daemon/requestDigest.ts
+++ b/packages/reedlug-gateway/src/daemon/requestDigest.ts
@@ -1,13 +1,14 @@
-/** The digest by which boxes know a request that comes again under another id. */
+/** Digest by which boxes recognize a request that is repeated under another id. */
 import { createHash } from 'node:crypto';
 import type { CallerExchange } from './callerServer.js';
 
-/** Characters of a digest: 96 bits, so that two of the requests of a day do not meet by chance. */
+/** Length of a digest in characters: 96 bits, so that collisions among the requests of a day are improbable. */
 const DIGEST_CHARACTERS = 16;
 
 /**
- * SHA-256 of method, host, path and body, cut short. Logs, news and stored rows carry it in
- * place of the body. Each part is preceded by its length, so that none runs into the next.
+ * Returns a truncated SHA-256 of method, host, path and body. Logs, gossip and stored rows contain
+ * it in place of the body. Each part of the head is prefixed by its length, so that parts with
+ * different boundaries have different digests.
  */
 export function digestOf(exchange: Pick<CallerExchange, 'head' | 'body'>, host: string): string {
   const { head, body } = exchange;
--- a/packages/reedlug-gateway/src/daemon/runGateway.ts
+++ b/packages/reedlug-gateway/src/daemon/runGateway.ts
@@ -9,12 +9,12 @@
 import type { GatewaySettings } from '../types/settings.js';
 import { startGatewayDaemon } from './gatewayDaemon.js';
 
-/** Bytes of log that may wait for their reader, in bytes: about a second of lines. */
+/** Maximum size of the buffered log output, in bytes: about one second of lines. */
 const MAX_BUFFERED_LOG_BYTES = 256 * 1024;
-/** Exit codes. */
+/** Exit code for invalid settings. */
 const EXIT_INVALID_SETTINGS = 2;
 
-/** Runs until a planned stop has ended. */
+/** Runs a box until its planned shutdown is complete. */
 export async function runGateway(params: {
   adapter: PlatformAdapter;
   settingsPath: string;
@@ -51,7 +51,7 @@
   return undefined;
 }
 
-/** A changed file is checked and told; what it holds is fixed for the life of a process. */
+/** Validates a changed settings file and logs the result; a running process keeps the settings that it started with. */
 async function reload(path: string, logger: Logger): Promise<void> {
   const result = validateGatewaySettings(await readFile(path, 'utf8'));
   const faults = result.kind === 'invalid' ? result.faults.join('; ') : '';
--- a/packages/reedlug-gateway/src/daemon/sequentialHandler.ts
+++ b/packages/reedlug-gateway/src/daemon/sequentialHandler.ts
@@ -1,7 +1,7 @@
-/** The order of a box's events: one at a time, those that come meanwhile after them. */
+/** Handles a box's events one at a time; an event emitted meanwhile waits for its turn. */
 import type { EventBody } from '../types/event.js';
 
-/** Makes the function that takes a box's events; `handle` is never called within itself. */
+/** Returns a function that queues events for `handle`, so that `handle` is never called recursively. */
 export function createSequentialHandler(
   handle: (body: EventBody) => void,
 ): (body: EventBody) => void {
--- a/packages/reedlug-gateway/src/daemon/statementWire.ts
+++ b/packages/reedlug-gateway/src/daemon/statementWire.ts
@@ -1,8 +1,8 @@
 /**
- * Statements of servers as rows of a datagram.
+ * Encoding of server statements as rows of a datagram.
  *
- * A tenth of thousands of servers may say something at once, so rows carry no names. A row
- * that is none, as of another version, is left out.
+ * Of thousands of servers, a tenth may make a statement at the same time, so rows contain no field
+ * names. A malformed row, such as one of another version, is skipped.
  */
 import { isFiniteNumber, isFiniteNumberOrNull } from '../slices/rowValues.js';
 import type {
@@ -11,14 +11,14 @@
   IncarnationStatement,
 } from '../types/serverStatement.js';
 
-/** The kind under which boxes of all versions know the datagram. */
+/** Kind of the datagram on the wire, the same in all versions. */
 export const STATEMENTS_WIRE_KIND = 'serverFacts';
 
-/** Server, start of its life, requests a second, and how long ago it was asked and said. */
+/** Server, its start time, requests per second, and the time since the request was sent and the answer received. */
 type LimitRow = readonly [string, number | null, number | null, number, number];
 /**
- * Server, start of its life, how much longer it rests, and how long ago that was asked, probed and served;
- * boxes of the version before tell the first three alone.
+ * Server, its start time, the time left of its pause, and the time since the server asked for the pause, was
+ * probed, and served a request. Older boxes send only the first three values.
  */
 type PauseRow = readonly [
   string,
@@ -29,24 +29,24 @@
   (number | null)?,
 ];
 
-/** A server that leaves, and start of its life. */
+/** Draining server and its start time. */
 type DrainingRow = readonly [string, number | null];
 
-/** A server that refused, start of its life, and how long ago that was. */
+/** Server that refused a request, its start time, and the time since the refusal. */
 type RefusalRow = readonly [string, number | null, number];
 
-/** The datagram's value. */
+/** Content of the datagram. */
 export interface StatementRows {
   kind: typeof STATEMENTS_WIRE_KIND;
   boxId: string;
   limits: readonly LimitRow[];
   pauses: readonly PauseRow[];
-  /** Boxes of the version before neither send nor read it. */
+  /** Draining servers; older boxes neither send nor read this field. */
   leaving: readonly DrainingRow[];
   refusals: readonly RefusalRow[];
 }
 
-/** The rows of a message. */
+/** Encodes a message as rows. */
 export function statementRows({ boxId, statements }: ServerStatementsMessage): StatementRows {
   const limits: LimitRow[] = [];
   const pauses: PauseRow[] = [];
@@ -75,7 +75,7 @@
   return { kind: STATEMENTS_WIRE_KIND, boxId, limits, pauses, leaving, refusals };
 }
 
-/** The message of a datagram's value; undefined when it is none. */
+/** Decodes a message from rows; returns undefined if the value is malformed. */
 export function statementsOfRows(
   value: Readonly<Record<string, unknown>>,
 ): ServerStatementsMessage | undefined {
--- a/packages/reedlug-gateway/src/daemon/tableEvents.ts
+++ b/packages/reedlug-gateway/src/daemon/tableEvents.ts
@@ -1,10 +1,10 @@
-/** Answers of the shared table as events. */
+/** Converts replies of the shared table to events. */
 import type { TableAnswer } from 'reedlug-coordination';
 import type { StoreTableReply } from '../adapter.js';
 import type { GatewayState } from '../state.js';
 import type { EventBody, TablePurpose } from '../types/event.js';
 
-/** The events of a reply. One of an era that is over says nothing: what was done may be lost. */
+/** Returns the events of a reply. A reply of an earlier era of the store counts as unknown, since the restore from a backup may have lost the write. */
 export function eventsOfTable(
   { storeEra }: GatewayState,
   { purpose, sentAtMs, reply }: { purpose: TablePurpose; sentAtMs: number; reply: StoreTableReply },
