--- a/packages/reedlug-gateway/src/observe/__tests__/boundedLog.test.ts
+++ b/packages/reedlug-gateway/src/observe/__tests__/boundedLog.test.ts
@@ -21,7 +21,7 @@
   return { log, written, dropped: () => dropped };
 }
 
-test('a flood of one kind is bounded, counted, and told in the next second', () => {
+test('excess lines of one kind are dropped, counted, and reported in the next second', () => {
   const clock = { nowMs: 0, full: false };
   const { log, written, dropped } = createTestLog(clock);
   for (let index = 0; index < 1000; index += 1) log('requestRefused', {});
@@ -35,7 +35,7 @@
   expect(told?.fields).to.deep.equal({ requestRefused: 900 });
 });
 
-test('a full pipe takes no lines and blocks nothing', () => {
+test('a full output drops lines without blocking', () => {
   const clock = { nowMs: 0, full: true };
   const { log, written, dropped } = createTestLog(clock);
   log('requestSent', {});
--- a/packages/reedlug-gateway/src/observe/__tests__/decisionMetrics.test.ts
+++ b/packages/reedlug-gateway/src/observe/__tests__/decisionMetrics.test.ts
@@ -3,7 +3,7 @@
 import { setDecisionMetrics } from '../decisionMetrics.js';
 import { createGatewayMetrics } from '../gatewayMetrics.js';
 
-test('metrics tell the model, the need and the use of limits', async () => {
+test('metrics contain the model, the need for engines and the use of limits', async () => {
   const box = createServingBox();
   box.pass(10_000);
   const request = facts({ path: '/draft/1', promptTokens: 900, maxOutputTokens: 100 });
--- a/packages/reedlug-gateway/src/observe/__tests__/explainRequest.test.ts
+++ b/packages/reedlug-gateway/src/observe/__tests__/explainRequest.test.ts
@@ -10,7 +10,7 @@
 not a line of ours
 `;
 
-test('a cut stream is explained in the order of time', () => {
+test('a stream that was cut is explained by its lines in order of time', () => {
   const explanation = explainRequest(LOG, 'r1');
   expect(explanation?.lines.map(({ event }) => event)).to.deep.equal(['requestSent', 'streamCut']);
   expect(explanation?.cause).to.equal('cut after event 1 (connectionClosed); sent to i-1');
@@ -22,11 +22,11 @@
   expect(cause).to.equal(`refused with 429 (overLimit): ${account}; it was sent to no server`);
 });
 
-test('a request that no line names is not explained', () => {
+test('a request that no line mentions is not explained', () => {
   expect(explainRequest(LOG, 'r3')).to.equal(undefined);
 });
 
-test('a quoted value is read whole', () => {
+test('a quoted value is parsed completely', () => {
   const line = parseLogLine('time=t event=fault reason="two words"');
   expect(line?.fields.get('reason')).to.equal('two words');
 });
--- a/packages/reedlug-gateway/src/observe/__tests__/limitRefusals.test.ts
+++ b/packages/reedlug-gateway/src/observe/__tests__/limitRefusals.test.ts
@@ -17,7 +17,7 @@
   return line(second, 'requestSent', `box=${box} workspace=tiger units=${units}`);
 }
 
-test('a refusal is within the limit where what all boxes had sent leaves room for it', () => {
+test('a refusal is within the limit if the units that all boxes had sent leave enough spare units', () => {
   const log = [
     sent(1, 'box-1', 30),
     sent(2, 'box-2', 40),
@@ -33,7 +33,7 @@
   ]);
 });
 
-test('refusals of a box right after its start are told apart, lines in any order', () => {
+test('refusals right after the start of a box are counted separately, with lines in any order', () => {
   const log = [
     refusal(3, 'box-1', 10),
     line(1, 'partHeld', 'box=box-1 opening=earlierLife'),
--- a/packages/reedlug-gateway/src/observe/boundedLog.ts
+++ b/packages/reedlug-gateway/src/observe/boundedLog.ts
@@ -1,24 +1,24 @@
 /**
- * Log lines within a budget, never waiting for their reader.
+ * Rate-limited log that never waits for its reader.
  *
- * Lines of one event kind beyond their budget of the second are counted and left
- * out; the count is told in one line when the second is over. While the pipe is
- * full, lines are left out too, counted in the same way.
+ * Lines of one event kind that exceed the limit per second are dropped and counted; the counts
+ * are logged in one line after the second is over. Lines are also dropped and counted while the
+ * output is full.
  */
 import type { Logger, LogValue } from './logger.js';
 
-/** Lines of one kind in a second: several times a box's usual requests. */
+/** Maximum number of lines of one kind per second: several times a box's usual requests. */
 const LINES_PER_SECOND = 100;
 const SECOND_MS = 1000;
 
-/** Where lines go. */
+/** Destination of log lines. */
 export interface LineSink {
   write: (line: string) => void;
-  /** True while earlier lines have not been taken. */
+  /** Returns true while too many earlier lines are still buffered. */
   isFull: () => boolean;
 }
 
-/** Writes lines to a stream unless more than `limitBytes` wait there. */
+/** Returns a sink that writes to a stream and is full while more than `limitBytes` are buffered there. */
 export function streamSink(stream: NodeJS.WriteStream, limitBytes: number): LineSink {
   return {
     write: (line) => void stream.write(`${line}\n`),
@@ -26,7 +26,7 @@
   };
 }
 
-/** Returns a logger that keeps to the budget. */
+/** Returns a logger that keeps to the limit per second. */
 export function createBoundedLog(params: {
   logger: Logger;
   isFull: () => boolean;
--- a/packages/reedlug-gateway/src/observe/decisionMetrics.ts
+++ b/packages/reedlug-gateway/src/observe/decisionMetrics.ts
@@ -1,4 +1,4 @@
-/** The figures that decisions rest on now, as gauges: the model of each service, its need, the limits. */
+/** Gauges of the values that decisions are currently based on: the model of each service, its need for engines, and the limits. */
 import { Gauge, type Registry } from 'prom-client';
 import { sumTallies } from '../policy/rolloutVerdict.js';
 import { modelOf } from '../slices/engineModels.js';
@@ -8,19 +8,19 @@
 import { loadOf } from '../slices/serviceLoad.js';
 import type { GatewayState } from '../state.js';
 
-/** Gauges of decisions; they are set when they are asked for. */
+/** Gauges of decisions; they are set when the metrics are requested. */
 export interface DecisionMetrics {
-  /** Figures learned of a service: see `EngineModel`. */
+  /** Figures measured for a service, see `EngineModel`. */
   model: Gauge;
-  /** Load and need of a service whose engines can be ordered. */
+  /** Load of a service whose engines can be ordered, and the engines it needs. */
   capacity: Gauge;
-  /** Units of a workspace in the window of limits: used, and allowed at most. */
+  /** Units of a workspace within the limit window: used, and the maximum allowed. */
   limits: Gauge;
-  /** Answers of both versions of a service under roll-out, as far as this box has heard. */
+  /** Answers of both versions of a service during a roll-out, as far as this box knows. */
   rollouts: Gauge;
 }
 
-/** Returns gauges without values. */
+/** Creates gauges without values. */
 export function createDecisionMetrics(registry: Registry): DecisionMetrics {
   const registers = [registry];
   return {
@@ -51,7 +51,7 @@
   };
 }
 
-/** Sets the gauges to what holds now. */
+/** Sets the gauges to the current values. */
 export function setDecisionMetrics(
   metrics: DecisionMetrics,
   state: GatewayState,
@@ -72,7 +72,7 @@
   setRollouts(metrics.rollouts, state, nowMs);
 }
 
-/** Sums over routes and servers. */
+/** Sets the gauges of roll-outs to sums over routes and servers. */
 function setRollouts(gauge: Gauge, state: GatewayState, nowMs: number): void {
   const peers = countedPeers(state, nowMs);
   for (const [service, view] of state.rollouts) {
--- a/packages/reedlug-gateway/src/observe/explainRequest.ts
+++ b/packages/reedlug-gateway/src/observe/explainRequest.ts
@@ -1,22 +1,22 @@
-/** Puts together what the logs of all boxes say of one request, and names its cause. */
+/** Collects the log lines of all boxes about one request and explains how the request ended. */
 
-/** One line of a log. */
+/** Parsed log line. */
 export interface LogLine {
   time: string;
   event: string;
   fields: ReadonlyMap<string, string>;
 }
 
-/** A request's lines in order, and what they come to. */
+/** Log lines of a request in order of time, and the cause of its outcome. */
 export interface Explanation {
   lines: readonly LogLine[];
   cause: string;
 }
 
-/** A pair; a value with blanks is quoted as in JSON. */
+/** Matches a key=value pair; a value with blanks is quoted as in JSON. */
 const KEY_VALUE_PAIR = /([\w.]+)=("(?:[^"\\]|\\.)*"|\S*)/g;
 
-/** Reads a line of key=value pairs; undefined when it is none of ours. */
+/** Parses a line of key=value pairs; returns undefined if it has no time or event. */
 export function parseLogLine(text: string): LogLine | undefined {
   const fields = new Map<string, string>();
   for (const [, key = '', raw = ''] of text.matchAll(KEY_VALUE_PAIR)) {
@@ -27,7 +27,7 @@
   return time === undefined || event === undefined ? undefined : { time, event, fields };
 }
 
-/** Explains a request; undefined when no line names it. */
+/** Explains a request; returns undefined if no line mentions it. */
 export function explainRequest(logText: string, requestId: string): Explanation | undefined {
   const lines = logText
     .split('\n')
@@ -61,7 +61,7 @@
   }
 }
 
-/** The account that a limit decided by, where one did. */
+/** Describes the limit that refused the request; returns an empty text if none did. */
 function describeLimit(lines: readonly LogLine[]): string {
   const limit = lines.find(({ event }) => event === 'limitReached');
   if (limit === undefined) return '';
--- a/packages/reedlug-gateway/src/observe/gatewayMetrics.ts
+++ b/packages/reedlug-gateway/src/observe/gatewayMetrics.ts
@@ -1,12 +1,12 @@
-/** Counters and latency histograms of a gateway box, as text for a scraper. */
+/** Counters and latency histograms of a gateway box in the text format of Prometheus. */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 import type { LogField } from '../types/effect.js';
 import { createDecisionMetrics, type DecisionMetrics } from './decisionMetrics.js';
 
-/** Bounds of the latency histogram, in ms: around the targets of the users' requests. */
+/** Upper bounds of the latency buckets, in ms: around the latency targets of the users' requests. */
 const LATENCY_BUCKETS_MS = [10, 25, 50, 100, 200, 400, 800, 1200, 2000, 4000, 8000, 16_000];
 
-/** What a box counts. */
+/** Metrics of a box. */
 export interface GatewayMetrics {
   requests: Counter;
   latencyMs: Histogram;
@@ -17,7 +17,7 @@
   text: () => Promise<string>;
 }
 
-/** Counts a decision; the end of a request also by workspace, route and outcome. */
+/** Counts a decision, and counts the end of a request also by workspace, route and outcome. */
 export function countEvent(
   metrics: GatewayMetrics,
   event: string,
@@ -44,7 +44,7 @@
   return value === undefined ? '' : String(value);
 }
 
-/** Returns metrics at zero. */
+/** Creates metrics with all counters at zero. */
 export function createGatewayMetrics(): GatewayMetrics {
   const registers = [new Registry()];
   const [registry] = registers as [Registry];
--- a/packages/reedlug-gateway/src/observe/limitRefusals.ts
+++ b/packages/reedlug-gateway/src/observe/limitRefusals.ts
@@ -1,30 +1,30 @@
 /**
- * Whether refusals by a workspace's limit were within it, by what all boxes had sent.
+ * Checks whether requests that were refused by a workspace's limit would have been within the limit.
  *
- * A box decides by its part alone. Added up over the logs of all boxes, the units of the
- * window before a refusal tell what the whole limit would have held.
+ * A box decides by its own share of the limit alone. The units that all boxes sent in the window
+ * before a refusal, summed over their logs, show whether the whole limit was used up.
  */
 import { parseLogLine, type LogLine } from './explainRequest.js';
 
-/** A refusal beside what all boxes had sent of the workspace in the window before. */
+/** Refusal, and the units that all boxes had sent for the workspace in the window before it. */
 export interface LimitRefusal {
   box: string;
   workspace: string;
   units: number;
   fleetUsed: number;
   fleetAllowed: number;
-  /** The box had begun to hold its part less than a window before. */
+  /** Whether the box had received its share of the limits less than a window before. */
   isAfterStart: boolean;
 }
 
-/** Refusals of one workspace. */
+/** Summary of one workspace's refusals. */
 export interface LimitRefusalSummary {
   workspace: string;
   refusals: number;
-  /** Those that the whole limit would have held, and how many of them came at a box right after its start. */
+  /** Number of refusals that were within the whole limit, and how many of those happened right after the start of a box. */
   within: number;
   withinAfterStart: number;
-  /** Share of the whole limit that was used at the refusals within it: the middle one. */
+  /** Median share of the whole limit that was used at the refusals within it. */
   medianUsedShare: number;
 }
 
@@ -33,7 +33,7 @@
   units: number;
 }
 
-/** Refusals by limits in the logs of all boxes; `windowMs` is the users' window. */
+/** Finds the refusals by limits in the logs of all boxes; `windowMs` is the configured limit window. */
 export function limitRefusals(logText: string, windowMs: number): LimitRefusal[] {
   const lines = logText
     .split('\n')
@@ -75,7 +75,7 @@
   return units;
 }
 
-/** Sums refusals up by workspace, the one with the most first. */
+/** Summarizes refusals by workspace, in descending order of their number. */
 export function summarizeLimitRefusals(refusals: readonly LimitRefusal[]): LimitRefusalSummary[] {
   const names = [...new Set(refusals.map(({ workspace }) => workspace))];
   const rows = names.map((workspace) => {
--- a/packages/reedlug-gateway/src/observe/logger.ts
+++ b/packages/reedlug-gateway/src/observe/logger.ts
@@ -1,14 +1,14 @@
-/** Structured logs: roarr's messages as one line of key=value pairs for each event. */
+/** Structured logs: writes each event as one line of key=value pairs by way of roarr. */
 import './enableRoarr.js';
 import { ROARR, Roarr } from 'roarr';
 
-/** A value of a log field. */
+/** Value of a log field. */
 export type LogValue = string | number | boolean;
 
 /** Writes one event. */
 export type Logger = (event: string, fields: Readonly<Record<string, LogValue>>) => void;
 
-/** Returns a logger that goes through roarr and writes lines by `writeLine`. */
+/** Creates a logger on top of roarr that writes each line with `writeLine`. */
 export function createLogger(
   context: Readonly<Record<string, LogValue>>,
   writeLine: (line: string) => void,
@@ -30,7 +30,7 @@
   return pairs.join(' ');
 }
 
-/** Quotes a value that would not read as one word. */
+/** Quotes a value as JSON if it is empty or contains blanks, quotes or equals signs. */
 export function quoted(value: LogValue): string {
   const text = String(value);
   return /^[^\s"=]+$/.test(text) ? text : JSON.stringify(text);
--- a/packages/reedlug-gateway/src/settings/__tests__/gatewaySettingsValidation.test.ts
+++ b/packages/reedlug-gateway/src/settings/__tests__/gatewaySettingsValidation.test.ts
@@ -24,7 +24,7 @@
   return result.kind === 'invalid' ? result.faults : [];
 }
 
-test('a whole file is valid, and times are in ms', () => {
+test('a complete file is valid, and times are converted to ms', () => {
   const result = validateGatewaySettings(VALID);
   if (result.kind !== 'valid') throw new Error(result.faults.join('; '));
   const { settings } = result;
@@ -36,7 +36,7 @@
   expect(settings.listen.metricsPort).to.equal(9464);
 });
 
-test('all faults are told at once, each with its path', () => {
+test('all faults are reported at once, each with its path', () => {
   const text = VALID.replace('10.0.0.1:8080', 'nowhere').replace('drainMs: 2000', 'drainMs: -1');
   const faults = faultsOf(text);
   expect(faults).to.have.length(2);
@@ -44,11 +44,11 @@
   expect(faults[1]).to.contain('bounds.drainMs');
 });
 
-test('an unknown key is refused', () => {
+test('an unknown key is rejected', () => {
   expect(faultsOf(`${VALID}\nspeed: 9\n`)[0]).to.contain('speed');
 });
 
-test('text that is no YAML is told', () => {
+test('text that is not YAML is reported', () => {
   expect(faultsOf('box: [')[0]).to.contain('not YAML');
 });
 
--- a/packages/reedlug-gateway/src/settings/defaults.ts
+++ b/packages/reedlug-gateway/src/settings/defaults.ts
@@ -1,7 +1,7 @@
-/** Defaults of the gateway, before a configuration is in force. */
+/** Defaults of the gateway. */
 import type { CallerLimits } from '../types/configuration.js';
 
-/** Limits towards callers until the configuration names its own: those of the first configuration that the users gave. */
+/** Limits for callers until a configuration is in force; the same values as in the users' configuration. */
 export const DEFAULT_CALLER_LIMITS: CallerLimits = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 4_194_304,
@@ -9,8 +9,8 @@
   idleTimeoutMs: 15_000,
 };
 
-/** Port of the metrics, where the settings name none. */
+/** Port of the metrics if the settings name none. */
 export const DEFAULT_METRICS_PORT = 9464;
 
-/** Window of limits, where the settings name none, in seconds: that of the users' deployments. */
+/** Limit window in seconds if the settings name none; the same as in the users' deployments. */
 export const DEFAULT_LIMIT_WINDOW_SECONDS = 8;
--- a/packages/reedlug-gateway/src/settings/gatewaySettingsValidation.ts
+++ b/packages/reedlug-gateway/src/settings/gatewaySettingsValidation.ts
@@ -1,8 +1,8 @@
 /**
  * Validation of a gateway box's settings file (YAML).
  *
- * Every fault is told with its path and what would be right. Unknown keys are
- * refused, so that a misspelt one does not go unseen.
+ * Every fault is reported with its path and the expected value. Unknown keys are
+ * rejected, so that a misspelt key is noticed.
  */
 import { parse } from 'yaml';
 import en from 'zod/v4/locales/en.js';
@@ -15,7 +15,7 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Duties that the platform may ask for; others are not carried out. */
+/** Duties that the settings may assign to the gateway; other values are ignored. */
 const Duty = { usageReports: 'usageReports', engineOrders: 'engineOrders' } as const;
 
 const IP_NUMBER = /^(\d{1,3}\.){3}\d{1,3}$/;
@@ -31,7 +31,7 @@
 const ms = z.number().check(z.nonnegative());
 const seconds = z.number().check(z.nonnegative());
 
-/** A number that a template may leave empty. */
+/** Accepts a number that may be missing or null, as a settings template leaves it, and then returns the fallback. */
 function withDefault(schema: z.ZodMiniType<number>, fallback: number) {
   return z.pipe(
     z.optional(z.nullable(schema)),
@@ -75,11 +75,11 @@
   }),
 });
 
-/** Settings, or all faults of the file. */
+/** Valid settings, or all faults of the file. */
 export type GatewaySettingsResult =
   { kind: 'valid'; settings: GatewaySettings } | { kind: 'invalid'; faults: readonly string[] };
 
-/** Reads settings from YAML text. */
+/** Parses and validates settings from YAML text. */
 export function validateGatewaySettings(text: string): GatewaySettingsResult {
   let document: unknown;
   try {
--- a/packages/reedlug-gateway/src/settings/locatedYaml.ts
+++ b/packages/reedlug-gateway/src/settings/locatedYaml.ts
@@ -1,12 +1,12 @@
-/** YAML text with the lines of its fields, for validations that tell where a fault is. */
+/** Parses YAML together with the line numbers of its fields, for validations that report where a fault is. */
 import { isNode, LineCounter, parseDocument } from 'yaml';
 
-/** The text's value and a look for lines, or what is wrong with the text. */
+/** Parsed value with a line lookup, or the syntax errors of the text. */
 export type LocatedYaml =
   | {
       kind: 'parsed';
       value: unknown;
-      /** Line of a field from 1; of the nearest field around it where it is not there. */
+      /** Returns the line of a field, counted from 1; for a missing field that of its nearest existing parent. */
       lineOf: (path: readonly PropertyKey[]) => number;
     }
   | { kind: 'faulty'; faults: { line: number; message: string }[] };
