--- a/packages/reedlug-gateway/src/daemon/__tests__/feedFollower.test.ts
+++ b/packages/reedlug-gateway/src/daemon/__tests__/feedFollower.test.ts
@@ -57,9 +57,9 @@
 test('an answer of another era causes a complete read, and answers of an earlier era are dropped', async () => {
   const inEra = (era: number, version: number): number => storeRevision({ era, version });
   let storeEra = 1;
-  const wholes = [page(['of era 1'], inEra(1, 90)), page(['late'], inEra(1, 95))];
+  const fullReads = [page(['of era 1'], inEra(1, 90)), page(['late'], inEra(1, 95))];
   const feed: Feed<string> = {
-    readAll: () => Promise.resolve(wholes.shift() ?? page(['of era 2'], inEra(2, 60))),
+    readAll: () => Promise.resolve(fullReads.shift() ?? page(['of era 2'], inEra(2, 60))),
     async follow({ afterRevision, signal }) {
       if (afterRevision >= inEra(2, 0)) await delay(10_000, undefined, { signal }).catch(() => 0);
       storeEra = 2;
@@ -94,8 +94,8 @@
   following.restart();
   await delay(20);
   following.stop();
-  expect({ wholes: calls.fullReads, ended, read }).to.deep.equal({
-    wholes: 2,
+  expect({ fullReads: calls.fullReads, ended, read }).to.deep.equal({
+    fullReads: 2,
     ended: 1,
     read: ['whole', 'whole'],
   });
