--- a/packages/reedlug-gateway/src/daemon/backendAttempt.ts
+++ b/packages/reedlug-gateway/src/daemon/backendAttempt.ts
@@ -1,9 +1,9 @@
 /**
- * One send of a request to a backend server, and its answer.
+ * Sends a request to a backend server once and reads the answer.
  *
- * A plain answer is read whole before anything is told, so that a cut one can
- * be made good by a repeat. A stream is told with its first whole event; what
- * follows is told event by event.
+ * A plain (non-streaming) answer is buffered completely before it is reported, so that a
+ * truncated answer can be replaced by a retry. A stream is reported when its first complete
+ * event arrives; later events are reported as they arrive.
  */
 import type { Dispatcher } from 'undici';
 import type { HeaderCodec } from '../adapter.js';
@@ -12,10 +12,10 @@
 import type { Connection, ConnectionPool } from './connectionPool.js';
 import { createEventSplitter, type StreamEvent } from './eventSplitter.js';
 
-/** Largest plain answer that is read whole, in bytes: well over the users' largest body. */
-const MAX_PLAIN_BYTES = 16 * 1024 * 1024;
+/** Maximum size of a buffered plain answer, in bytes; well over the largest body that the users send. */
+const MAX_PLAIN_ANSWER_BYTES = 16 * 1024 * 1024;
 
-/** The head of an answer, and its body where it is plain. */
+/** Head of an answer, and its body if the answer is plain. */
 export interface BackendAnswer {
   status: number;
   statusText: string;
@@ -23,18 +23,18 @@
   body: Buffer;
 }
 
-/** What an attempt tells. */
+/** Receives the progress of an attempt. */
 export interface AttemptListener {
   onNotSent: (reason: string) => void;
-  /** The head of an answer of this server to this request came. */
-  onBegun: (statements: AnswerStatements) => void;
+  /** Called when the head of this server's answer to this request has arrived. */
+  onAnswerHead: (statements: AnswerStatements) => void;
   onAnswered: (verdict: AnswerVerdict, status: number) => void;
   onEvents: (events: readonly StreamEvent[]) => void;
   onEnded: () => void;
   onLost: (reason: string) => void;
 }
 
-/** What is sent. */
+/** Request to send to a backend server. */
 export interface AttemptRequest {
   requestId: string;
   method: string;
@@ -44,15 +44,15 @@
   streaming: boolean;
 }
 
-/** A send in progress. */
+/** Attempt in progress. */
 export interface BackendAttempt {
-  /** Complete for a plain answer once answered; for a stream without its body. */
+  /** Returns the answer: complete once a plain answer has been reported, without a body for a stream. */
   answer: () => BackendAnswer | undefined;
-  /** Ends the connection, so that the server stops; nothing more is told. */
+  /** Closes the connection, so that the server stops working, and reports nothing more. */
   cancel: () => void;
 }
 
-/** Sends a request. */
+/** Sends a request on a connection and reports the progress to the listener. */
 export function sendAttempt(params: {
   connection: Connection;
   pool: ConnectionPool;
@@ -66,32 +66,32 @@
   let bytes = 0;
   let sent = false;
   let settled = false;
-  let streamBegun = false;
+  let isStreamStarted = false;
   let verdict: AnswerVerdict | undefined;
   let answer: BackendAnswer | undefined;
 
-  const settle = (tell: () => void): void => {
+  const settle = (report: () => void): void => {
     if (settled) return;
     settled = true;
-    tell();
+    report();
   };
-  const drop = (): void => pool.discard(connection);
+  const discardConnection = (): void => pool.discard(connection);
   const isStream = (): boolean => request.streaming && verdict === 'success';
 
-  const beginStream = (): void => {
-    if (streamBegun) return;
-    streamBegun = true;
+  const startStream = (): void => {
+    if (isStreamStarted) return;
+    isStreamStarted = true;
     if (!settled && answer !== undefined) listener.onAnswered('success', answer.status);
   };
 
-  const finish = (whole: BackendAnswer, told: AnswerVerdict): void => {
+  const finish = (whole: BackendAnswer, finalVerdict: AnswerVerdict): void => {
     if (isStream()) {
       if (splitter.pendingBytes() > 0) return settle(() => listener.onLost('cutInEvent'));
-      beginStream();
+      startStream();
       return settle(() => listener.onEnded());
     }
     whole.body = Buffer.concat(chunks);
-    settle(() => listener.onAnswered(told, whole.status));
+    settle(() => listener.onAnswered(finalVerdict, whole.status));
   };
 
   const handler: Dispatcher.DispatchHandler = {
@@ -103,44 +103,44 @@
       const rawHeaders = textHeaders(controller.rawHeaders);
       const head = { requestId: request.requestId, status, rawHeaders };
       verdict = codec.evaluateAnswer(head);
-      connection.answerEndsWithIt = !isFramed(status, rawHeaders);
+      connection.isCloseDelimited = !isSelfDelimiting(status, rawHeaders);
       answer = { status, statusText: statusText ?? '', rawHeaders, body: Buffer.alloc(0) };
       const statements = codec.statementsOf(head);
-      if (statements !== undefined) listener.onBegun(statements);
+      if (statements !== undefined) listener.onAnswerHead(statements);
       if (verdict !== 'invalid') return;
       settle(() => listener.onAnswered('invalid', status));
-      drop();
+      discardConnection();
     },
     onResponseData(_controller, chunk) {
       if (settled) return;
       if (isStream()) {
         const events = splitter.push(chunk);
         if (events.length === 0) return;
-        beginStream();
+        startStream();
         if (!settled) listener.onEvents(events);
         return;
       }
       bytes += chunk.length;
       chunks.push(chunk);
-      if (bytes <= MAX_PLAIN_BYTES) return;
+      if (bytes <= MAX_PLAIN_ANSWER_BYTES) return;
       settle(() => listener.onLost('answerTooLarge'));
-      drop();
+      discardConnection();
     },
     onResponseEnd() {
       if (settled || answer === undefined || verdict === undefined) return;
-      if (!connection.answerEndsWithIt) {
-        pool.giveBack(connection);
+      if (!connection.isCloseDelimited) {
+        pool.release(connection);
         return finish(answer, verdict);
       }
       const whole = { answer, verdict };
-      void (connection.closedInOrder ?? Promise.resolve(false)).then((inOrder) => {
-        drop();
-        if (inOrder && !connection.failed) return finish(whole.answer, whole.verdict);
+      void (connection.closedCleanly ?? Promise.resolve(false)).then((isClean) => {
+        discardConnection();
+        if (isClean && !connection.failed) return finish(whole.answer, whole.verdict);
         settle(() => listener.onLost('resetInAnswer'));
       });
     },
     onResponseError(_controller, error) {
-      drop();
+      discardConnection();
       settle(() => {
         if (sent) listener.onLost(reasonOf(error));
         else listener.onNotSent(reasonOf(error));
@@ -160,14 +160,14 @@
       handler,
     );
   } catch (error) {
-    // The request cannot be written as it is; it has not left this box.
+    // The client rejected the request before sending it: nothing has left this box.
     queueMicrotask(() => settle(() => listener.onNotSent(reasonOf(error as Error))));
   }
   return {
     answer: () => answer,
     cancel() {
       settled = true;
-      drop();
+      discardConnection();
     },
   };
 }
@@ -177,7 +177,7 @@
   return raw.map((item) => (Buffer.isBuffer(item) ? item.toString('latin1') : String(item)));
 }
 
-/** What the codes of undici, llhttp and the system mean for a request. */
+/** Log reasons for the error codes of undici, llhttp and the operating system. */
 const REASONS: Readonly<Record<string, string>> = {
   UND_ERR_SOCKET: 'connectionClosed',
   ECONNRESET: 'connectionReset',
@@ -187,15 +187,15 @@
   UND_ERR_RES_CONTENT_LENGTH_MISMATCH: 'answerCutShort',
 };
 
-/** A reason for the logs; an unknown code stands as it is. */
+/** Returns the reason for the logs; an unknown code is returned unchanged. */
 function reasonOf(error: Error): string {
   const { code } = error as Error & { code?: string };
   if (code?.startsWith('HPE_') === true) return 'unreadableAnswer';
   return REASONS[code ?? ''] ?? code ?? error.message;
 }
 
-/** Whether an answer says itself where it ends. */
-function isFramed(status: number, rawHeaders: readonly string[]): boolean {
+/** Whether the head of an answer says where its body ends. */
+function isSelfDelimiting(status: number, rawHeaders: readonly string[]): boolean {
   if (status === 204 || status === 304) return true;
   return rawHeaders.some((name, index) => {
     const lower = index % 2 === 0 ? name.toLowerCase() : '';
--- a/packages/reedlug-gateway/src/daemon/effects.ts
+++ b/packages/reedlug-gateway/src/daemon/effects.ts
@@ -1,4 +1,4 @@
-/** Carries out the reducer's effects. */
+/** Performs the reducer's effects. */
 import { performance } from 'node:perf_hooks';
 import type { Effect } from '../types/effect.js';
 import type { Runtime } from './gatewayDaemon.js';
@@ -10,7 +10,7 @@
 import { probeServer } from './probeServer.js';
 import { writeEvents, writePlainAnswer, writeRefusal, writeStreamHead } from './exchanges.js';
 
-/** Carries out one effect; what comes of it is a later event. */
+/** Performs one effect; its result arrives as a later event. */
 export function performEffect(runtime: Runtime, effect: Effect): void {
   switch (effect.type) {
     case 'send':
@@ -33,7 +33,7 @@
     case 'callCloud':
       return callCloud(runtime, effect);
     case 'readStoreAgain':
-      return runtime.feeds?.readAgain();
+      return runtime.feeds?.restart();
     case 'sendPeers':
       return runtime.peers.send(effect.message, effect.to);
     case 'askPeer':
@@ -59,7 +59,7 @@
   const ids = { exchangeId, attemptId };
   const end = (): void => void runtime.attempts.delete(attemptId);
   const attempt = sendAttempt({
-    connection: runtime.pool.take(order.serverId, order.address, order.needsFreshConnection),
+    connection: runtime.pool.acquire(order.serverId, order.address, order.needsFreshConnection),
     pool: runtime.pool,
     codec: runtime.adapter.headers,
     request: {
@@ -75,7 +75,7 @@
         end();
         runtime.emit({ type: 'attemptNotSent', ...ids, reason });
       },
-      onBegun(statements) {
+      onAnswerHead(statements) {
         runtime.emit({ type: 'answerBegun', ...ids, statements });
       },
       onAnswered(verdict, status) {
@@ -148,11 +148,11 @@
   });
 }
 
-/** What comes of it is seen in the list; the reducer asks again until it is. */
+/** Writes this box's entry to the store. The box sees the result in the list, and the reducer repeats the effect until it does. */
 function enterBox(runtime: Runtime, effect: EffectOf<'enterBox'>): void {
   const { boxId, address, holdsPart } = effect;
-  void runtime.store.announceBox(boxId, address, holdsPart).then((isTaken) => {
-    if (!isTaken) runtime.logger('announceFailed', { box: boxId });
+  void runtime.store.announceBox(boxId, address, holdsPart).then((isWritten) => {
+    if (!isWritten) runtime.logger('announceFailed', { box: boxId });
   });
 }
 
--- a/packages/reedlug-gateway/src/daemon/eventSplitter.ts
+++ b/packages/reedlug-gateway/src/daemon/eventSplitter.ts
@@ -1,38 +1,38 @@
-/** Cuts a `text/event-stream` into whole events, byte by byte as they came. */
+/** Splits a `text/event-stream` into complete events without changing their bytes. */
 
-/** A whole event with its trailing blank line. */
+/** Complete event, including its trailing blank line. */
 export interface StreamEvent {
   bytes: Buffer;
-  /** Undefined when the event names none. */
+  /** Undefined if the event has no numeric id. */
   id: number | undefined;
 }
 
-/** Collects bytes and gives out whole events. */
+/** Collects bytes and returns the events that are complete. */
 export interface EventSplitter {
   push: (chunk: Buffer) => StreamEvent[];
-  /** Bytes of an event that is not whole yet. */
+  /** Returns the number of bytes of the incomplete event. */
   pendingBytes: () => number;
 }
 
 const EVENT_END = Buffer.from('\n\n');
 const ID_LINE = /^id: ?(\d+)\r?$/m;
 
-/** Returns a splitter at the start of a stream. */
+/** Creates a splitter for a new stream. */
 export function createEventSplitter(): EventSplitter {
-  let rest: Buffer = Buffer.alloc(0);
+  let remainder: Buffer = Buffer.alloc(0);
   return {
     push(chunk) {
-      rest = rest.length === 0 ? chunk : Buffer.concat([rest, chunk]);
+      remainder = remainder.length === 0 ? chunk : Buffer.concat([remainder, chunk]);
       const events: StreamEvent[] = [];
       for (;;) {
-        const end = rest.indexOf(EVENT_END);
+        const end = remainder.indexOf(EVENT_END);
         if (end < 0) return events;
-        const bytes = rest.subarray(0, end + EVENT_END.length);
-        rest = rest.subarray(bytes.length);
+        const bytes = remainder.subarray(0, end + EVENT_END.length);
+        remainder = remainder.subarray(bytes.length);
         events.push({ bytes, id: idOf(bytes) });
       }
     },
-    pendingBytes: () => rest.length,
+    pendingBytes: () => remainder.length,
   };
 }
 
--- a/packages/reedlug-gateway/src/daemon/operatorServer.ts
+++ b/packages/reedlug-gateway/src/daemon/operatorServer.ts
@@ -1,6 +1,7 @@
 /**
- * What operators ask of one box over HTTP, on the port of its metrics: `GET /verdicts` and
- * `DELETE /verdicts/KEY` (as `GET` names it, percent-encoded); any other path gives the metrics.
+ * HTTP interface for operators on a box's metrics port: `GET /verdicts` lists the verdicts, and
+ * `DELETE /verdicts/KEY` lifts one (KEY as in the list, percent-encoded). A verdict blocks a request
+ * that crashes its servers. Any other path returns the metrics.
  */
 import { createServer, type Server, type ServerResponse } from 'node:http';
 import { versionOf } from 'reedlug-coordination';
@@ -14,8 +15,8 @@
 
 const VERDICTS_PATH = '/verdicts';
 
-/** What the server shows and acts on. */
-export interface OperatedBox {
+/** Parts of the box that the operator server reads and acts on. */
+export interface OperatorServerContext {
   state: GatewayState;
   clock: Clock;
   metrics: GatewayMetrics;
@@ -23,8 +24,8 @@
   emit: (body: EventBody) => void;
 }
 
-/** Returns the server; it does not listen yet. */
-export function createOperatorServer(box: OperatedBox): Server {
+/** Creates the server without listening. */
+export function createOperatorServer(box: OperatorServerContext): Server {
   return createServer((request, response) => {
     const path = (request.url ?? '/').split('?', 1)[0] ?? '/';
     if (request.method === 'GET' && path === VERDICTS_PATH) return showVerdicts(box, response);
@@ -35,42 +36,42 @@
   });
 }
 
-function showVerdicts({ state, clock }: OperatedBox, response: ServerResponse): void {
+function showVerdicts({ state, clock }: OperatorServerContext, response: ServerResponse): void {
   response.setHeader('Content-Type', 'application/json');
   response.end(JSON.stringify(blockedSuspects(state, clock.nowMs())));
 }
 
 function liftVerdict(
-  box: OperatedBox,
+  box: OperatorServerContext,
   { method, key }: { method: string | undefined; key: string | undefined },
   response: ServerResponse,
 ): void {
-  if (method !== 'DELETE') return end(response, 405, 'DELETE lifts a verdict');
+  if (method !== 'DELETE') return respond(response, 405, 'DELETE lifts a verdict');
   const isKnown = blockedSuspects(box.state, box.clock.nowMs()).some(
     (verdict) => verdict.key === key,
   );
   if (key === undefined || !isKnown) {
-    return end(response, 404, 'no such verdict: GET /verdicts names those that stand');
+    return respond(response, 404, 'no such verdict: GET /verdicts names those that stand');
   }
   box.emit({ type: 'verdictLifted', key });
-  end(response, 204, '');
+  respond(response, 204, '');
 }
 
 function keyOf(path: string): string | undefined {
   try {
     return decodeURIComponent(path.slice(VERDICTS_PATH.length + 1));
   } catch {
-    // Not percent-encoded as it must be: it names no verdict.
+    // A key with invalid percent-encoding matches no verdict.
     return undefined;
   }
 }
 
-function end(response: ServerResponse, status: number, text: string): void {
+function respond(response: ServerResponse, status: number, text: string): void {
   response.writeHead(status);
   response.end(text);
 }
 
-function showMetrics(box: OperatedBox, response: ServerResponse): void {
+function showMetrics(box: OperatorServerContext, response: ServerResponse): void {
   const { state, clock, metrics, logger } = box;
   metrics.versions.set({ of: 'configuration' }, state.active?.configuration.version ?? 0);
   metrics.versions.set({ of: 'servers' }, versionOf(state.serversRevision));
--- a/packages/reedlug-gateway/src/daemon/peerWire.ts
+++ b/packages/reedlug-gateway/src/daemon/peerWire.ts
@@ -1,10 +1,10 @@
 /**
- * Datagrams of peers as bytes.
+ * Encoding of datagrams between peers.
  *
- * A hub sends the loads of all servers and the latest changes of the registry to each
- * of its members five times a second over a link of some Mbit/s, and a full link loses
- * datagrams. So both go as rows of values without names. Boxes of an earlier version
- * find no loads and no changes in it, and ask for the whole registry.
+ * A hub (a box that exchanges gossip on behalf of its members) sends the loads of all servers and
+ * the latest changes of the registry to each member five times a second over a link of some Mbit/s,
+ * and a saturated link loses datagrams. Both are therefore encoded as rows of values without names.
+ * Older boxes find no loads and no changes in such a datagram, and request the whole registry.
  */
 import { Decoder, Encoder } from 'cbor-x';
 import { MAX_STORE_ERA } from 'reedlug-coordination';
@@ -18,15 +18,15 @@
 import type { ServerState } from '../types/server.js';
 import { statementRows, STATEMENTS_WIRE_KIND, statementsOfRows } from './statementWire.js';
 
-/** CBOR of the peer link, without record definitions: a datagram must be readable alone. */
+/** CBOR encoder of the peer link, without record definitions: each datagram must be decodable on its own. */
 export const encoder = new Encoder({ useRecords: false });
 export const decoder = new Decoder({ useRecords: false });
 
-/** Kinds that travel as they are but for news; statements of servers go as rows of a kind of their own. */
+/** Kinds of datagrams on the wire. Server statements are sent as rows of another kind, see `STATEMENTS_WIRE_KIND`. */
 type WireKind = Exclude<PeerDatagram['kind'], 'serverStatements'>;
 
-/** Kinds of datagrams, with what each must hold to be taken. */
-const PARTS_OF_KINDS: Readonly<Record<WireKind, readonly string[]>> = {
+/** Fields that must hold an object or array for a datagram of each kind to be accepted. */
+const REQUIRED_OBJECTS: Readonly<Record<WireKind, readonly string[]>> = {
   news: ['loads', 'sendSums', 'admitted', 'usage'],
   usage: ['usage'],
   unitsAsked: [],
@@ -35,10 +35,10 @@
   crashSuspects: ['suspects', 'recent'],
 };
 
-/** A server's id, requests in progress, tokens to be read, prompts to be read, and the tokens by urgency. */
+/** Server id, requests in progress, tokens waiting for prefill, prompts waiting for prefill, and the waiting tokens by urgency. */
 type LoadRow = readonly [string, number, number, number, ...number[]];
 
-/** The bytes of a datagram. */
+/** Encodes a datagram. */
 export function encodeDatagram(message: PeerDatagram): Buffer {
   if (message.kind === 'serverStatements') return encoder.encode(statementRows(message));
   if (message.kind !== 'news') return encoder.encode(message);
@@ -46,47 +46,47 @@
   return encoder.encode({
     ...message,
     loads: {},
-    loadRows: Object.entries(loads).map(rowOf),
+    loadRows: Object.entries(loads).map(loadRowOf),
     registry: registry === undefined ? undefined : { ...registry, changes: [] },
     changeRows: registry?.changes.map(changeRowOf),
   });
 }
 
-function rowOf([id, load]: [string, ServerLoad]): LoadRow {
+function loadRowOf([id, load]: [string, ServerLoad]): LoadRow {
   const { running, prefillTokens, unread = 0, unreadByUrgency = [] } = load;
   return [id, running, prefillTokens, unread, ...unreadByUrgency];
 }
 
-/** Reads a datagram; undefined when it is none, or of a version that lacks a part. */
+/** Decodes a datagram; returns undefined if it is malformed or of a version that lacks a required field. */
 export function decodeDatagram(bytes: Buffer): PeerDatagram | undefined {
   let value: unknown;
   try {
     value = decoder.decode(bytes);
   } catch {
-    // Not CBOR: the caller says so in the log.
+    // Not CBOR; the calling function logs it.
     return undefined;
   }
   if (isStatementRows(value)) return statementsOfRows(value);
   if (!isDatagram(value)) return undefined;
-  const { loadRows, changeRows, ...told } = value as PeerDatagram & Rows;
-  if (told.kind !== 'news') return told;
-  const message = withSoundParts(told);
+  const { loadRows, changeRows, ...datagram } = value as PeerDatagram & GossipRows;
+  if (datagram.kind !== 'news') return datagram;
+  const message = withoutInvalidFields(datagram);
   if (!Array.isArray(loadRows)) return message;
-  const loads = Object.fromEntries(loadRows.filter(isRow).map(loadOf));
+  const loads = Object.fromEntries(loadRows.filter(isLoadRow).map(loadOf));
   const { registry } = message;
   if (registry === undefined || !Array.isArray(changeRows)) return { ...message, loads };
   const changes = changeRows.filter(isChangeRow).map(changeOf);
   return { ...message, loads, registry: { ...registry, changes } };
 }
 
-/** What news hold in place of loads and changes; a box of an earlier version sends none. */
-interface Rows {
+/** Rows that gossip holds in place of loads and changes; older boxes send none. */
+interface GossipRows {
   loadRows?: unknown;
   changeRows?: unknown;
 }
 
-/** Numbers that a kind must hold to be taken. */
-const NUMBERS_OF_KINDS: Readonly<Record<WireKind, readonly string[]>> = {
+/** Fields that must hold a finite number for a datagram of each kind to be accepted. */
+const REQUIRED_NUMBERS: Readonly<Record<WireKind, readonly string[]>> = {
   news: ['incarnation', 'sequence'],
   usage: ['incarnation'],
   unitsAsked: ['incarnation', 'askId', 'units', 'hops', 'port'],
@@ -95,8 +95,8 @@
   crashSuspects: [],
 };
 
-/** Leaves out what news may hold and is not as it should be, as a box of an earlier version does not tell it. */
-function withSoundParts(message: PeerMessage): PeerMessage {
+/** Drops optional fields of gossip that are malformed, as if an older box had sent it without them. */
+function withoutInvalidFields(message: PeerMessage): PeerMessage {
   const { storeEra, decisions, ...others } = message;
   return {
     ...others,
@@ -122,19 +122,19 @@
   return (value as { kind?: unknown }).kind === STATEMENTS_WIRE_KIND;
 }
 
-/** Whether a value is of a known kind and has that kind's parts. */
+/** Whether a value is a datagram of a known kind with that kind's required fields. */
 function isDatagram(value: unknown): value is PeerDatagram {
   if (typeof value !== 'object' || value === null) return false;
-  const parts = value as Record<string, unknown>;
-  const kind = String(parts['kind']);
-  if (!Object.hasOwn(PARTS_OF_KINDS, kind) || typeof parts['boxId'] !== 'string') return false;
-  const required = PARTS_OF_KINDS[kind as WireKind];
-  const numbers = NUMBERS_OF_KINDS[kind as WireKind];
-  if (!numbers.every((name) => Number.isFinite(parts[name]))) return false;
-  return required.every((name) => typeof parts[name] === 'object' && parts[name] !== null);
+  const fields = value as Record<string, unknown>;
+  const kind = String(fields['kind']);
+  if (!Object.hasOwn(REQUIRED_OBJECTS, kind) || typeof fields['boxId'] !== 'string') return false;
+  const required = REQUIRED_OBJECTS[kind as WireKind];
+  const numbers = REQUIRED_NUMBERS[kind as WireKind];
+  if (!numbers.every((name) => Number.isFinite(fields[name]))) return false;
+  return required.every((name) => typeof fields[name] === 'object' && fields[name] !== null);
 }
 
-function isRow(row: unknown): row is LoadRow {
+function isLoadRow(row: unknown): row is LoadRow {
   if (!Array.isArray(row) || row.length < 4 || typeof row[0] !== 'string') return false;
   return row.slice(1).every(Number.isFinite);
 }
@@ -144,7 +144,7 @@
   return [id, byUrgency.length === 0 ? load : { ...load, unreadByUrgency: byUrgency }];
 }
 
-/** A change's number and its server's id; with an entry its other fields in turn. */
+/** Number of a change and server id, followed by the entry's other fields in order unless the entry was removed. */
 type ChangeRow =
   | readonly [number, string]
   | readonly [
@@ -162,21 +162,21 @@
       number?,
     ];
 
-/** Values of a change with an entry; boxes of an earlier version do not tell the last, when a server was born. */
+/** Possible lengths of a row with an entry; older boxes omit the last value, the server's start time. */
 const CHANGE_ROW_LENGTHS: readonly number[] = [11, 12];
-/** Stands for what a server did not tell. */
-const NOT_TOLD = -1;
+/** Encodes a value that a server did not state. */
+const ABSENT = -1;
 
 function changeRowOf({ number, id, entry }: NumberedChange): ChangeRow {
   if (entry === undefined) return [number, id];
   const { service, address, zone, slots, state, reclaimable } = entry;
-  const { leavesInMs = NOT_TOLD, version = '', bornAtMs = NOT_TOLD } = entry;
+  const { leavesInMs = ABSENT, version = '', bornAtMs = ABSENT } = entry;
   const { host, port } = address;
-  const told = [slots, state, reclaimable, leavesInMs, version, bornAtMs] as const;
-  return [number, id, service, host, port, zone, ...told];
+  const entryValues = [slots, state, reclaimable, leavesInMs, version, bornAtMs] as const;
+  return [number, id, service, host, port, zone, ...entryValues];
 }
 
-/** A row that is none leaves a gap in the numbers, so that the whole registry is asked for. */
+/** Whether a row is valid. A malformed row is dropped and leaves a gap in the numbers, so that the box requests the whole registry. */
 function isChangeRow(row: unknown): row is ChangeRow {
   if (!Array.isArray(row) || !Number.isInteger(row[0]) || typeof row[1] !== 'string') return false;
   return row.length === 2 || CHANGE_ROW_LENGTHS.includes(row.length);
@@ -185,15 +185,26 @@
 function changeOf(row: ChangeRow): NumberedChange {
   const [number, id] = row;
   if (row.length === 2) return { number, id, entry: undefined };
-  const [, , service, host, port, zone, slots, state, reclaimable, leaves, versionText] = row;
-  const [, , , , , , , , , , , born = NOT_TOLD] = row;
+  const [, , service, host, port, zone, slots, state, reclaimable, leavesValue, versionText] = row;
+  const [, , , , , , , , , , , bornValue = ABSENT] = row;
   const address = { host, port };
-  const leavesInMs = leaves === NOT_TOLD ? undefined : leaves;
+  const leavesInMs = leavesValue === ABSENT ? undefined : leavesValue;
   const version = versionText === '' ? undefined : versionText;
-  const life = born === NOT_TOLD ? {} : { bornAtMs: born };
+  const startTime = bornValue === ABSENT ? {} : { bornAtMs: bornValue };
   return {
     number,
     id,
-    entry: { id, service, address, zone, slots, state, reclaimable, leavesInMs, version, ...life },
+    entry: {
+      id,
+      service,
+      address,
+      zone,
+      slots,
+      state,
+      reclaimable,
+      leavesInMs,
+      version,
+      ...startTime,
+    },
   };
 }
--- a/packages/reedlug-gateway/src/daemon/handleInTurn.ts
+++ b/packages/reedlug-gateway/src/daemon/sequentialHandler.ts
@@ -1,8 +1,10 @@
-/** The order of a box's events: one at a time, those that come meanwhile after them. */
+/** Handles a box's events one at a time; an event emitted meanwhile waits for its turn. */
 import type { EventBody } from '../types/event.js';
 
-/** Makes the function that takes a box's events; `handle` is never called within itself. */
-export function handleInTurn(handle: (body: EventBody) => void): (body: EventBody) => void {
+/** Returns a function that queues events for `handle`, so that `handle` is never called recursively. */
+export function createSequentialHandler(
+  handle: (body: EventBody) => void,
+): (body: EventBody) => void {
   const pending: EventBody[] = [];
   let busy = false;
   return (body) => {
--- a/packages/reedlug-gateway/src/daemon/statementWire.ts
+++ b/packages/reedlug-gateway/src/daemon/statementWire.ts
@@ -1,8 +1,8 @@
 /**
- * Statements of servers as rows of a datagram.
+ * Encoding of server statements as rows of a datagram.
  *
- * A tenth of thousands of servers may say something at once, so rows carry no names. A row
- * that is none, as of another version, is left out.
+ * Of thousands of servers, a tenth may make a statement at the same time, so rows contain no field
+ * names. A malformed row, such as one of another version, is skipped.
  */
 import { isFiniteNumber, isFiniteNumberOrNull } from '../slices/rowValues.js';
 import type {
@@ -11,16 +11,16 @@
   IncarnationStatement,
 } from '../types/serverStatement.js';
 
-/** The kind under which boxes of all versions know the datagram. */
+/** Kind of the datagram on the wire, the same in all versions. */
 export const STATEMENTS_WIRE_KIND = 'serverFacts';
 
-/** Server, start of its life, requests a second, and how long ago it was asked and said. */
+/** Server, its start time, requests per second, and the time since the request was sent and the answer received. */
 type LimitRow = readonly [string, number | null, number | null, number, number];
 /**
- * Server, start of its life, how much longer it rests, and how long ago that was asked, probed and served;
- * boxes of the version before tell the first three alone.
+ * Server, its start time, the time left of its pause, and the time since the server asked for the pause, was
+ * probed, and served a request. Older boxes send only the first three values.
  */
-type RestRow = readonly [
+type PauseRow = readonly [
   string,
   number | null,
   number,
@@ -29,28 +29,28 @@
   (number | null)?,
 ];
 
-/** A server that leaves, and start of its life. */
-type LeavingRow = readonly [string, number | null];
+/** Draining server and its start time. */
+type DrainingRow = readonly [string, number | null];
 
-/** A server that refused, start of its life, and how long ago that was. */
+/** Server that refused a request, its start time, and the time since the refusal. */
 type RefusalRow = readonly [string, number | null, number];
 
-/** The datagram's value. */
+/** Content of the datagram. */
 export interface StatementRows {
   kind: typeof STATEMENTS_WIRE_KIND;
   boxId: string;
   limits: readonly LimitRow[];
-  pauses: readonly RestRow[];
-  /** Boxes of the version before neither send nor read it. */
-  leaving: readonly LeavingRow[];
+  pauses: readonly PauseRow[];
+  /** Draining servers; older boxes neither send nor read this field. */
+  leaving: readonly DrainingRow[];
   refusals: readonly RefusalRow[];
 }
 
-/** The rows of a message. */
+/** Encodes a message as rows. */
 export function statementRows({ boxId, statements }: ServerStatementsMessage): StatementRows {
   const limits: LimitRow[] = [];
-  const pauses: RestRow[] = [];
-  const leaving: LeavingRow[] = [];
+  const pauses: PauseRow[] = [];
+  const leaving: DrainingRow[] = [];
   const refusals: RefusalRow[] = [];
   for (const { serverId, bornAtMs = null, statement } of statements) {
     switch (statement.kind) {
@@ -75,7 +75,7 @@
   return { kind: STATEMENTS_WIRE_KIND, boxId, limits, pauses, leaving, refusals };
 }
 
-/** The message of a datagram's value; undefined when it is none. */
+/** Decodes a message from rows; returns undefined if the value is malformed. */
 export function statementsOfRows(
   value: Readonly<Record<string, unknown>>,
 ): ServerStatementsMessage | undefined {
@@ -84,15 +84,15 @@
   if (!Array.isArray(limits) || !Array.isArray(pauses) || !Array.isArray(leaving)) return undefined;
   if (!Array.isArray(refusals)) return undefined;
   const statements = [
-    ...limits.flatMap((row) => read(row, limitOf)),
-    ...pauses.flatMap((row) => read(row, restOf)),
-    ...refusals.flatMap((row) => read(row, refusalOf)),
-    ...leaving.flatMap((row) => read(row, () => ({ kind: 'leaving' }))),
+    ...limits.flatMap((row) => readRow(row, limitOf)),
+    ...pauses.flatMap((row) => readRow(row, pauseOf)),
+    ...refusals.flatMap((row) => readRow(row, refusalOf)),
+    ...leaving.flatMap((row) => readRow(row, () => ({ kind: 'leaving' }))),
   ];
   return { kind: 'serverStatements', boxId, statements };
 }
 
-function read(
+function readRow(
   row: unknown,
   statementOf: (values: readonly unknown[]) => ServerStatement | undefined,
 ): IncarnationStatement[] {
@@ -114,7 +114,7 @@
   return isFiniteNumber(ageMs) ? { kind: 'refusal', ageMs } : undefined;
 }
 
-function restOf(values: readonly unknown[]): ServerStatement | undefined {
+function pauseOf(values: readonly unknown[]): ServerStatement | undefined {
   const [leftMs, askedAgeMs = 0, probeAgeMs = null, servedAgeMs = null] = values;
   if (!isFiniteNumber(leftMs) || !isFiniteNumber(askedAgeMs)) return undefined;
   if (!isFiniteNumberOrNull(probeAgeMs) || !isFiniteNumberOrNull(servedAgeMs)) return undefined;
--- a/packages/reedlug-gateway/src/observe/__tests__/limitAccount.test.ts
+++ b/packages/reedlug-gateway/src/observe/__tests__/limitRefusals.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { limitAccount, limitRefusals } from '../limitAccount.js';
+import { summarizeLimitRefusals, limitRefusals } from '../limitRefusals.js';
 
 const WINDOW_MS = 8000;
 
@@ -17,7 +17,7 @@
   return line(second, 'requestSent', `box=${box} workspace=tiger units=${units}`);
 }
 
-test('a refusal is within the limit where what all boxes had sent leaves room for it', () => {
+test('a refusal is within the limit if the units that all boxes had sent leave enough spare units', () => {
   const log = [
     sent(1, 'box-1', 30),
     sent(2, 'box-2', 40),
@@ -28,12 +28,12 @@
   ].join('\n');
   const refusals = limitRefusals(log, WINDOW_MS);
   expect(refusals.map(({ fleetUsed }) => fleetUsed)).to.deep.equal([70, 70, 40]);
-  expect(limitAccount(refusals)).to.deep.equal([
+  expect(summarizeLimitRefusals(refusals)).to.deep.equal([
     { workspace: 'tiger', refusals: 3, within: 2, withinAfterStart: 0, medianUsedShare: 0.7 },
   ]);
 });
 
-test('refusals of a box right after its start are told apart, lines in any order', () => {
+test('refusals right after the start of a box are counted separately, with lines in any order', () => {
   const log = [
     refusal(3, 'box-1', 10),
     line(1, 'partHeld', 'box=box-1 opening=earlierLife'),
--- a/packages/reedlug-gateway/src/observe/limitAccount.ts
+++ b/packages/reedlug-gateway/src/observe/limitRefusals.ts
@@ -1,52 +1,52 @@
 /**
- * Whether refusals by a workspace's limit were within it, by what all boxes had sent.
+ * Checks whether requests that were refused by a workspace's limit would have been within the limit.
  *
- * A box decides by its part alone. Added up over the logs of all boxes, the units of the
- * window before a refusal tell what the whole limit would have held.
+ * A box decides by its own share of the limit alone. The units that all boxes sent in the window
+ * before a refusal, summed over their logs, show whether the whole limit was used up.
  */
 import { parseLogLine, type LogLine } from './explainRequest.js';
 
-/** A refusal beside what all boxes had sent of the workspace in the window before. */
+/** Refusal, and the units that all boxes had sent for the workspace in the window before it. */
 export interface LimitRefusal {
   box: string;
   workspace: string;
   units: number;
   fleetUsed: number;
   fleetAllowed: number;
-  /** The box had begun to hold its part less than a window before. */
+  /** Whether the box had received its share of the limits less than a window before. */
   isAfterStart: boolean;
 }
 
-/** Refusals of one workspace. */
-export interface LimitAccountRow {
+/** Summary of one workspace's refusals. */
+export interface LimitRefusalSummary {
   workspace: string;
   refusals: number;
-  /** Those that the whole limit would have held, and how many of them came at a box right after its start. */
+  /** Number of refusals that were within the whole limit, and how many of those happened right after the start of a box. */
   within: number;
   withinAfterStart: number;
-  /** Share of the whole limit that was used at the refusals within it: the middle one. */
+  /** Median share of the whole limit that was used at the refusals within it. */
   medianUsedShare: number;
 }
 
-interface Sent {
+interface SentUnits {
   atMs: number;
   units: number;
 }
 
-/** Refusals by limits in the logs of all boxes; `windowMs` is the users' window. */
+/** Finds the refusals by limits in the logs of all boxes; `windowMs` is the configured limit window. */
 export function limitRefusals(logText: string, windowMs: number): LimitRefusal[] {
   const lines = logText
     .split('\n')
     .filter((text) => /limitReached|requestSent|partHeld/.test(text));
   const parsed = lines.map(parseLogLine).filter((line) => line !== undefined);
   parsed.sort((a, b) => a.time.localeCompare(b.time));
-  const sent = new Map<string, Sent[]>();
-  const heldAtMs = new Map<string, number>();
+  const sent = new Map<string, SentUnits[]>();
+  const shareHeldAtMs = new Map<string, number>();
   const refusals: LimitRefusal[] = [];
   for (const line of parsed) {
     const atMs = Date.parse(line.time);
     const [box, workspace] = [textOf(line, 'box'), textOf(line, 'workspace')];
-    if (line.event === 'partHeld') heldAtMs.set(box, atMs);
+    if (line.event === 'partHeld') shareHeldAtMs.set(box, atMs);
     if (line.event === 'requestSent') {
       const known = sent.get(workspace) ?? [];
       known.push({ atMs, units: numberOf(line, 'units') });
@@ -59,24 +59,24 @@
       units: numberOf(line, 'units'),
       fleetUsed: usedSince(sent.get(workspace) ?? [], atMs - windowMs),
       fleetAllowed: numberOf(line, 'allowed') * numberOf(line, 'divisor'),
-      isAfterStart: atMs - (heldAtMs.get(box) ?? Number.NEGATIVE_INFINITY) < windowMs,
+      isAfterStart: atMs - (shareHeldAtMs.get(box) ?? Number.NEGATIVE_INFINITY) < windowMs,
     });
   }
   return refusals;
 }
 
-function usedSince(sent: readonly Sent[], sinceMs: number): number {
+function usedSince(sent: readonly SentUnits[], sinceMs: number): number {
   let units = 0;
   for (let index = sent.length - 1; index >= 0; index -= 1) {
-    const { atMs, units: more } = sent[index] as Sent;
+    const { atMs, units: more } = sent[index] as SentUnits;
     if (atMs <= sinceMs) break;
     units += more;
   }
   return units;
 }
 
-/** Sums refusals up by workspace, the one with the most first. */
-export function limitAccount(refusals: readonly LimitRefusal[]): LimitAccountRow[] {
+/** Summarizes refusals by workspace, in descending order of their number. */
+export function summarizeLimitRefusals(refusals: readonly LimitRefusal[]): LimitRefusalSummary[] {
   const names = [...new Set(refusals.map(({ workspace }) => workspace))];
   const rows = names.map((workspace) => {
     const own = refusals.filter((refusal) => refusal.workspace === workspace);
--- a/packages/reedlug-simulator/src/boxes/virtualBox.ts
+++ b/packages/reedlug-simulator/src/boxes/virtualBox.ts
@@ -1,6 +1,6 @@
 /** A gateway box in virtual time: it runs the real reducer and feeds, with effects on the simulated world. */
 import {
-  handleInTurn,
+  createSequentialHandler,
   isNewEra,
   createGatewayState,
   followPlatform,
@@ -137,7 +137,7 @@
 
 /** Returns a function that passes events to the reducer while the process is alive. */
 function createEmit(world: World, box: VirtualBox): (body: EventBody) => void {
-  const enqueue = handleInTurn((body) => {
+  const enqueue = createSequentialHandler((body) => {
     const sinceStartMs = nowMs(world) - box.startedAtMs;
     const wallClockNowMs = WALL_CLOCK_START_MS + nowMs(world);
     const reduceStartedAtMs = performance.now();
--- a/packages/reedlug-soak/src/injectFault.ts
+++ b/packages/reedlug-soak/src/injectFault.ts
@@ -1,7 +1,7 @@
 /** Injects planned faults and records which boxes and servers they affect, and for how long. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { createRandom } from 'reedlug-standins';
-import { enterOddServer, removeServerEntry } from 'reedlug-platform/standins';
+import { enterMalformedServer, removeServerEntry } from 'reedlug-platform/standins';
 import type { Fault } from './faultPlan.js';
 import type { SoakRecord, Span } from './soakRecord.js';
 import {
@@ -97,9 +97,9 @@
       });
     case 'storeAway':
       return withBoxFault(record, [...world.boxes.keys()], async () => {
-        world.store.isAway = true;
+        world.store.isDown = true;
         await delay(fault.forMs);
-        world.store.isAway = false;
+        world.store.isDown = false;
       });
     case 'storeCopy':
       return withBoxFault(record, [...world.boxes.keys()], () =>
@@ -114,9 +114,9 @@
     case 'storeLosesAnswers':
       return withBoxFault(record, [...world.boxes.keys()], async () => {
         const random = createRandom(LOST_ANSWERS_SEED);
-        world.store.losesAnswer = () => random.chance(fault.share);
+        world.store.dropsAnswer = () => random.chance(fault.share);
         await delay(fault.forMs);
-        world.store.losesAnswer = () => false;
+        world.store.dropsAnswer = () => false;
       });
     case 'oddEntry':
       return registerInvalidEntry(world, fault.odd);
@@ -168,9 +168,9 @@
   fault: Extract<Fault, { kind: 'storeCopy' }>,
 ): Promise<void> {
   const { store } = world;
-  store.goAway();
+  store.goDown();
   await delay(fault.forMs);
-  const lostWrites = store.comeBackFromCopy(fault.ageMs);
+  const lostWrites = store.restoreFromBackup(fault.ageMs);
   const random = createRandom(fault.ageMs);
   const writes = lostWrites.map(async ({ table, isRemoval, again }) => {
     const afterMs = isRemoval ? ENTRY_LIFETIME_MS : random.unit() * fault.againWithinMs;
@@ -340,7 +340,7 @@
 
 function registerInvalidEntry(world: SoakWorld, entryIndex: number): void {
   const value = INVALID_ENTRIES[entryIndex % INVALID_ENTRIES.length];
-  enterOddServer(world.store, `odd-${entryIndex}`, value);
+  enterMalformedServer(world.store, `odd-${entryIndex}`, value);
 }
 
 /** Crashes or drains a server, then starts its next incarnation under a new id. */
