--- a/packages/reedlug-check/src/check/runCheck.ts
+++ b/packages/reedlug-check/src/check/runCheck.ts
@@ -1,4 +1,4 @@
-/** Checks a range of seeds and totals the results. */
+/** Runs a plan of faults for each seed of a range and totals the results. */
 import type { Mutation } from 'reedlug-decisions';
 import { generatePlan, FaultKind } from './checkPlan.js';
 import { runPlan, type SeedResult } from './runSeed.js';
@@ -8,7 +8,7 @@
 export interface CheckOptions {
   firstSeed: number;
   lastSeed: number;
-  /** Minimum number of events in a run. */
+  /** Minimum number of events in a run; the length of each run is derived from it. */
   minEvents: number;
   kinds: readonly FaultKind[];
   mutations: ReadonlySet<Mutation>;
@@ -32,11 +32,14 @@
 /** Every kind of fault. */
 export const ALL_FAULTS: readonly FaultKind[] = Object.values(FaultKind);
 
-/** Minimum number of events in a second of a run. */
+/** Minimum number of events that a run is taken to have in each second. */
 const MIN_EVENTS_PER_SECOND = 200;
 const FAULTS_PER_SECOND = 0.8;
 
-/** Runs the plan of each seed. Shrinks the plans that violate a guarantee. */
+/**
+ * Generates and runs the plan of each seed. Shrinks the plans that violate a guarantee, unless
+ * the check stops at the first.
+ */
 export function runCheck(options: CheckOptions): CheckSummary {
   const summary: CheckSummary = {
     seeds: 0,
--- a/packages/reedlug-check/src/measure/measure.ts
+++ b/packages/reedlug-check/src/measure/measure.ts
@@ -21,7 +21,7 @@
   scenario: ScenarioName;
   policy: PolicyVariant;
   seed: number;
-  /** Number of engine answers whose first token came within the latency target. */
+  /** Number of completed engine answers whose first token came within the latency target. */
   answersWithinTarget: number;
   cost: number;
   costPerThousandWithinTarget: number;
@@ -35,7 +35,10 @@
   urgentMissShare: number;
   refused: { urgent: number; patient: number };
   lost: { urgent: number; patient: number };
-  /** Ratio of the answers of the busiest patient workspace to those of the least busy one. */
+  /**
+   * Ratio of the completed answers of the busiest patient workspace to those of the least busy
+   * one that has any; 0 if none has any.
+   */
   busiestOverLeast: number;
   events: number;
 }
@@ -61,8 +64,9 @@
 }
 
 /**
- * Targets for the 95th percentile of the time to the first token, in ms. The urgent one is a
- * requirement of the users; patient requests are drafts, which may wait longer.
+ * Targets for the 95th percentile of the time to the first token, in ms; here the time of each
+ * answer is compared with them. The urgent one is a requirement of the users; patient requests
+ * are drafts, which may wait longer.
  */
 const FIRST_TOKEN_TARGET_MS = { urgent: 880, patient: 3000 } as const;
 const DRAIN_MS = 60_000;
@@ -72,7 +76,7 @@
 
 /** Runs one measurement. */
 export function measure(options: MeasureOptions): Measurement {
-  const scenario = adjustScenario(scenarioOf(options.scenario), options.withoutDrafts ?? false);
+  const scenario = applyWithoutDrafts(scenarioOf(options.scenario), options.withoutDrafts ?? false);
   const baseSettings = scenario.hasSecondSite ? withSecondSite(options.settings) : options.settings;
   const settings = settingsFor(baseSettings, options.policy);
   const world = createMeasuredWorld(options, settings);
@@ -83,7 +87,7 @@
   return summarise(options, world, scenario, workload);
 }
 
-function adjustScenario(scenario: Scenario, withoutDrafts: boolean): Scenario {
+function applyWithoutDrafts(scenario: Scenario, withoutDrafts: boolean): Scenario {
   return withoutDrafts ? { ...scenario, patientFactor: () => 0, noisyFactor: 1 } : scenario;
 }
 
@@ -110,28 +114,35 @@
 
 /** Adds a second site of the same size as the first, with empty caches. */
 function withSecondSite(settings: MeasureOptions['settings']): MeasureOptions['settings'] {
-  const newName = (name: string): string => `${name}-new`;
+  const secondSiteName = (name: string): string => `${name}-new`;
   return {
     ...settings,
     zones: [
       ...settings.zones,
-      ...settings.zones.map(({ name, site }) => ({ name: newName(name), site: newName(site) })),
+      ...settings.zones.map(({ name, site }) => ({
+        name: secondSiteName(name),
+        site: secondSiteName(site),
+      })),
     ],
     boxes: [
       ...settings.boxes,
-      ...settings.boxes.map((box) => ({ ...box, id: newName(box.id), zone: newName(box.zone) })),
+      ...settings.boxes.map((box) => ({
+        ...box,
+        id: secondSiteName(box.id),
+        zone: secondSiteName(box.zone),
+      })),
     ],
     servers: [
       ...settings.servers,
       ...settings.servers.map((spec) => ({
         ...spec,
-        id: newName(spec.id),
-        zone: newName(spec.zone),
+        id: secondSiteName(spec.id),
+        zone: secondSiteName(spec.zone),
       })),
     ],
     offers: [
       ...settings.offers,
-      ...settings.offers.map((offer) => ({ ...offer, zone: newName(offer.zone) })),
+      ...settings.offers.map((offer) => ({ ...offer, zone: secondSiteName(offer.zone) })),
     ],
   };
 }
@@ -220,11 +231,11 @@
   };
 }
 
-/** Returns the nearest-rank percentile of values; 0 for no values. */
+/** Returns the nearest-rank percentile of values, rounded to two decimals; 0 for no values. */
 export function percentile(values: readonly number[], percent: number): number {
   const sorted = [...values].sort((a, b) => a - b);
-  const rank = Math.max(0, Math.ceil((percent / 100) * sorted.length) - 1);
-  return Math.round((sorted[rank] ?? 0) * 100) / 100;
+  const index = Math.max(0, Math.ceil((percent / 100) * sorted.length) - 1);
+  return Math.round((sorted[index] ?? 0) * 100) / 100;
 }
 
 function busiestOverLeast(samples: readonly Sample[]): number {
--- a/packages/reedlug-decisions/src/plans/items.ts
+++ b/packages/reedlug-decisions/src/plans/items.ts
@@ -8,7 +8,7 @@
   startsAtEpochMs: number;
   endsAtEpochMs: number;
   steps: number;
-  /** Share of conversations at which the move was halted; undefined if it is not halted. */
+  /** Share of conversations moved by the time of the halt; undefined if it is not halted. */
   haltedAtShare: number | undefined;
 }
 
@@ -49,7 +49,7 @@
 
 const WORKSPACE_PREFIX = 'workspace/';
 
-/** Returns the id of the workspace that was created with a key, by the key's SHA-256. */
+/** Returns the id of the workspace item whose key has this SHA-256, or undefined if none has. */
 export function workspaceOfKey(state: BoxState, keySha256: string): string | undefined {
   for (const [name, item] of state.config.items) {
     if (!name.startsWith(WORKSPACE_PREFIX)) continue;
--- a/packages/reedlug-gateway/src/policy/retryJitter.ts
+++ b/packages/reedlug-gateway/src/policy/retryJitter.ts
@@ -1,13 +1,13 @@
-/** Adds jitter to the times after which refused callers retry. */
+/** Adds jitter to the delay after which a refused request is retried. */
 import { hashFraction } from 'reedlug-coordination';
 
 /**
- * Maximum jitter as a share of the retry time. It is derived from the request's id, so that
- * requests refused together are not retried together.
+ * Maximum jitter as a share of the delay. The jitter itself is derived from the request's id, so
+ * that requests refused together are not retried together.
  */
 const MAX_RETRY_JITTER = 0.25;
 
-/** Returns the retry time of a request including its jitter, in ms. */
-export function addRetryJitter(retryMs: number, requestId: string): number {
-  return retryMs * (1 + MAX_RETRY_JITTER * hashFraction(requestId));
+/** Returns the delay before the retry of a request, including its jitter, in ms. */
+export function addRetryJitter(retryDelayMs: number, requestId: string): number {
+  return retryDelayMs * (1 + MAX_RETRY_JITTER * hashFraction(requestId));
 }
--- a/packages/reedlug-standins/src/http/serviceServer.ts
+++ b/packages/reedlug-standins/src/http/serviceServer.ts
@@ -1,4 +1,4 @@
-/** A stand-in for a plain service, which stores records and counts the runs of each request. */
+/** A stand-in for a service, which stores records and counts the runs of each change. */
 import {
   startJsonServer,
   type JsonAnswer,
@@ -9,7 +9,10 @@
 /** A running stand-in service. */
 export interface ServiceServer {
   server: RunningServer;
-  /** Number of runs of each non-repeatable request, by its `ref` field. */
+  /**
+   * Number of runs of each non-repeatable request (POST, PUT, PATCH or DELETE), by the `ref` field
+   * of its body, or by its URL if it has none.
+   */
   runs: Map<string, number>;
   stall: (forMs: number) => void;
   drain: () => void;
@@ -24,13 +27,13 @@
   answerMs: number;
 }
 
-/** Starts a service on a loopback port. */
+/** Starts a stand-in service on a loopback port. */
 export async function startServiceServer(params: {
   port: number;
   incarnation: number;
   answerMs: number;
 }): Promise<ServiceServer> {
-  const running: RunningService = {
+  const service: RunningService = {
     runs: new Map(),
     records: new Map(),
     stalledUntilMs: 0,
@@ -41,57 +44,57 @@
   const methods = ['POST', 'PUT', 'PATCH', 'DELETE'] as const;
   const server = await startJsonServer(
     [
-      { method: 'GET', path: '/healthz', handle: (request) => health(running, request) },
-      { method: 'GET', path: '/*', handle: (request) => lookUp(running, request) },
-      { method: 'HEAD', path: '/*', handle: (request) => lookUp(running, request) },
+      { method: 'GET', path: '/healthz', handle: (request) => answerHealth(service, request) },
+      { method: 'GET', path: '/*', handle: (request) => lookUp(service, request) },
+      { method: 'HEAD', path: '/*', handle: (request) => lookUp(service, request) },
       ...methods.map((method) => ({
         method,
         path: '/*',
-        handle: (request: JsonRequest) => change(running, request),
+        handle: (request: JsonRequest) => applyChange(service, request),
       })),
     ],
     params.port,
   );
   return {
     server,
-    runs: running.runs,
+    runs: service.runs,
     stall: (forMs) => {
-      running.stalledUntilMs = performance.now() + forMs;
+      service.stalledUntilMs = performance.now() + forMs;
     },
     drain: () => {
-      running.leaving = true;
+      service.leaving = true;
     },
   };
 }
 
-function health(running: RunningService, { response }: JsonRequest): JsonAnswer | undefined {
-  if (performance.now() < running.stalledUntilMs) return undefined;
-  response.setHeader('x-incarnation', String(running.incarnation));
-  response.setHeader('x-leaving', running.leaving ? '1' : '0');
+function answerHealth(service: RunningService, { response }: JsonRequest): JsonAnswer | undefined {
+  if (performance.now() < service.stalledUntilMs) return undefined;
+  response.setHeader('x-incarnation', String(service.incarnation));
+  response.setHeader('x-leaving', service.leaving ? '1' : '0');
   return { status: 200, value: {} };
 }
 
-async function delayAnswer(running: RunningService): Promise<void> {
-  const stallMs = Math.max(0, running.stalledUntilMs - performance.now());
-  const waitMs = stallMs + running.answerMs;
+async function delayAnswer(service: RunningService): Promise<void> {
+  const stallMs = Math.max(0, service.stalledUntilMs - performance.now());
+  const waitMs = stallMs + service.answerMs;
   if (waitMs > 0) await new Promise((resolve) => setTimeout(resolve, waitMs));
 }
 
-async function lookUp(running: RunningService, { request }: JsonRequest): Promise<JsonAnswer> {
-  await delayAnswer(running);
+async function lookUp(service: RunningService, { request }: JsonRequest): Promise<JsonAnswer> {
+  await delayAnswer(service);
   const path = request.url ?? '/';
-  const record = running.records.get(path) ?? { status: 'registered' };
+  const record = service.records.get(path) ?? { status: 'registered' };
   return { status: 200, value: { path, record } };
 }
 
-async function change(
-  running: RunningService,
+async function applyChange(
+  service: RunningService,
   { request, body }: JsonRequest,
 ): Promise<JsonAnswer> {
   const ref = String((body as { ref?: unknown } | undefined)?.ref ?? request.url);
-  const runs = (running.runs.get(ref) ?? 0) + 1;
-  running.runs.set(ref, runs);
-  running.records.set(request.url ?? '/', body);
-  await delayAnswer(running);
+  const runs = (service.runs.get(ref) ?? 0) + 1;
+  service.runs.set(ref, runs);
+  service.records.set(request.url ?? '/', body);
+  await delayAnswer(service);
   return { status: 201, value: { ref, runs } };
 }
