--- a/packages/reedlug-coordination/src/claims.ts
+++ b/packages/reedlug-coordination/src/claims.ts
@@ -1,9 +1,9 @@
 /**
- * Claims: at most one run for an idempotency key, through conditional inserts in a table.
+ * Claims: at most one run of a request for an idempotency key, through conditional writes to a table.
  *
  * A claim does not expire while its outcome is open, so a holder that pauses
- * cannot cause a second run. When the answer to a write is lost, the row is read
- * back: the write succeeded if the row has its operation id. Claims are written
+ * cannot cause a second run. When the table's answer to a write is lost, the row is
+ * read back: the write succeeded if the row has the write's operation id. Claims are written
  * in groups because the table is rate-limited. A group is written atomically, so
  * after a conflict the claims in conflict are removed and the others are written
  * again.
@@ -15,7 +15,7 @@
 export interface ClaimValue {
   /** Digest of the request, by which a different request under the same key is refused. */
   digest: string;
-  /** The process that holds the claim; `incarnation` identifies one start of it. */
+  /** The process that holds the claim; `incarnation` identifies one start of that process. */
   holderId: string;
   incarnation: number;
   /** Unique id of the write that made the row. */
@@ -30,15 +30,15 @@
 /** A claim that the table has not confirmed yet. */
 export interface PendingClaim {
   key: string;
-  /** 0 for a new row, or the version of a row to replace whose outcome is `notRun`. */
+  /** 0 for a new row, or the version of the row to replace, whose outcome is `notRun`. */
   expectVersion: number;
   value: ClaimValue;
 }
 
 /**
  * The result of one claim: `held` by this request, `taken` by another operation with the same digest,
- * refused because the key belongs to a request with another digest, or unavailable because the
- * table did not settle it.
+ * `digestDiffers` because the key belongs to a request with another digest, or `unavailable` because
+ * the table did not settle it.
  */
 export type ClaimVerdict =
   | { kind: 'held'; key: string; requestId: string }
@@ -95,14 +95,14 @@
   if (reason === 'throttled') {
     return { verdicts: group.claims.map(unavailableVerdict), next: undefined };
   }
-  const { verdicts, open } = evaluateClaims(group.claims, rows);
+  const { verdicts, open } = splitClaims(group.claims, rows);
   if (open.length === 0) return { verdicts, next: undefined };
   return retryClaims(group, open, false, verdicts);
 }
 
 function afterReadBack(group: ClaimGroup, answer: TableAnswer): ClaimStep {
   if (answer.kind !== 'done') return retryClaims(group, group.claims, true, []);
-  const { verdicts, open } = evaluateClaims(group.claims, answer.rows);
+  const { verdicts, open } = splitClaims(group.claims, answer.rows);
   if (open.length === 0) return { verdicts, next: undefined };
   return retryClaims(group, open, false, verdicts);
 }
@@ -117,13 +117,13 @@
   if (group.attempts >= CLAIM_MAX_ATTEMPTS) {
     return { verdicts: [...verdicts, ...claims.map(unavailableVerdict)], next: undefined };
   }
-  const next = { claims, readingBack, attempts: group.attempts + 1 };
+  const nextGroup = { claims, readingBack, attempts: group.attempts + 1 };
   const op = readingBack ? readOp(claims) : writeOp(claims);
-  return { verdicts, next: { group: next, op } };
+  return { verdicts, next: { group: nextGroup, op } };
 }
 
 /** Splits claims into those that the current rows settle and those that are still open. */
-function evaluateClaims(
+function splitClaims(
   claims: readonly PendingClaim[],
   rows: readonly TableRow[],
 ): { verdicts: ClaimVerdict[]; open: PendingClaim[] } {
@@ -140,12 +140,12 @@
 }
 
 function verdictForRow(claim: PendingClaim, row: TableRow): ClaimVerdict {
-  const existing = row.value as ClaimValue;
-  if (existing.operationId === claim.value.operationId) return heldVerdict(claim);
+  const rowValue = row.value as ClaimValue;
+  if (rowValue.operationId === claim.value.operationId) return heldVerdict(claim);
   const { key } = claim;
   const { requestId } = claim.value;
-  if (existing.digest !== claim.value.digest) return { kind: 'digestDiffers', key, requestId };
-  return { kind: 'taken', key, requestId, by: existing, version: row.version };
+  if (rowValue.digest !== claim.value.digest) return { kind: 'digestDiffers', key, requestId };
+  return { kind: 'taken', key, requestId, by: rowValue, version: row.version };
 }
 
 function heldVerdict(claim: PendingClaim): ClaimVerdict {
--- a/packages/reedlug-coordination/src/rendezvous.ts
+++ b/packages/reedlug-coordination/src/rendezvous.ts
@@ -1,9 +1,9 @@
 /**
- * Rendezvous hashing: a stable ranking of servers for a key.
+ * Rendezvous hashing: weights for a stable ranking of servers for a key.
  *
- * The loss of a server moves only the keys that it held. Ids are hashed once with
- * xxHash. A ranking then mixes two 32-bit numbers for each server, so that it takes
- * tens of microseconds over thousands of engines.
+ * The loss of a server moves only the keys that it held. Ids are hashed with xxHash and
+ * the hashes are cached. A ranking then only mixes two 32-bit hashes for each server, so
+ * that it takes tens of microseconds over thousands of servers.
  */
 import xxhash from 'xxhash-wasm';
 
@@ -37,7 +37,10 @@
   return hashString(text) / 2 ** 32;
 }
 
-/** Returns the weight of a server for a key, from their hashes (Murmur3's finalizer); the highest wins. */
+/**
+ * Returns the weight of a server for a key, from their hashes, mixed with Murmur3's finalizer; the
+ * highest wins.
+ */
 export function rendezvousWeight(keyHash: number, serverHash: number): number {
   let mixed = keyHash ^ Math.imul(serverHash, 0x9e3779b1);
   mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b);
--- a/packages/reedlug-coordination/src/retryBudget.ts
+++ b/packages/reedlug-coordination/src/retryBudget.ts
@@ -1,9 +1,9 @@
 /**
  * Retry budget: limits retries to a share of first tries.
  *
- * It is a token bucket that first tries fill and retries empty, so that a fault
- * that affects every request cannot multiply the load. The bucket starts full, so
- * that a few retries are possible before first tries have filled it.
+ * It is a token bucket: a first try adds a share of a token and a retry takes a whole
+ * one, so that a fault that affects every request cannot multiply the load. The bucket
+ * starts full, so that a few retries are possible before first tries have added tokens.
  */
 export interface RetryBudget {
   /** Tokens that each first try adds, for example 0.1. */
@@ -23,14 +23,17 @@
   budget.tokens = Math.min(budget.capacity, budget.tokens + budget.share);
 }
 
-/** Takes one retry from the budget; returns false if the budget is used up. */
+/** Takes the token for one retry; returns false if less than one token is left. */
 export function takeRetry(budget: RetryBudget): boolean {
   if (budget.tokens < 1) return false;
   budget.tokens -= 1;
   return true;
 }
 
-/** Returns an exponential backoff with equal jitter, in ms; `random` is in [0, 1). */
+/**
+ * Returns an exponential backoff in ms with equal jitter: at least half of the longest backoff.
+ * `tries` counts from 1; `random` is in [0, 1).
+ */
 export function backoffMs(params: {
   tries: number;
   baseMs: number;
--- a/packages/reedlug-gateway/src/daemon/exchanges.ts
+++ b/packages/reedlug-gateway/src/daemon/exchanges.ts
@@ -4,35 +4,41 @@
 import type { CallerExchange } from './callerServer.js';
 import type { StreamEvent } from './eventSplitter.js';
 
-/** Header fields that state the length of a body. They are dropped because a stream may combine several answers. */
-const FRAMING_FIELDS = new Set(['content-length']);
+/**
+ * Header fields that state the length of a body. They are dropped because a stream may combine
+ * several answers; a plain answer with a body gets the length of that body instead.
+ */
+const LENGTH_FIELDS = new Set(['content-length']);
 
-/** Writes a complete plain answer as the server sent it. */
+/**
+ * Writes a complete plain answer: the server's status and body, and its headers as the codec
+ * returns them.
+ */
 export function writePlainAnswer(
   exchange: CallerExchange,
   codec: HeaderCodec,
   answer: BackendAnswer,
 ): void {
   const { response } = exchange;
-  const headers = withoutFields(codec.answerHeaders(answer.rawHeaders), FRAMING_FIELDS);
+  const headers = withoutFields(codec.answerHeaders(answer.rawHeaders), LENGTH_FIELDS);
   const hasBody = answer.status !== 204 && answer.status !== 304 && exchange.head.method !== 'HEAD';
   if (hasBody) headers.push('Content-Length', String(answer.body.length));
   response.writeHead(answer.status, answer.statusText, headers);
   response.end(hasBody ? answer.body : undefined);
 }
 
-/** Starts a stream with the head of its first server's answer. */
+/** Starts a stream with the status and headers of an answer, unless an earlier answer has started it. */
 export function writeStreamHead(
   exchange: CallerExchange,
   codec: HeaderCodec,
   answer: BackendAnswer,
 ): void {
   if (exchange.response.headersSent) return;
-  const headers = withoutFields(codec.answerHeaders(answer.rawHeaders), FRAMING_FIELDS);
+  const headers = withoutFields(codec.answerHeaders(answer.rawHeaders), LENGTH_FIELDS);
   exchange.response.writeHead(answer.status, answer.statusText, headers);
 }
 
-/** Result of writing a batch of events to the caller. */
+/** Result of writing a batch of events to the caller; `expected` is the id of the missing event. */
 export type EventsWritten =
   { kind: 'written'; lastEventId: number | undefined } | { kind: 'gap'; expected: number };
 
@@ -53,7 +59,7 @@
   return { kind: 'written', lastEventId: exchange.lastEventId };
 }
 
-/** Writes a refusal of this box. */
+/** Writes this box's own refusal of a request. */
 export function writeRefusal(
   exchange: CallerExchange,
   codec: HeaderCodec,
@@ -67,6 +73,7 @@
   exchange.response.end(body);
 }
 
+/** Returns the headers, a flat list of names and values, without the fields named in lower case. */
 function withoutFields(headers: readonly string[], names: ReadonlySet<string>): string[] {
   const kept: string[] = [];
   for (let index = 0; index + 1 < headers.length; index += 2) {
--- a/packages/reedlug-gateway/src/types/checkpoint.ts
+++ b/packages/reedlug-gateway/src/types/checkpoint.ts
@@ -3,7 +3,10 @@
 /** Key of the checkpoint row. */
 export const CHECKPOINT_KEY = 'usage-open';
 
-/** Usage counts of the windows that have no row yet. Each array is in the order of `workspaces`. */
+/**
+ * Usage counts of the windows that have no row yet. Each array has its counts in the order of
+ * `workspaces`.
+ */
 export interface CheckpointRow {
   workspaces: readonly string[];
   windows: Readonly<Record<string, Readonly<Record<string, readonly number[]>>>>;
