--- a/packages/reedlug-soak/src/__tests__/faultProxy.test.ts
+++ b/packages/reedlug-soak/src/__tests__/faultProxy.test.ts
@@ -49,8 +49,8 @@
   });
 }
 
-// When a slow link recovered, the proxy forwarded the end of a stream before events that were still
-// queued. A draft then looked complete after 22 of 24 events, though no box was at fault.
+// Seed 8 of the soak: when a slow link recovered, the proxy forwarded the end of a stream before events
+// that were still queued. A draft then looked complete after 22 of 24 events, though no box was at fault.
 test('bytes on a slow link arrive complete and in order, also when the link recovers', async () => {
   const link = await openLink(400);
   link.proxy.setFault(LinkFault.slow);
